--- a/apps/agent/Forwarder.cpp
+++ b/apps/agent/Forwarder.cpp
@@ -115,12 +115,12 @@
                                    const ForwardedRequest& aForwarded)
 {
   switch (mRequests.Begin(aForwarded.mId, MonotonicNow())) {
-    case RequestStanding::Admitted:
+    case RequestAdmission::Admitted:
       break;
-    case RequestStanding::InProgress:
-    case RequestStanding::Finished:
+    case RequestAdmission::InProgress:
+    case RequestAdmission::Finished:
       return ErrorAnswer(kDuplicate);
-    case RequestStanding::Revoked:
+    case RequestAdmission::Revoked:
       return ErrorAnswer(kRevoked);
   }
   Outcome outcome = Run(aRequest, aForwarded);
@@ -150,7 +150,7 @@
   if (std::holds_alternative<AttemptDuplicate>(attempt)) {
     return Fail(kDuplicate);
   }
-  if (std::holds_alternative<AttemptPromised>(attempt)) {
+  if (std::holds_alternative<AttemptRevoked>(attempt)) {
     return Fail(kRevoked);
   }
   if (std::holds_alternative<AttemptMismatch>(attempt)) {
@@ -254,7 +254,7 @@
   if (aQuestion.mIdempotencyKey.empty()) {
     return { mRequests.Revoke(aQuestion.mRequest, aQuestion.mAge, now) };
   }
-  const KeyPromise promise =
+  const KeyRevocation promise =
     mKeys.Revoke({ aQuestion.mCustomer, aQuestion.mIdempotencyKey }, now);
   return { promise.mVerdict, promise.mPromisedBefore };
 }
--- a/apps/agent/TaskControl.cpp
+++ b/apps/agent/TaskControl.cpp
@@ -64,7 +64,7 @@
 void TaskControl::Start()
 {
   mFibers.Repeat(mCallPoke, kRound, [this] { MakeCalls(); });
-  mFibers.Repeat(mViewPoke, mSettings.mViewInterval, [this] { Look(); });
+  mFibers.Repeat(mViewPoke, mSettings.mViewInterval, [this] { Poll(); });
   mFibers.Repeat(mRenewPoke, kRenewal, [this] { Renew(); });
 }
 
--- a/apps/agent/TaskControl.h
+++ b/apps/agent/TaskControl.h
@@ -84,7 +84,7 @@
 
 private:
   void MakeCalls();
-  void Look();
+  void Poll();
   void ReportUsage(const WorkerView& aView, Instant aAskedAt);
   void Renew();
   void Perform(const WorkerCall& aCall, Instant aDecidedAt);
--- a/apps/agent/TaskControlWorker.cpp
+++ b/apps/agent/TaskControlWorker.cpp
@@ -28,7 +28,7 @@
   }
 }
 
-void TaskControl::Look()
+void TaskControl::Poll()
 {
   const Instant askedAt = MonotonicNow();
   const absl::StatusOr<WorkerView> view = mWorker.View();
--- a/apps/entry/JobPages.cpp
+++ b/apps/entry/JobPages.cpp
@@ -38,7 +38,7 @@
     { .mStatus = 404, .mVerdict = Verdict::NotRun, .mMessage = "no such job" });
 }
 
-net::HttpResponse StoreAway(Verdict aVerdict)
+net::HttpResponse StoreUnavailable(Verdict aVerdict)
 {
   return AnswerOf({ .mStatus = 503,
                     .mVerdict = aVerdict,
@@ -163,7 +163,7 @@
   }
   const SubmissionResult result = mWriter.Submit(ShardFor(spec->mId), *spec);
   if (const auto* failed = std::get_if<SubmissionFailed>(&result)) {
-    return StoreAway(failed->mVerdict);
+    return StoreUnavailable(failed->mVerdict);
   }
   if (std::holds_alternative<SubmissionConflict>(result)) {
     return AnswerOf({ .mStatus = 409,
@@ -184,7 +184,7 @@
   const auto record = entry.ok() ? FromJsonText<JobRecord>(entry->mValue)
                                  : absl::StatusOr<JobRecord>(entry.status());
   if (!record.ok()) {
-    return StoreAway(Verdict::NotRun);
+    return StoreUnavailable(Verdict::NotRun);
   }
   return net::JsonResponse(200, SummaryOf(*record));
 }
@@ -201,7 +201,7 @@
     const auto reply =
       mContext.mRpc.Call(*owner, kExplainJobMethod, params, kPeerTimeout);
     if (!reply.ok()) {
-      return StoreAway(Verdict::NotRun);
+      return StoreUnavailable(Verdict::NotRun);
     }
     view = *reply;
   }
@@ -254,7 +254,7 @@
                         .mVerdict = Verdict::NotRun,
                         .mMessage = "the job has ended" });
     case CancelResult::NotRecorded:
-      return StoreAway(Verdict::MayHaveRun);
+      return StoreUnavailable(Verdict::MayHaveRun);
     case CancelResult::Accepted:
       break;
   }
--- a/apps/entry/OwnershipDriver.cpp
+++ b/apps/entry/OwnershipDriver.cpp
@@ -87,7 +87,7 @@
   mCallbacks.mGivenUp(aAction.mShard);
 }
 
-void OwnershipDriver::Run(const EarlierLeasesOver& aAction)
+void OwnershipDriver::Run(const EarlierLeasesExpired& aAction)
 {
   mCallbacks.mCleared(aAction.mShard);
 }
--- a/apps/entry/OwnershipDriver.h
+++ b/apps/entry/OwnershipDriver.h
@@ -45,7 +45,7 @@
   void Run(const StoreRequest& aAction);
   void Run(const ShardGained& aAction);
   void Run(const ShardGivenUp& aAction);
-  void Run(const EarlierLeasesOver& aAction);
+  void Run(const EarlierLeasesExpired& aAction);
   void Run(const SendAttest& aAction);
   void Run(const SendPromise& aAction);
   void Run(const Superseded& aAction);
--- a/apps/entry/ShareDriver.cpp
+++ b/apps/entry/ShareDriver.cpp
@@ -71,7 +71,7 @@
     mTenure = tenure;
     mRosterFrom.reset();
   }
-  const auto from = mOwnership.Roster().ConfirmedFrom();
+  const auto from = mOwnership.Roster().LastConfirmedRound();
   if (mTenure && from && from != mRosterFrom) {
     mRosterFrom = from;
     mKeeper.OnRoster(*from, LiveIds());
--- a/apps/entry/StateViews.cpp
+++ b/apps/entry/StateViews.cpp
@@ -93,7 +93,7 @@
 {
   Json::Value view(Json::objectValue);
   view["confirmed"] = aOwnership.Roster().Confirmed(aNow);
-  view["stretched"] = aOwnership.Stretched(aNow);
+  view["stretched"] = aOwnership.ExtendedByVoters(aNow);
   view["openTenures"] = Json::UInt64(aOwnership.OpenTenures());
   view["entries"] = Json::Value(Json::arrayValue);
   for (const LiveEntry& entry : aOwnership.Roster().Live()) {
--- a/apps/entry/StoreCalls.cpp
+++ b/apps/entry/StoreCalls.cpp
@@ -70,7 +70,7 @@
   static StoreResult GoneOrFailed(const absl::Status& aStatus)
   {
     if (absl::IsNotFound(aStatus)) {
-      return LeaseGone{};
+      return LeaseNotFound{};
     }
     return Failed(aStatus);
   }
--- a/apps/scheduler/CellOwner.cpp
+++ b/apps/scheduler/CellOwner.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 /// Longest pause between two rounds of placing.
-constexpr Duration kTick = std::chrono::milliseconds(50);
+constexpr Duration kMaxRoundPause = std::chrono::milliseconds(50);
 constexpr Duration kStoreRetry = std::chrono::milliseconds(100);
 
 } // namespace
@@ -37,7 +37,7 @@
            aSettings,
            [this](const CellDecision& aDecision) { LogDecision(aDecision); })
 {
-  TakeQueues(aQueues);
+  ApplyQueues(aQueues);
 }
 
 void CellOwner::LogDecision(const CellDecision& aDecision)
@@ -50,10 +50,10 @@
               { "run", aDecision.mRun },
               { "reason", aDecision.mReason },
               { "ms", aDecision.mAgeMs } });
-  mLoad.NoteWork(OwnerWork::Logs, MonotonicNow() - begin);
+  mLoad.RecordWork(OwnerWork::Logs, MonotonicNow() - begin);
 }
 
-void CellOwner::TakeQueues(const std::vector<QueuePolicy>& aQueues)
+void CellOwner::ApplyQueues(const std::vector<QueuePolicy>& aQueues)
 {
   mAdviceWanted = std::ranges::any_of(aQueues, [](const QueuePolicy& aQueue) {
     return aQueue.mAdvice.has_value();
@@ -67,7 +67,7 @@
 {
   auto record = FromJsonText<Record>(aEntry.mValue);
   if (!record.ok()) {
-    NoteUnreadable(aEntry, record.status().ToString());
+    LogUnreadable(aEntry, record.status().ToString());
     return std::nullopt;
   }
   return *std::move(record);
@@ -77,14 +77,14 @@
 {
   auto job = ReadEntry<StoredJob>(aEntry);
   if (job && job->mGraph.mId.Value() != KeyName(aEntry.mKey, kJobPrefix)) {
-    NoteUnreadable(aEntry, "the job of another key");
+    LogUnreadable(aEntry, "the job of another key");
     return std::nullopt;
   }
   return job;
 }
 
-void CellOwner::NoteUnreadable(const StoreEntry& aEntry,
-                               std::string_view aReason)
+void CellOwner::LogUnreadable(const StoreEntry& aEntry,
+                              std::string_view aReason)
 {
   ++mFigures.mUnreadable;
   LogError("entry-unreadable",
@@ -115,12 +115,12 @@
   LogChange("cell-owned",
             { { "generation", mTerm.OwnGeneration() },
               { "jobs", mLogic.Jobs().size() },
-              { "agents", mDesks.size() } });
+              { "agents", mAgentLinks.size() } });
   Spawn(&CellOwner::RunJobWatch);
   Spawn(&CellOwner::RunSchedule);
   Spawn(&CellOwner::RunRecords);
   Spawn(&CellOwner::RunCleanup);
-  Spawn(&CellOwner::RunBeliefs);
+  Spawn(&CellOwner::RunLearnedSaves);
   Spawn(&CellOwner::RunAdvice);
   return absl::OkStatus();
 }
@@ -137,7 +137,7 @@
     if (auto record = ReadEntry<StoredProgress>(entry)) {
       known[job] = { *std::move(record), entry.mModRevision };
     } else {
-      mPassedOver.insert(job);
+      mUnreadableJobs.insert(job);
     }
   }
   const auto jobs = mParts.mStore.List(kJobPrefix);
@@ -146,7 +146,7 @@
   }
   for (const StoreEntry& entry : jobs->mEntries) {
     const auto record = ReadJob(entry);
-    if (record && !mPassedOver.contains(record->mGraph.mId)) {
+    if (record && !mUnreadableJobs.contains(record->mGraph.mId)) {
       const auto& [state, revision] = known[record->mGraph.mId];
       mLogic.AddJob(*record, state, revision, Clock());
     }
@@ -167,13 +167,14 @@
     // Tasks may run there, whatever its record says.
     expected.insert(id);
     if (const auto contact = ReadEntry<AgentContact>(entry)) {
-      Desk& desk = DeskOf(id, contact->mEndpoint);
-      desk.mRecorded = true;
-      desk.mRecordRevision = entry.mModRevision;
+      AgentLink& link = AgentLinkOf(id, contact->mEndpoint);
+      link.mRecorded = true;
+      link.mRecordRevision = entry.mModRevision;
     }
   }
-  mLogic.ExpectAgents(
-    expected, MonotonicNow() + mSettings.mAuthority + mSettings.mLeaseMargin);
+  mLogic.ExpectAgents(expected,
+                      MonotonicNow() + mSettings.mOwnershipTimeout +
+                        mSettings.mLeaseMargin);
   return absl::OkStatus();
 }
 
@@ -185,8 +186,8 @@
   LogChange("cell-released", { { "generation", mTerm.OwnGeneration() } });
   mSchedulePoke.Now();
   mRecordPoke.Now();
-  for (auto& [agent, desk] : mDesks) {
-    desk->mPoke.Now();
+  for (auto& [agent, link] : mAgentLinks) {
+    link->mPoke.Now();
   }
 }
 
@@ -205,7 +206,7 @@
 
 void CellOwner::SetQueues(const std::vector<QueuePolicy>& aQueues)
 {
-  TakeQueues(aQueues);
+  ApplyQueues(aQueues);
   mSchedulePoke.Now();
 }
 
@@ -221,7 +222,7 @@
     const absl::Status ended = mParts.mStore.Watch(
       kJobPrefix, mJobsFrom, [this](const std::vector<StoreEvent>& aEvents) {
         for (const StoreEvent& event : aEvents) {
-          TakeJobEvent(event);
+          OnJobEvent(event);
         }
         return !mEnded;
       });
@@ -234,14 +235,14 @@
     // are.
     if (const auto jobs = mParts.mStore.List(kJobPrefix); jobs.ok()) {
       for (const StoreEntry& entry : jobs->mEntries) {
-        TakeJobEvent({ entry.mKey, entry.mValue, entry.mModRevision });
+        OnJobEvent({ entry.mKey, entry.mValue, entry.mModRevision });
       }
       mJobsFrom = jobs->mRevision;
     }
   }
 }
 
-void CellOwner::TakeJobEvent(const StoreEvent& aEvent)
+void CellOwner::OnJobEvent(const StoreEvent& aEvent)
 {
   mJobsFrom = std::max(mJobsFrom, aEvent.mModRevision);
   if (!aEvent.mValue) {
@@ -255,7 +256,7 @@
 
 void CellOwner::OnRecordChanged(const StoredJob& aJob)
 {
-  if (mPassedOver.contains(aJob.mGraph.mId)) {
+  if (mUnreadableJobs.contains(aJob.mGraph.mId)) {
     return;
   }
   mLogic.AddJob(aJob, {}, 0, Clock());
@@ -266,18 +267,18 @@
 void CellOwner::RunSchedule()
 {
   while (!mEnded) {
-    mSchedulePoke.Wait(kTick);
+    mSchedulePoke.Wait(kMaxRoundPause);
     const Instant due = MonotonicNow() + mPacing.Pause();
     if (mPacing.Stretched()) {
-      mLoad.NoteRoundPutOff();
+      mLoad.RecordDeferredRound();
     }
     boost::this_fiber::sleep_for(mPacing.Pause());
     if (mEnded) {
       return;
     }
-    mLoad.NoteWait(OwnerWait::Loop, MonotonicNow() - due);
+    mLoad.RecordWait(OwnerWait::Loop, MonotonicNow() - due);
     RunRound();
-    TellLoad();
+    LogLoad();
   }
 }
 
@@ -286,26 +287,27 @@
   const Instant begin = MonotonicNow();
   mLogic.Schedule(Clock());
   const Duration took = MonotonicNow() - begin;
-  mPacing.NoteRound(took);
-  mLoad.NoteRound(took);
+  mPacing.RecordRound(took);
+  mLoad.RecordRound(took);
   for (const AgentId& agent : mLogic.AgentsWithOrders()) {
-    if (const auto desk = mDesks.find(agent); desk != mDesks.end()) {
-      desk->second->mPoke.Now();
+    if (const auto link = mAgentLinks.find(agent); link != mAgentLinks.end()) {
+      link->second->mPoke.Now();
     }
   }
-  if (mLogic.HasUnrecorded()) {
+  if (mLogic.HasUnsavedJobs()) {
     mRecordPoke.Now();
   }
 }
 
 /// An owner that is behind must say so: how long it lets others wait, and where
 /// its processor time goes.
-void CellOwner::TellLoad()
+void CellOwner::LogLoad()
 {
   const Instant now = MonotonicNow();
   const Duration text = mParts.mTextTime();
-  mLoad.NoteWork(OwnerWork::Text, text - std::exchange(mTextTimeBefore, text));
-  const auto summary = mLoad.Take(now, ProcessorTime());
+  mLoad.RecordWork(OwnerWork::Text,
+                   text - std::exchange(mTextTimeBefore, text));
+  const auto summary = mLoad.TakeSummary(now, ProcessorTime());
   if (!summary) {
     return;
   }
@@ -318,7 +320,7 @@
               { "perMille", SharesText(*summary) },
               { "reports", summary->mReports },
               { "rounds", summary->mRounds },
-              { "roundsPutOff", summary->mRoundsPutOff },
+              { "roundsPutOff", summary->mRoundsDeferred },
               { "longestRoundUs", longestRound.count() } });
 }
 
--- a/apps/scheduler/CellOwner.h
+++ b/apps/scheduler/CellOwner.h
@@ -80,7 +80,10 @@
   /// The store has shown the cell's record unchanged.
   void Confirm(Instant aSentAt) { mTerm.Confirm(aSentAt); }
   /// The owner's key lasts for `aTtl` from the sending of a call.
-  void KeepKey(Instant aSentAt, Duration aTtl) { mTerm.KeepKey(aSentAt, aTtl); }
+  void ExtendKey(Instant aSentAt, Duration aTtl)
+  {
+    mTerm.ExtendKey(aSentAt, aTtl);
+  }
 
   const cell::OwnerTerm& Term() const { return mTerm; }
   const cell::CellScheduler& Logic() const { return mLogic; }
@@ -90,14 +93,14 @@
 
 private:
   /// The owner's side of one agent.
-  struct Desk
+  struct AgentLink
   {
     Endpoint mEndpoint;
     Poke mPoke;
-    Instant mHeardAt{};
+    Instant mLastContactAt{};
     Instant mAttachedAt{};
-    Instant mPressuresAt{};
-    bool mWorkerGone = false; ///< By the agent's newest report.
+    Instant mWeightsSentAt{};
+    bool mWorkerLeft = false; ///< By the agent's newest report.
     bool mRecorded = false;   ///< In the store, for the next owner.
     /// Of the agent's record. A removal depends on it, so that one which the
     /// store carries out late removes no newer record.
@@ -107,39 +110,39 @@
   template<typename Record>
   std::optional<Record> ReadEntry(const StoreEntry& aEntry);
   std::optional<cell::StoredJob> ReadJob(const StoreEntry& aEntry);
-  void NoteUnreadable(const StoreEntry& aEntry, std::string_view aReason);
+  void LogUnreadable(const StoreEntry& aEntry, std::string_view aReason);
 
-  void TakeQueues(const std::vector<cell::QueuePolicy>& aQueues);
+  void ApplyQueues(const std::vector<cell::QueuePolicy>& aQueues);
   void Spawn(void (CellOwner::*aBody)());
   void RunJobWatch();
   void RunSchedule();
   void RunRound();
-  void TellLoad();
+  void LogLoad();
   void LogDecision(const cell::CellDecision& aDecision);
   void RunRecords();
   void RunCleanup();
-  void RunBeliefs();
-  void LoadBeliefs();
-  void KeepBeliefs();
+  void RunLearnedSaves();
+  void LoadLearned();
+  void SaveLearned();
   void RunAdvice();
-  void RunDesk(const AgentId& aAgent, Desk& aDesk);
+  void RunAgentLink(const AgentId& aAgent, AgentLink& aLink);
 
   absl::Status LoadJobs();
   absl::Status LoadAgents();
-  void TakeJobEvent(const StoreEvent& aEvent);
-  cell::ReportReply TakeReport(const cell::ReportRequest& aReport);
-  Desk& DeskOf(const AgentId& aAgent, const Endpoint& aEndpoint);
+  void OnJobEvent(const StoreEvent& aEvent);
+  cell::ReportReply HandleReport(const cell::ReportRequest& aReport);
+  AgentLink& AgentLinkOf(const AgentId& aAgent, const Endpoint& aEndpoint);
   bool Attached(const AgentId& aAgent) const;
-  bool RecordAgent(const AgentId& aAgent, Desk& aDesk);
-  void RemoveRecord(const AgentId& aAgent, Desk& aDesk);
-  void ForgetAgent(const AgentId& aAgent, Desk& aDesk);
-  Duration AttachRound(const AgentId& aAgent, Desk& aDesk);
-  Duration OrderRound(const AgentId& aAgent, Desk& aDesk);
+  bool SaveAgentRecord(const AgentId& aAgent, AgentLink& aLink);
+  void RemoveAgentRecord(const AgentId& aAgent, AgentLink& aLink);
+  void ForgetAgent(const AgentId& aAgent, AgentLink& aLink);
+  Duration AttachRound(const AgentId& aAgent, AgentLink& aLink);
+  Duration OrderRound(const AgentId& aAgent, AgentLink& aLink);
   void Detach(const AgentId& aAgent);
 
   bool RecordBatch();
-  void TakeConflict(const std::vector<cell::UnrecordedProgress>& aBatch,
-                    const StoreTransactionResult& aResult);
+  void OnConflict(const std::vector<cell::UnsavedProgress>& aBatch,
+                  const StoreTransactionResult& aResult);
   StoreCompare CellUnchanged() const;
   cell::CellClock Clock() const;
   cell::Session NextSession();
@@ -152,12 +155,12 @@
   cell::OwnerLoadSummary mLastLoad;
   Duration mTextTimeBefore{};
   cell::CellScheduler mLogic;
-  std::map<AgentId, std::unique_ptr<Desk>> mDesks;
+  std::map<AgentId, std::unique_ptr<AgentLink>> mAgentLinks;
   std::int64_t mSessions = 0;
   Revision mJobsFrom = 0;
   /// Jobs whose progress cannot be read: what of them has run is not known, so
   /// that nothing of them is started.
-  std::set<JobId> mPassedOver;
+  std::set<JobId> mUnreadableJobs;
   Poke mSchedulePoke;
   Poke mRecordPoke;
   OwnerFigures mFigures;
--- a/apps/scheduler/CellOwnerAdvice.cpp
+++ b/apps/scheduler/CellOwnerAdvice.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Between two looks for a step that needs advice.
-constexpr Duration kIdle = std::chrono::milliseconds(20);
+constexpr Duration kAdvicePoll = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -21,9 +21,10 @@
 {
   while (!mEnded && mParts.mAdvisor != nullptr) {
     const std::optional<AdviceQuery> query =
-      mAdviceWanted ? mLogic.NextAdvice(Clock()) : std::nullopt;
+      mAdviceWanted ? mLogic.NextAdviceQuery(Clock()) : std::nullopt;
     if (!query) {
-      boost::this_fiber::sleep_for(mAdviceWanted ? kIdle : kIdle * 10);
+      boost::this_fiber::sleep_for(mAdviceWanted ? kAdvicePoll
+                                                 : kAdvicePoll * 10);
       continue;
     }
     const auto reply = mParts.mAdvisor->Advise(*query);
@@ -36,7 +37,7 @@
                    { "workers", query->mWorkers.size() },
                    { "error", reply.status().ToString() } });
     }
-    mLogic.TakeAdvice(
+    mLogic.OnAdvice(
       *query, reply.ok() ? std::optional(*reply) : std::nullopt, Clock());
     mSchedulePoke.Now();
   }
--- a/apps/scheduler/CellOwnerDesks.cpp
+++ b/apps/scheduler/CellOwnerAgents.cpp
@@ -26,7 +26,7 @@
 constexpr Duration kReportTime = std::chrono::milliseconds(700);
 /// Between two words to an agent on what disturbs what: it is learned over
 /// seconds, and the agent keeps the last word.
-constexpr Duration kPressureInterval = std::chrono::seconds(1);
+constexpr Duration kWeightsInterval = std::chrono::seconds(1);
 /// An agent that is gone for so long is no longer asked for.
 constexpr Duration kForgetAfter = std::chrono::seconds(20);
 /// The high part of a session is its generation, so that sessions rise over
@@ -39,69 +39,69 @@
 ReportReply CellOwner::OnReport(const ReportRequest& aReport)
 {
   const Instant begin = MonotonicNow();
-  mLoad.NoteReport();
-  mLoad.NoteWait(OwnerWait::Report, aReport.mReplyTook);
-  ReportReply reply = TakeReport(aReport);
-  mLoad.NoteWork(OwnerWork::Reports, MonotonicNow() - begin);
+  mLoad.RecordReport();
+  mLoad.RecordWait(OwnerWait::Report, aReport.mReplyTook);
+  ReportReply reply = HandleReport(aReport);
+  mLoad.RecordWork(OwnerWork::Reports, MonotonicNow() - begin);
   return reply;
 }
 
-ReportReply CellOwner::TakeReport(const ReportRequest& aReport)
+ReportReply CellOwner::HandleReport(const ReportRequest& aReport)
 {
   ++mFigures.mReports;
   ReportReply reply;
   reply.mOwner = true;
   reply.mGeneration = mTerm.OwnGeneration();
-  Desk& desk = DeskOf(aReport.mAgent, aReport.mEndpoint);
-  desk.mHeardAt = MonotonicNow();
-  desk.mWorkerGone = aReport.mState.mInfo.mGone;
-  reply.mAttached = mLogic.TakeReport(aReport, Clock());
+  AgentLink& link = AgentLinkOf(aReport.mAgent, aReport.mEndpoint);
+  link.mLastContactAt = MonotonicNow();
+  link.mWorkerLeft = aReport.mState.mInfo.mGone;
+  reply.mAttached = mLogic.HandleReport(aReport, Clock());
   if (!reply.mAttached) {
-    const bool overtaken = MonotonicNow() - desk.mAttachedAt < kReportTime;
+    const bool overtaken = MonotonicNow() - link.mAttachedAt < kReportTime;
     if (Attached(aReport.mAgent) && !overtaken) {
       Detach(aReport.mAgent); // It restarted and knows of no session.
     }
-    desk.mPoke.Now();
+    link.mPoke.Now();
     return reply;
   }
-  reply.mSendWhole = mLogic.SendsWhole(aReport.mAgent);
+  reply.mSendFullState = mLogic.NeedsFullState(aReport.mAgent);
   const Instant now = MonotonicNow();
   reply.mGrant = mTerm.GrantAt(now);
-  mLogic.NoteGrant(aReport.mAgent, now + reply.mGrant);
+  mLogic.OnGrant(aReport.mAgent, now + reply.mGrant);
   reply.mAcknowledged = mLogic.Acknowledged(aReport.mAgent);
-  if (now - desk.mPressuresAt >= kPressureInterval) {
-    desk.mPressuresAt = now;
-    reply.mPressures = mLogic.PressuresOn(aReport.mAgent);
+  if (now - link.mWeightsSentAt >= kWeightsInterval) {
+    link.mWeightsSentAt = now;
+    reply.mPressures = mLogic.InterferenceWeightsOn(aReport.mAgent);
   }
   // Most reports bring nothing that a round of placing could answer.
-  if (mLogic.PlacingChanged()) {
+  if (mLogic.NeedsPlacement()) {
     mSchedulePoke.Now();
   }
-  if (mLogic.HasUnrecorded()) {
+  if (mLogic.HasUnsavedJobs()) {
     mRecordPoke.Now();
   }
   if (mLogic.HasOrders(aReport.mAgent)) {
-    desk.mPoke.Now();
+    link.mPoke.Now();
   }
   return reply;
 }
 
-CellOwner::Desk& CellOwner::DeskOf(const AgentId& aAgent,
-                                   const Endpoint& aEndpoint)
+CellOwner::AgentLink& CellOwner::AgentLinkOf(const AgentId& aAgent,
+                                             const Endpoint& aEndpoint)
 {
-  auto& desk = mDesks[aAgent];
-  if (!desk) {
-    desk = std::make_unique<Desk>();
-    desk->mHeardAt = MonotonicNow();
-    mParts.mRuntime.Spawn([self = shared_from_this(), aAgent, &desk = *desk] {
-      self->RunDesk(aAgent, desk);
+  auto& link = mAgentLinks[aAgent];
+  if (!link) {
+    link = std::make_unique<AgentLink>();
+    link->mLastContactAt = MonotonicNow();
+    mParts.mRuntime.Spawn([self = shared_from_this(), aAgent, &link = *link] {
+      self->RunAgentLink(aAgent, link);
     });
   }
-  if (desk->mEndpoint != aEndpoint) {
-    desk->mRecorded = false;
-    desk->mEndpoint = aEndpoint;
+  if (link->mEndpoint != aEndpoint) {
+    link->mRecorded = false;
+    link->mEndpoint = aEndpoint;
   }
-  return *desk;
+  return *link;
 }
 
 bool CellOwner::Attached(const AgentId& aAgent) const
@@ -117,85 +117,86 @@
   mSchedulePoke.Now();
 }
 
-void CellOwner::RunDesk(const AgentId& aAgent, Desk& aDesk)
+void CellOwner::RunAgentLink(const AgentId& aAgent, AgentLink& aLink)
 {
   while (!mEnded) {
-    if (MonotonicNow() - aDesk.mHeardAt > kForgetAfter) {
-      ForgetAgent(aAgent, aDesk);
+    if (MonotonicNow() - aLink.mLastContactAt > kForgetAfter) {
+      ForgetAgent(aAgent, aLink);
       return;
     }
     const Duration pause =
-      Attached(aAgent) ? OrderRound(aAgent, aDesk) : AttachRound(aAgent, aDesk);
+      Attached(aAgent) ? OrderRound(aAgent, aLink) : AttachRound(aAgent, aLink);
     if (!mEnded && pause > Duration::zero()) {
-      aDesk.mPoke.Wait(pause);
+      aLink.mPoke.Wait(pause);
     }
   }
 }
 
 /// An agent may run tasks only after the store names it, so that the next owner
 /// knows whom to ask.
-bool CellOwner::RecordAgent(const AgentId& aAgent, Desk& aDesk)
+bool CellOwner::SaveAgentRecord(const AgentId& aAgent, AgentLink& aLink)
 {
-  if (aDesk.mRecorded) {
+  if (aLink.mRecorded) {
     return true;
   }
-  const Endpoint endpoint = aDesk.mEndpoint;
+  const Endpoint endpoint = aLink.mEndpoint;
   StoreTransaction transaction;
   transaction.mCompares.push_back(CellUnchanged());
   transaction.mWrites.push_back(
     { AgentKey(aAgent), ToJsonText(AgentContact{ endpoint }) });
   const auto result = mParts.mStore.Commit(transaction);
-  aDesk.mRecorded =
-    result.ok() && result->mApplied && endpoint == aDesk.mEndpoint;
-  if (aDesk.mRecorded) {
-    aDesk.mRecordRevision = result->mRevision;
+  aLink.mRecorded =
+    result.ok() && result->mApplied && endpoint == aLink.mEndpoint;
+  if (aLink.mRecorded) {
+    aLink.mRecordRevision = result->mRevision;
   }
-  return aDesk.mRecorded;
+  return aLink.mRecorded;
 }
 
 /// The next owner waits for every agent that has a record, even for one that
 /// has left.
-void CellOwner::RemoveRecord(const AgentId& aAgent, Desk& aDesk)
+void CellOwner::RemoveAgentRecord(const AgentId& aAgent, AgentLink& aLink)
 {
-  if (!std::exchange(aDesk.mRecorded, false)) {
+  if (!std::exchange(aLink.mRecorded, false)) {
     return;
   }
   StoreTransaction transaction;
   transaction.mCompares.push_back(CellUnchanged());
-  transaction.mCompares.push_back({ AgentKey(aAgent), aDesk.mRecordRevision });
+  transaction.mCompares.push_back({ AgentKey(aAgent), aLink.mRecordRevision });
   transaction.mWrites.push_back({ AgentKey(aAgent), std::nullopt });
   const auto result = mParts.mStore.Commit(transaction);
   LogChange("agent-record-removed",
             { { "agent", aAgent },
-              { "revision", aDesk.mRecordRevision },
+              { "revision", aLink.mRecordRevision },
               { "outcome",
                 !result.ok()       ? result.status().ToString()
                 : result->mApplied ? "ok"
                                    : "changed" } });
 }
 
-void CellOwner::ForgetAgent(const AgentId& aAgent, Desk& aDesk)
+void CellOwner::ForgetAgent(const AgentId& aAgent, AgentLink& aLink)
 {
   LogChange("agent-forgotten", { { "agent", aAgent } });
-  RemoveRecord(aAgent, aDesk);
-  mDesks.erase(aAgent);
+  RemoveAgentRecord(aAgent, aLink);
+  mAgentLinks.erase(aAgent);
 }
 
-Duration CellOwner::AttachRound(const AgentId& aAgent, Desk& aDesk)
+Duration CellOwner::AttachRound(const AgentId& aAgent, AgentLink& aLink)
 {
   if (mLogic.RunsNothing(aAgent)) {
-    RemoveRecord(aAgent, aDesk);
-    if (aDesk.mWorkerGone || MonotonicNow() - aDesk.mHeardAt > kSilentAfter) {
+    RemoveAgentRecord(aAgent, aLink);
+    if (aLink.mWorkerLeft ||
+        MonotonicNow() - aLink.mLastContactAt > kSilentAfter) {
       return kOrderWait; // Until its agent reports a worker.
     }
   }
-  if (!RecordAgent(aAgent, aDesk)) {
+  if (!SaveAgentRecord(aAgent, aLink)) {
     return kAttachRetry;
   }
   const Session session = NextSession();
   const auto reply = net::CallTyped<AttachReply>(
     mParts.mRpc,
-    aDesk.mEndpoint,
+    aLink.mEndpoint,
     kAttachMethod,
     AttachRequest{ mTerm.OwnGeneration(), session, mParts.mSelf },
     kAttachTimeout);
@@ -212,33 +213,33 @@
                { { "agent", aAgent }, { "generation", reply->mGeneration } });
     return kAttachRetry;
   }
-  aDesk.mHeardAt = MonotonicNow();
-  aDesk.mAttachedAt = aDesk.mHeardAt;
-  aDesk.mPressuresAt = {}; // It may have started anew.
-  mLogic.AttachWorker(aAgent, aDesk.mEndpoint, session, reply->mState, Clock());
+  aLink.mLastContactAt = MonotonicNow();
+  aLink.mAttachedAt = aLink.mLastContactAt;
+  aLink.mWeightsSentAt = {}; // It may have started anew.
+  mLogic.AttachWorker(aAgent, aLink.mEndpoint, session, reply->mState, Clock());
   mSchedulePoke.Now();
   return Duration::zero();
 }
 
-Duration CellOwner::OrderRound(const AgentId& aAgent, Desk& aDesk)
+Duration CellOwner::OrderRound(const AgentId& aAgent, AgentLink& aLink)
 {
-  if (MonotonicNow() - aDesk.mHeardAt > kSilentAfter) {
+  if (MonotonicNow() - aLink.mLastContactAt > kSilentAfter) {
     Detach(aAgent);
     return Duration::zero();
   }
   const OrderRequest orders = mLogic.TakeOrders(aAgent);
-  if (mLogic.HasUnrecorded()) {
+  if (mLogic.HasUnsavedJobs()) {
     mRecordPoke.Now();
   }
   if (orders.mStarts.empty() && orders.mStops.empty() &&
-      orders.mTraits.empty()) {
+      orders.mMetadata.empty()) {
     return kOrderWait;
   }
   const Instant oldest = mLogic.OrderedAt(orders).value_or(MonotonicNow());
   ++mFigures.mOrders;
   mFigures.mStarts += orders.mStarts.size();
   const auto reply = net::CallTyped<OrderReply>(
-    mParts.mRpc, aDesk.mEndpoint, kOrderMethod, orders, kOrderTimeout);
+    mParts.mRpc, aLink.mEndpoint, kOrderMethod, orders, kOrderTimeout);
   if (mEnded) {
     return Duration::zero();
   }
@@ -257,8 +258,8 @@
     }
     return Duration::zero();
   }
-  mLoad.NoteWait(OwnerWait::Order, MonotonicNow() - oldest);
-  mLogic.TakeStartResults(aAgent, orders.mSession, reply->mStarts, Clock());
+  mLoad.RecordWait(OwnerWait::Order, MonotonicNow() - oldest);
+  mLogic.OnStartResults(aAgent, orders.mSession, reply->mStarts, Clock());
   mSchedulePoke.Now();
   return Duration::zero();
 }
--- a/apps/scheduler/CellOwnerBeliefs.cpp
+++ b/apps/scheduler/CellOwnerLearned.cpp
@@ -17,25 +17,25 @@
 
 /// Between two records and log lines of what was learned. Pairs are learned
 /// over seconds; a write each five seconds is one in a hundred of an owner's.
-constexpr Duration kBeliefInterval = std::chrono::seconds(5);
+constexpr Duration kLearnedSaveInterval = std::chrono::seconds(5);
 /// Least weight for each core that a log line names.
-constexpr double kNotablePressure = 0.03;
+constexpr double kMinLoggedWeight = 0.03;
 constexpr double kPerThousand = 1000.0;
 constexpr double kPerCent = 100.0;
 /// Of a record: at 80 bytes each a tenth of the store's longest value.
-constexpr std::size_t kMostPairs = 1200;
+constexpr std::size_t kMaxPairs = 1200;
 
-void LogBeliefs(const Interference& aLearned)
+void LogLearned(const InterferenceEstimator& aLearned)
 {
   std::string calm;
-  for (const CalmLatency& latency : aLearned.Calm()) {
+  for (const BaselineLatency& latency : aLearned.Baselines()) {
     calm += latency.mServing + ":" +
             std::to_string(std::lround(kPerCent * latency.mShare)) + ",";
   }
   std::string pairs;
-  for (const Pressure& pressure : aLearned.Known()) {
-    if (pressure.mPerCore >= kNotablePressure) {
-      pairs += pressure.mLeftover + ">" + pressure.mServing + ":" +
+  for (const InterferenceWeight& pressure : aLearned.Known()) {
+    if (pressure.mPerCore >= kMinLoggedWeight) {
+      pairs += pressure.mBestEffort + ">" + pressure.mServing + ":" +
                std::to_string(std::lround(kPerThousand * pressure.mPerCore)) +
                ",";
     }
@@ -47,20 +47,20 @@
 
 } // namespace
 
-void CellOwner::RunBeliefs()
+void CellOwner::RunLearnedSaves()
 {
-  LoadBeliefs();
+  LoadLearned();
   while (!mEnded) {
-    boost::this_fiber::sleep_for(kBeliefInterval);
+    boost::this_fiber::sleep_for(kLearnedSaveInterval);
     if (!mEnded) {
-      LogBeliefs(mLogic.Learned());
-      KeepBeliefs();
+      LogLearned(mLogic.Learned());
+      SaveLearned();
     }
   }
 }
 
 /// What the owner before learned. Without it placing begins with averages.
-void CellOwner::LoadBeliefs()
+void CellOwner::LoadLearned()
 {
   const auto entry = mParts.mStore.Read(kLearnedKey);
   if (mEnded || absl::IsNotFound(entry.status())) {
@@ -82,9 +82,9 @@
   }
 }
 
-void CellOwner::KeepBeliefs()
+void CellOwner::SaveLearned()
 {
-  const LearnedInterference learned = mLogic.Learned().WellKnown(kMostPairs);
+  const LearnedInterference learned = mLogic.Learned().WellKnown(kMaxPairs);
   if (learned.mPairs.empty()) {
     return;
   }
--- a/apps/scheduler/CellOwnerRecords.cpp
+++ b/apps/scheduler/CellOwnerRecords.cpp
@@ -32,7 +32,7 @@
 void CellOwner::RunRecords()
 {
   while (!mEnded) {
-    if (!mLogic.HasUnrecorded()) {
+    if (!mLogic.HasUnsavedJobs()) {
       mRecordPoke.Wait(std::chrono::seconds(1));
       continue;
     }
@@ -46,27 +46,26 @@
 bool CellOwner::RecordBatch()
 {
   const Instant begin = MonotonicNow();
-  const std::vector<UnrecordedProgress> batch =
-    mLogic.Unrecorded(kJobsPerRecord);
+  const std::vector<UnsavedProgress> batch = mLogic.UnsavedJobs(kJobsPerRecord);
   if (batch.empty()) {
     return true;
   }
   StoreTransaction transaction;
   transaction.mCompares.push_back(CellUnchanged());
-  for (const UnrecordedProgress& job : batch) {
+  for (const UnsavedProgress& job : batch) {
     const std::string key = ProgressKey(job.mJob);
     transaction.mCompares.push_back({ key, job.mRevision });
     transaction.mWrites.push_back({ key, ToJsonText(job.mProgress) });
     // From now on until the answer the store may show what we do not.
-    mLogic.NoteRecordInDoubt(job.mJob);
+    mLogic.OnProgressSaveInDoubt(job.mJob);
   }
   const Instant sentAt = MonotonicNow();
-  mLoad.NoteWork(OwnerWork::Records, sentAt - begin);
+  mLoad.RecordWork(OwnerWork::Records, sentAt - begin);
   const auto result = mParts.mStore.Commit(transaction);
   if (mEnded) {
     return false;
   }
-  mLoad.NoteWait(OwnerWait::Record, MonotonicNow() - batch.front().mSince);
+  mLoad.RecordWait(OwnerWait::Record, MonotonicNow() - batch.front().mSince);
   if (!result.ok()) {
     LogWarning("record-failed",
                { { "jobs", batch.size() },
@@ -75,13 +74,13 @@
     return false;
   }
   if (!result->mApplied) {
-    TakeConflict(batch, *result);
+    OnConflict(batch, *result);
     return false;
   }
   mTerm.Confirm(sentAt);
   ++mFigures.mRecords;
-  for (const UnrecordedProgress& job : batch) {
-    mLogic.NoteRecorded(job.mJob, job.mVersion, result->mRevision);
+  for (const UnsavedProgress& job : batch) {
+    mLogic.OnProgressSaved(job.mJob, job.mVersion, result->mRevision);
   }
   mSchedulePoke.Now();
   return true;
@@ -89,8 +88,8 @@
 
 /// A condition failed: either another owner has the cell, or an earlier write
 /// of ours took effect although its reply was lost.
-void CellOwner::TakeConflict(const std::vector<UnrecordedProgress>& aBatch,
-                             const StoreTransactionResult& aResult)
+void CellOwner::OnConflict(const std::vector<UnsavedProgress>& aBatch,
+                           const StoreTransactionResult& aResult)
 {
   std::map<std::string, Revision> current;
   for (const StoreEntry& entry : aResult.mCurrent) {
@@ -102,7 +101,7 @@
     mParts.mOnSuperseded();
     return;
   }
-  for (const UnrecordedProgress& job : aBatch) {
+  for (const UnsavedProgress& job : aBatch) {
     const auto found = current.find(ProgressKey(job.mJob));
     const Revision revision = found == current.end() ? 0 : found->second;
     if (revision != job.mRevision) {
@@ -110,7 +109,7 @@
                 { { "job", job.mJob },
                   { "expected", job.mRevision },
                   { "found", revision } });
-      mLogic.NoteProgressRevision(job.mJob, revision);
+      mLogic.SetProgressRevision(job.mJob, revision);
     }
   }
 }
--- a/apps/scheduler/ConfigurationWatch.cpp
+++ b/apps/scheduler/ConfigurationWatch.cpp
@@ -22,21 +22,21 @@
 
 absl::StatusOr<StoreEntry> ConfigurationWatch::Read()
 {
-  const std::uint64_t doubts = mDoubts;
+  const std::uint64_t doubts = mStaleMarks;
   auto entry = mStore.Read(platform::kConfigurationKey);
   const bool heard = entry.ok() || absl::IsNotFound(entry.status());
   NoteHeard(heard, heard ? "" : entry.status().ToString());
   if (entry.ok()) {
-    Take(entry->mValue);
+    Apply(entry->mValue);
     // A doubt that came while the store was asked stays.
-    mDoubted = mDoubted && doubts != mDoubts;
+    mStale = mStale && doubts != mStaleMarks;
   }
   return entry;
 }
 
 Duration ConfigurationWatch::Confirm()
 {
-  const bool doubted = mDoubted && mNewest != nullptr;
+  const bool doubted = mStale && mNewest != nullptr;
   return !doubted || Read().ok() ? Duration::zero() : kRetry;
 }
 
@@ -53,7 +53,7 @@
       NoteHeard(true);
       for (const StoreEvent& event : aEvents) {
         if (event.mValue && event.mKey == platform::kConfigurationKey) {
-          Take(*event.mValue);
+          Apply(*event.mValue);
         }
       }
       return true;
@@ -62,7 +62,7 @@
   return ended.ok() ? Duration(1) : kRetry;
 }
 
-void ConfigurationWatch::Take(std::string_view aText)
+void ConfigurationWatch::Apply(std::string_view aText)
 {
   auto parsed = platform::ParseConfiguration(aText);
   if (!parsed.ok()) {
@@ -84,9 +84,9 @@
 void ConfigurationWatch::NoteHeard(bool aHeard, std::string_view aError)
 {
   if (aHeard) {
-    mHeardAt = MonotonicNow();
+    mLastContactAt = MonotonicNow();
   }
-  if (aHeard == std::exchange(mHears, aHeard)) {
+  if (aHeard == std::exchange(mReachable, aHeard)) {
     return;
   }
   if (aHeard) {
--- a/apps/scheduler/ConfigurationWatch.h
+++ b/apps/scheduler/ConfigurationWatch.h
@@ -28,10 +28,10 @@
 
   /// The machine was suspended: what is known may be older than what is in
   /// force, and the connection of the watch may be dead, until Confirm().
-  void Doubt()
+  void MarkStale()
   {
-    mDoubted = true;
-    ++mDoubts;
+    mStale = true;
+    ++mStaleMarks;
   }
   /// Reads what is in force, where that is in doubt; the first one is read by
   /// Round(). Returns the pause until the next try; zero when there is none.
@@ -41,7 +41,7 @@
   /// read, and while it is in doubt.
   std::shared_ptr<const cell::CellConfiguration> Current() const
   {
-    return mDoubted ? nullptr : mNewest;
+    return mStale ? nullptr : mNewest;
   }
   /// The newest that was read, also in doubt; null before the first.
   std::shared_ptr<const cell::CellConfiguration> Newest() const
@@ -50,20 +50,20 @@
   }
 
   /// When the store was last heard of.
-  Instant HeardAt() const { return mHeardAt; }
+  Instant LastContactAt() const { return mLastContactAt; }
 
 private:
   absl::StatusOr<StoreEntry> Read();
-  void Take(std::string_view aText);
+  void Apply(std::string_view aText);
   void NoteHeard(bool aHeard, std::string_view aError = {});
 
   Store& mStore;
   OnChange mOnChange;
   std::shared_ptr<const cell::CellConfiguration> mNewest;
-  bool mDoubted = true;
-  std::uint64_t mDoubts = 0; ///< So far.
-  Instant mHeardAt{};
-  bool mHears = false;
+  bool mStale = true;
+  std::uint64_t mStaleMarks = 0; ///< So far.
+  Instant mLastContactAt{};
+  bool mReachable = false;
 };
 
 } // namespace foxtailbarrow::scheduler
--- a/apps/scheduler/Election.cpp
+++ b/apps/scheduler/Election.cpp
@@ -54,12 +54,12 @@
     return kKeepInterval;
   }
   if (mOwner) {
-    return Keep();
+    return RenewTerm();
   }
   return Follow();
 }
 
-void Election::SeeOwner(const OwnerRecord& aRecord)
+void Election::OnOwnerSeen(const OwnerRecord& aRecord)
 {
   mSeenAt = MonotonicNow();
   if (aRecord.mGeneration > mGeneration) {
@@ -82,17 +82,18 @@
   }
   if (!entry.ok()) {
     const bool vacant = absl::IsNotFound(entry.status());
-    return vacant && mCandidacy.MayTake(MonotonicNow()) ? TryTake(0) : kRetry;
+    return vacant && mCandidacy.MayTake(MonotonicNow()) ? TryAcquire(0)
+                                                        : kRetry;
   }
-  mCandidacy.SeeOwner();
+  mCandidacy.OnOwnerSeen();
   if (const auto record = FromJsonText<OwnerRecord>(entry->mValue);
       record.ok()) {
-    SeeOwner(*record);
+    OnOwnerSeen(*record);
     // Whoever listened here before is dead, and so is its term: there is no
     // need to wait until the key lapses.
     if (record->mScheduler == mSettings.mId &&
         record->mEndpoint == mSettings.mAdvertised) {
-      return TryTake(entry->mModRevision);
+      return TryAcquire(entry->mModRevision);
     }
   } else {
     LogError("owner-record-unreadable",
@@ -119,7 +120,7 @@
     OwnerRecord{ mSettings.mId, mSettings.mAdvertised, aGeneration, aToken });
 }
 
-Duration Election::TryTake(Revision aOwnerRevision)
+Duration Election::TryAcquire(Revision aOwnerRevision)
 {
   const auto cell = mStore.Read(kCellKey);
   if (!cell.ok() && !absl::IsNotFound(cell.status())) {
@@ -156,7 +157,7 @@
     return Duration(1); // Another scheduler was faster.
   }
   OwnerTerm term(record.mGeneration, **won, sentAt, mCellSettings);
-  term.KeepKey(leaseSentAt, kOwnerTtl);
+  term.ExtendKey(leaseSentAt, kOwnerTtl);
   Begin(record, term, *lease);
   return kKeepInterval;
 }
@@ -221,10 +222,10 @@
   }
 }
 
-Duration Election::Keep()
+Duration Election::RenewTerm()
 {
   const std::shared_ptr<CellOwner> owner = mOwner;
-  KeepLease();
+  RenewLease();
   const Instant sentAt = MonotonicNow();
   const auto cell = mStore.Read(kCellKey);
   if (owner != mOwner) {
@@ -243,13 +244,13 @@
   return kKeepInterval;
 }
 
-void Election::KeepLease()
+void Election::RenewLease()
 {
   const std::shared_ptr<CellOwner> owner = mOwner;
   const Instant sentAt = MonotonicNow();
   const auto ttl = mStore.KeepAlive(mLease);
   if (ttl.ok()) {
-    owner->KeepKey(sentAt, kOwnerTtl);
+    owner->ExtendKey(sentAt, kOwnerTtl);
   }
   if (!ttl.ok() && absl::IsNotFound(ttl.status()) && mOwner) {
     RestoreOwnerKey();
@@ -276,7 +277,7 @@
   const auto result = mStore.Commit(transaction);
   if (result.ok() && result->mApplied) {
     mLease = *lease;
-    owner->KeepKey(sentAt, kOwnerTtl);
+    owner->ExtendKey(sentAt, kOwnerTtl);
     LogChange("owner-key-restored", { { "generation", mGeneration } });
   }
 }
--- a/apps/scheduler/Election.h
+++ b/apps/scheduler/Election.h
@@ -62,8 +62,8 @@
     Revision mCell = 0;
   };
 
-  Duration TryTake(Revision aOwnerRevision);
-  Duration Keep();
+  Duration TryAcquire(Revision aOwnerRevision);
+  Duration RenewTerm();
   absl::StatusOr<std::optional<Revision>> Propose(
     const cell::CellRecord& aRecord,
     const Replaced& aReplaced,
@@ -73,11 +73,11 @@
   void Begin(const cell::CellRecord& aRecord,
              const cell::OwnerTerm& aTerm,
              StoreLease aLease);
-  void KeepLease();
+  void RenewLease();
   void RestoreOwnerKey();
   std::string OwnerText(cell::Generation aGeneration,
                         std::int64_t aToken) const;
-  void SeeOwner(const cell::OwnerRecord& aRecord);
+  void OnOwnerSeen(const cell::OwnerRecord& aRecord);
 
   const SchedulerSettings& mSettings;
   cell::CellSettings mCellSettings;
--- a/apps/scheduler/JobRefusals.cpp
+++ b/apps/scheduler/JobRefusals.cpp
@@ -7,9 +7,9 @@
 using cell::JobRefused;
 using cell::RefusalCause;
 
-JobRefused StoreAway(const absl::Status& aStatus)
+JobRefused StoreUnavailable(const absl::Status& aStatus)
 {
-  return { RefusalCause::StoreAway,
+  return { RefusalCause::StoreUnavailable,
            Verdict::NotRun,
            std::string(aStatus.message()) };
 }
--- a/apps/scheduler/JobRefusals.h
+++ b/apps/scheduler/JobRefusals.h
@@ -7,7 +7,7 @@
 namespace foxtailbarrow::scheduler {
 
 /// Nothing was done and nothing will be: the store could not be asked.
-cell::JobRefused StoreAway(const absl::Status& aStatus);
+cell::JobRefused StoreUnavailable(const absl::Status& aStatus);
 
 /// A write was sent, and its answer is lost.
 cell::JobRefused FateUnknown(const absl::Status& aStatus);
--- a/apps/scheduler/JobDesk.cpp
+++ b/apps/scheduler/JobRequestHandler.cpp
@@ -1,4 +1,4 @@
-#include "apps/scheduler/JobDesk.h"
+#include "apps/scheduler/JobRequestHandler.h"
 
 #include <chrono>
 #include <utility>
@@ -6,7 +6,7 @@
 #include <boost/fiber/operations.hpp>
 
 #include "apps/scheduler/JobRefusals.h"
-#include "apps/scheduler/WriteTries.h"
+#include "apps/scheduler/WriteRetries.h"
 #include "src/core/cell/CellRecords.h"
 #include "src/core/cell/JobForward.h"
 #include "src/core/message/Codec.h"
@@ -42,11 +42,11 @@
 
 } // namespace
 
-JobDesk::JobDesk(net::FiberRuntime& aRuntime,
-                 PulsedStore& aStore,
-                 net::RpcClient& aRpc,
-                 const Election& aElection,
-                 std::vector<Endpoint> aPeers)
+JobRequestHandler::JobRequestHandler(net::FiberRuntime& aRuntime,
+                                     PulsedStore& aStore,
+                                     net::RpcClient& aRpc,
+                                     const Election& aElection,
+                                     std::vector<Endpoint> aPeers)
   : mRuntime(aRuntime)
   , mStore(aStore)
   , mRpc(aRpc)
@@ -55,11 +55,11 @@
 {
 }
 
-JobAnswer JobDesk::Answer(const JobRequest& aRequest)
+JobAnswer JobRequestHandler::Answer(const JobRequest& aRequest)
 {
   const Instant deadline = MonotonicNow() + aRequest.mTimeout - kAnswerTime;
   JobAnswer answer = AnswerHere(aRequest);
-  if (!WorthForwarding(answer)) {
+  if (!ShouldForward(answer)) {
     return answer;
   }
   // A read always asks the others: an owner that was replaced would tell what
@@ -70,14 +70,14 @@
 }
 
 /// Asks one scheduler after the other until one does more than refuse.
-JobAnswer JobDesk::Forward(const JobRequest& aRequest,
-                           JobAnswer aRefusal,
-                           Instant aDeadline)
+JobAnswer JobRequestHandler::Forward(const JobRequest& aRequest,
+                                     JobAnswer aRefusal,
+                                     Instant aDeadline)
 {
   const bool changes = ChangesJob(aRequest);
   OwnerSurvey survey(mPeers.size());
   for (const Endpoint& peer : mPeers) {
-    if (!mReach.MayAsk(peer, MonotonicNow())) {
+    if (!mAvailability.MayAsk(peer, MonotonicNow())) {
       continue;
     }
     const Duration left =
@@ -88,65 +88,66 @@
     JobRequest request = aRequest;
     request.mTimeout = left;
     const Instant askedAt = MonotonicNow();
-    mReach.NoteAsked(peer, askedAt);
+    mAvailability.OnAsked(peer, askedAt);
     const auto reply = net::CallTyped<ForwardedReply>(
       mRpc, peer, kForwardMethod, ToForwarded(request), left);
     if (!reply.ok()) {
-      NoteUnanswered(peer, askedAt, reply.status());
+      OnUnanswered(peer, askedAt, reply.status());
       if (changes && VerdictOf(reply.status()) != Verdict::NotRun) {
         return FateUnknown(reply.status());
       }
       continue;
     }
-    mReach.NoteAnswered(peer, askedAt);
+    mAvailability.OnAnswered(peer, askedAt);
     JobAnswer answer = FromForwarded(*reply);
-    if (!WorthForwarding(answer)) {
+    if (!ShouldForward(answer)) {
       return answer;
     }
-    survey.NoteAnswer(reply->mGeneration);
+    survey.OnAnswer(reply->mGeneration);
   }
-  mOutage.NotePeersRefused(MonotonicNow());
-  return LastResort(aRequest, std::move(aRefusal), survey);
+  mOutage.OnPeersRefused(MonotonicNow());
+  return AnswerFromMemory(aRequest, std::move(aRefusal), survey);
 }
 
-void JobDesk::NoteUnanswered(const Endpoint& aPeer,
-                             Instant aAskedAt,
-                             const absl::Status& aStatus)
+void JobRequestHandler::OnUnanswered(const Endpoint& aPeer,
+                                     Instant aAskedAt,
+                                     const absl::Status& aStatus)
 {
   if (!absl::IsDeadlineExceeded(aStatus)) {
-    mReach.NoteRefused(aPeer, aAskedAt);
+    mAvailability.OnRefused(aPeer, aAskedAt);
     return;
   }
   LogChange("scheduler-left-out",
             { { "scheduler", aPeer },
-              { "ms", WholeMilliseconds(PeerReach::kLeftOutFor) },
+              { "ms", WholeMilliseconds(PeerAvailability::kSkippedFor) },
               { "error", aStatus.ToString() } });
-  mReach.NoteSilent(aPeer, aAskedAt, MonotonicNow());
+  mAvailability.OnSilent(aPeer, aAskedAt, MonotonicNow());
 }
 
-JobAnswer JobDesk::AnswerHere(const JobRequest& aRequest)
+JobAnswer JobRequestHandler::AnswerHere(const JobRequest& aRequest)
 {
   const Instant deadline = MonotonicNow() + aRequest.mTimeout - kAnswerTime;
   return std::visit([&](const auto& aBody) { return Handle(aBody, deadline); },
                     aRequest.mBody);
 }
 
-Duration JobDesk::RetryAfter()
+Duration JobRequestHandler::RetryAfter()
 {
   std::uniform_real_distribution<double> any(0.0, 1.0);
-  return ReturnAfter(mStore.SilentFor(), any(mRandom));
+  return RetryDelay(mStore.SilentFor(), any(mRandom));
 }
 
-JobRefused JobDesk::RefusalOf(const JobId& aJob, JobRefused aRefusal)
+JobRefused JobRequestHandler::RefusalOf(const JobId& aJob, JobRefused aRefusal)
 {
   if (aRefusal.mVerdict != Verdict::NotRun) {
-    mOutage.NoteInDoubt(aJob, MonotonicNow());
+    mOutage.MarkInDoubt(aJob, MonotonicNow());
   }
   aRefusal.mRetryAfter = RetryAfter();
   return aRefusal;
 }
 
-std::optional<JobRefused> JobDesk::RefuseWhileSilent(const JobId& aJob)
+std::optional<JobRefused> JobRequestHandler::RefuseWhileSilent(
+  const JobId& aJob)
 {
   if (mStore.Answers()) {
     return std::nullopt;
@@ -155,12 +156,12 @@
     absl::UnavailableError("the store does not answer");
   JobRefused refusal = mOutage.InDoubt(aJob, MonotonicNow())
                          ? FateUnknown(silent)
-                         : StoreAway(silent);
+                         : StoreUnavailable(silent);
   refusal.mRetryAfter = RetryAfter();
   return refusal;
 }
 
-absl::StatusOr<StoreTransactionResult> JobDesk::Commit(
+absl::StatusOr<StoreTransactionResult> JobRequestHandler::Commit(
   StoreTransaction aTransaction,
   std::function<void()> aOnApplied)
 {
@@ -186,7 +187,7 @@
   return *std::move(write->mResult);
 }
 
-JobAnswer JobDesk::Handle(const SubmitJob& aSubmit, Instant aDeadline)
+JobAnswer JobRequestHandler::Handle(const SubmitJob& aSubmit, Instant aDeadline)
 {
   if (aSubmit.mGraph.mId.Empty() || aSubmit.mGraph.mSteps.empty()) {
     return JobRefused{ RefusalCause::BadRequest,
@@ -202,28 +203,28 @@
   StoreTransaction transaction;
   transaction.mCompares.push_back({ key, 0 });
   transaction.mWrites.push_back({ key, ToJsonText(job) });
-  WriteTries tries(aDeadline);
+  WriteRetries tries(aDeadline);
   for (;;) {
-    const auto result = Commit(transaction, [this, job] { TellOwner(job); });
+    const auto result = Commit(transaction, [this, job] { NotifyOwner(job); });
     if (result.ok()) {
       // A record that is there already is the same job, asked for again.
-      mOutage.NoteSettled(id);
+      mOutage.OnSettled(id);
       return JobAccepted{};
     }
-    if (!mStore.Answers() || !tries.Again(result.status())) {
-      tries.Note(result.status());
+    if (!mStore.Answers() || !tries.WaitToRetry(result.status())) {
+      tries.OnFailure(result.status());
       return RefusalOf(id, tries.Refusal());
     }
   }
 }
 
-JobAnswer JobDesk::Handle(const CancelJob& aCancel, Instant aDeadline)
+JobAnswer JobRequestHandler::Handle(const CancelJob& aCancel, Instant aDeadline)
 {
   if (auto refusal = RefuseWhileSilent(aCancel.mJob)) {
     return *std::move(refusal);
   }
   const std::string key = JobKey(aCancel.mJob);
-  WriteTries tries(aDeadline);
+  WriteRetries tries(aDeadline);
   for (;;) {
     const auto entry = mStore.Read(key);
     if (absl::IsNotFound(entry.status())) {
@@ -243,7 +244,7 @@
       transaction.mCompares.push_back({ key, entry->mModRevision });
       transaction.mWrites.push_back({ key, ToJsonText(*job) });
       const auto result =
-        Commit(transaction, [this, changed = *job] { TellOwner(changed); });
+        Commit(transaction, [this, changed = *job] { NotifyOwner(changed); });
       if (result.ok() && result->mApplied) {
         return JobCancelled{};
       }
@@ -254,32 +255,32 @@
     } else {
       failed = WithVerdict(failed, Verdict::NotRun); // A read changes nothing.
     }
-    if (!mStore.Answers() || !tries.Again(failed)) {
-      tries.Note(failed);
+    if (!mStore.Answers() || !tries.WaitToRetry(failed)) {
+      tries.OnFailure(failed);
       return RefusalOf(aCancel.mJob, tries.Refusal());
     }
   }
 }
 
-JobAnswer JobDesk::Handle(const ReadJob& aRead, Instant)
+JobAnswer JobRequestHandler::Handle(const ReadJob& aRead, Instant)
 {
   if (const auto phase = AskOwner(aRead.mJob)) {
     return JobShown{ *phase };
   }
   // Where the store is silent, another scheduler is asked at once.
-  return mStore.Answers()
-           ? ReadFromStore(aRead.mJob)
-           : StoreAway(absl::UnavailableError("the store does not answer"));
+  return mStore.Answers() ? ReadFromStore(aRead.mJob)
+                          : StoreUnavailable(absl::UnavailableError(
+                              "the store does not answer"));
 }
 
-JobAnswer JobDesk::LastResort(const JobRequest& aRequest,
-                              JobAnswer aRefusal,
-                              const OwnerSurvey& aOthers)
+JobAnswer JobRequestHandler::AnswerFromMemory(const JobRequest& aRequest,
+                                              JobAnswer aRefusal,
+                                              const OwnerSurvey& aOthers)
 {
   const auto* read = std::get_if<ReadJob>(&aRequest.mBody);
   const auto owner = mElection.Owner();
   if (read != nullptr && owner != nullptr &&
-      aOthers.NobodyAfter(owner->Term().OwnGeneration())) {
+      aOthers.HasNoLaterOwner(owner->Term().OwnGeneration())) {
     if (const auto phase = owner->LastKnownPhase(read->mJob)) {
       return JobShown{ *phase };
     }
@@ -287,7 +288,7 @@
   return aRefusal;
 }
 
-std::optional<JobPhase> JobDesk::AskOwner(const JobId& aJob)
+std::optional<JobPhase> JobRequestHandler::AskOwner(const JobId& aJob)
 {
   if (const auto owner = mElection.Owner()) {
     return owner->PhaseNow(aJob);
@@ -305,30 +306,30 @@
 }
 
 /// Without the owner's word: the newest record.
-JobAnswer JobDesk::ReadFromStore(const JobId& aJob)
+JobAnswer JobRequestHandler::ReadFromStore(const JobId& aJob)
 {
   const auto entry = mStore.Read(JobKey(aJob));
   if (absl::IsNotFound(entry.status())) {
     return NoSuchJob{};
   }
   if (!entry.ok()) {
-    return StoreAway(entry.status());
+    return StoreUnavailable(entry.status());
   }
   const auto progress = mStore.Read(ProgressKey(aJob));
   if (absl::IsNotFound(progress.status())) {
-    return JobShown{ RecordedPhase(std::nullopt) };
+    return JobShown{ SavedPhase(std::nullopt) };
   }
   if (!progress.ok()) {
-    return StoreAway(progress.status());
+    return StoreUnavailable(progress.status());
   }
   const auto record = FromJsonText<StoredProgress>(progress->mValue);
   if (!record.ok()) {
-    return StoreAway(record.status());
+    return StoreUnavailable(record.status());
   }
-  return JobShown{ RecordedPhase(*record) };
+  return JobShown{ SavedPhase(*record) };
 }
 
-JobAnswer JobDesk::Handle(const CountWaitingJobs& aCount, Instant)
+JobAnswer JobRequestHandler::Handle(const CountWaitingJobs& aCount, Instant)
 {
   if (const auto owner = mElection.Owner(); owner && owner->Current()) {
     return WaitingCounted{ owner->Logic().WaitingJobs(aCount.mQueue) };
@@ -349,7 +350,7 @@
                      "the cell's owner is not known" };
 }
 
-void JobDesk::TellOwner(const StoredJob& aJob)
+void JobRequestHandler::NotifyOwner(const StoredJob& aJob)
 {
   if (const auto owner = mElection.Owner()) {
     owner->OnRecordChanged(aJob);
--- a/apps/scheduler/JobDesk.h
+++ b/apps/scheduler/JobRequestHandler.h
@@ -9,9 +9,9 @@
 #include "apps/scheduler/Election.h"
 #include "src/core/cell/CellConfiguration.h"
 #include "src/core/cell/JobRequest.h"
-#include "src/core/cell/OutageAnswers.h"
+#include "src/core/cell/OutagePolicy.h"
 #include "src/core/cell/OwnerSurvey.h"
-#include "src/core/cell/PeerReach.h"
+#include "src/core/cell/PeerAvailability.h"
 #include "src/net/FiberRuntime.h"
 #include "src/net/Rpc.h"
 #include "src/platform/store/PulsedStore.h"
@@ -21,14 +21,14 @@
 /// Answers callers' requests about jobs. An accepted job and an accepted
 /// cancellation are in the store before the answer; a refusal that says "not
 /// run" is given only when no write of the request may still take effect.
-class JobDesk
+class JobRequestHandler
 {
 public:
-  JobDesk(net::FiberRuntime& aRuntime,
-          PulsedStore& aStore,
-          net::RpcClient& aRpc,
-          const Election& aElection,
-          std::vector<Endpoint> aPeers);
+  JobRequestHandler(net::FiberRuntime& aRuntime,
+                    PulsedStore& aStore,
+                    net::RpcClient& aRpc,
+                    const Election& aElection,
+                    std::vector<Endpoint> aPeers);
 
   /// Answers here or, where the store does not serve this process, by another
   /// scheduler.
@@ -43,9 +43,9 @@
   cell::JobAnswer Handle(const cell::CountWaitingJobs& aCount,
                          Instant aDeadline);
 
-  void NoteUnanswered(const Endpoint& aPeer,
-                      Instant aAskedAt,
-                      const absl::Status& aStatus);
+  void OnUnanswered(const Endpoint& aPeer,
+                    Instant aAskedAt,
+                    const absl::Status& aStatus);
   cell::JobAnswer Forward(const cell::JobRequest& aRequest,
                           cell::JobAnswer aRefusal,
                           Instant aDeadline);
@@ -63,20 +63,20 @@
   Duration RetryAfter();
   /// For a read that nobody could answer: what this process knows as the owner
   /// of the cell, where all others answered and none knows of a later owner.
-  cell::JobAnswer LastResort(const cell::JobRequest& aRequest,
-                             cell::JobAnswer aRefusal,
-                             const cell::OwnerSurvey& aOthers);
+  cell::JobAnswer AnswerFromMemory(const cell::JobRequest& aRequest,
+                                   cell::JobAnswer aRefusal,
+                                   const cell::OwnerSurvey& aOthers);
   std::optional<cell::JobPhase> AskOwner(const JobId& aJob);
   cell::JobAnswer ReadFromStore(const JobId& aJob);
-  void TellOwner(const cell::StoredJob& aJob);
+  void NotifyOwner(const cell::StoredJob& aJob);
 
   net::FiberRuntime& mRuntime;
   PulsedStore& mStore;
   net::RpcClient& mRpc;
   const Election& mElection;
   std::vector<Endpoint> mPeers; ///< Other schedulers.
-  cell::OutageAnswers mOutage;
-  cell::PeerReach mReach;
+  cell::OutagePolicy mOutage;
+  cell::PeerAvailability mAvailability;
   std::mt19937_64 mRandom{ std::random_device{}() };
 };
 
--- a/apps/scheduler/Scheduler.cpp
+++ b/apps/scheduler/Scheduler.cpp
@@ -25,17 +25,17 @@
 constexpr Duration kDrainPoll = std::chrono::milliseconds(10);
 /// Between two answers of the store; a small read brings one where nothing else
 /// did. On a calm scheduler its two watches bring two a second.
-constexpr Duration kPulseInterval = std::chrono::milliseconds(300);
-constexpr Duration kPulseCheck = std::chrono::milliseconds(100);
+constexpr Duration kProbeInterval = std::chrono::milliseconds(300);
+constexpr Duration kProbeCheck = std::chrono::milliseconds(100);
 /// A fiber that has nothing to do until it is poked.
 constexpr Duration kUntilPoked = std::chrono::hours(1);
 /// An owner without policies would judge jobs by none: until they are read,
 /// this scheduler takes no part in the election.
 constexpr Duration kAwaitConfiguration = std::chrono::milliseconds(20);
 /// Leases are granted for so much less than workers accept.
-constexpr Duration kHoldReserve = std::chrono::milliseconds(400);
+constexpr Duration kLeaseReserve = std::chrono::milliseconds(400);
 
-const JobRefused kUnadvised{ RefusalCause::Unsupported,
+const JobRefused kNoAdvisor{ RefusalCause::Unsupported,
                              Verdict::NotRun,
                              "no service chooses the queue's workers" };
 
@@ -47,12 +47,12 @@
   return response;
 }
 
-CellSettings CellSettingsFor(Duration aMaxHold)
+CellSettings CellSettingsFor(Duration aMaxWorkerLease)
 {
   CellSettings settings;
-  const Duration longest = aMaxHold - kHoldReserve;
-  settings.mAuthority = std::min(settings.mAuthority, longest);
-  settings.mHold = std::min(settings.mHold, longest);
+  const Duration longest = aMaxWorkerLease - kLeaseReserve;
+  settings.mOwnershipTimeout = std::min(settings.mOwnershipTimeout, longest);
+  settings.mMaxTaskLease = std::min(settings.mMaxTaskLease, longest);
   return settings;
 }
 
@@ -80,7 +80,7 @@
 
 Scheduler::Scheduler(SchedulerSettings aSettings, net::FiberRuntime& aRuntime)
   : mSettings(std::move(aSettings))
-  , mCellSettings(CellSettingsFor(mSettings.mMaxHold))
+  , mCellSettings(CellSettingsFor(mSettings.mMaxWorkerLease))
   , mRuntime(aRuntime)
   , mPlainStore(aRuntime, { .mEndpoint = mSettings.mStore })
   , mCountedStore(mPlainStore)
@@ -198,13 +198,13 @@
     const Duration pause = mConfiguration.Confirm();
     return pause > Duration::zero() ? pause : kUntilPoked;
   });
-  mFibers.Repeat(mPulsePoke, kPulseCheck, [this] {
-    NoteResume();
+  mFibers.Repeat(mProbePoke, kProbeCheck, [this] {
+    OnResume();
     absl::Status status;
-    if (mStore.SinceAnswer() >= kPulseInterval || !mStore.Answers()) {
+    if (mStore.SinceAnswer() >= kProbeInterval || !mStore.Answers()) {
       status = mStore.Read(cell::kCellKey).status();
     }
-    NotePulse(status);
+    LogStoreHealth(status);
   });
   return absl::OkStatus();
 }
@@ -219,8 +219,9 @@
 
 /// True for a job of a queue whose workers a service chooses that this
 /// deployment does not have.
-bool Scheduler::Unadvised(const JobRequest& aRequest,
-                          const CellConfiguration& aConfiguration) const
+bool Scheduler::RequiresMissingAdvisor(
+  const JobRequest& aRequest,
+  const CellConfiguration& aConfiguration) const
 {
   const auto* submit = std::get_if<SubmitJob>(&aRequest.mBody);
   return submit != nullptr && mSettings.mAdvice.mPort == 0 &&
@@ -234,7 +235,7 @@
 net::HttpResponse Scheduler::ServeCaller(const net::HttpRequest& aRequest)
 {
   const Instant begin = MonotonicNow();
-  NoteResume();
+  OnResume();
   const auto configuration = mConfiguration.Current();
   JobAnswer answer = JobRefused{ RefusalCause::NotReady,
                                  Verdict::NotRun,
@@ -243,9 +244,10 @@
   if (configuration) {
     const auto request = platform::ParseJobRequest(aRequest, *configuration);
     kind = request.ok() ? KindOf(*request) : kind;
-    answer = !request.ok()                         ? Refuse(request.status())
-             : Unadvised(*request, *configuration) ? kUnadvised
-                                                   : mJobs.Answer(*request);
+    answer = !request.ok() ? Refuse(request.status())
+             : RequiresMissingAdvisor(*request, *configuration)
+               ? kNoAdvisor
+               : mJobs.Answer(*request);
   }
   const Duration took = MonotonicNow() - begin;
   mAnswerTime.Observe(std::chrono::duration<double>(took).count());
@@ -261,15 +263,15 @@
 }
 
 /// What is bound to a lease ends by the clock; the configuration does not.
-void Scheduler::NoteResume()
+void Scheduler::OnResume()
 {
   const auto suspended =
-    mResume.Look(MonotonicNow(), std::chrono::steady_clock::now());
+    mResume.Poll(MonotonicNow(), std::chrono::steady_clock::now());
   if (!suspended) {
     return;
   }
   LogWarning("resumed", { { "ms", WholeMilliseconds(*suspended) } });
-  mConfiguration.Doubt();
+  mConfiguration.MarkStale();
   mResumePoke.Now();
 }
 
@@ -287,7 +289,7 @@
   return absl::OkStatus();
 }
 
-void Scheduler::NotePulse(const absl::Status& aStatus)
+void Scheduler::LogStoreHealth(const absl::Status& aStatus)
 {
   const bool answers = mStore.Answers();
   if (answers != std::exchange(mStoreAnswered, answers)) {
--- a/apps/scheduler/Scheduler.h
+++ b/apps/scheduler/Scheduler.h
@@ -7,7 +7,7 @@
 
 #include "apps/scheduler/ConfigurationWatch.h"
 #include "apps/scheduler/Election.h"
-#include "apps/scheduler/JobDesk.h"
+#include "apps/scheduler/JobRequestHandler.h"
 #include "apps/scheduler/SchedulerSettings.h"
 #include "platform/AdviceClient.h"
 #include "platform/KvStore.h"
@@ -40,8 +40,8 @@
   net::HttpResponse ServePeer(const net::HttpRequest& aRequest);
   net::HttpResponse ServeAdmin(const net::HttpRequest& aRequest);
   absl::Status Readiness() const;
-  void NoteResume();
-  void NotePulse(const absl::Status& aStatus);
+  void OnResume();
+  void LogStoreHealth(const absl::Status& aStatus);
   absl::Status Listen(const Endpoint& aEndpoint,
                       net::HttpServer::Handler aHandler,
                       std::unique_ptr<net::HttpServer>& aServer);
@@ -51,8 +51,9 @@
   void AddLoadMetrics();
   void AddCrashMetrics();
   void AddQueueMetrics(const cell::CellConfiguration& aConfiguration);
-  bool Unadvised(const cell::JobRequest& aRequest,
-                 const cell::CellConfiguration& aConfiguration) const;
+  bool RequiresMissingAdvisor(
+    const cell::JobRequest& aRequest,
+    const cell::CellConfiguration& aConfiguration) const;
   cell::JobAnswer Refuse(const absl::Status& aStatus) const;
   std::shared_ptr<CellOwner> MakeOwner(const cell::OwnerTerm& aTerm);
 
@@ -68,7 +69,7 @@
   net::RpcDispatcher mDispatcher;
   ConfigurationWatch mConfiguration;
   Election mElection;
-  JobDesk mJobs;
+  JobRequestHandler mJobs;
   Metrics mMetrics;
   std::set<cell::QueueId> mMeasuredQueues;
   StateDump mState;
@@ -78,7 +79,7 @@
   bool mWasReady = false;
   bool mStoreAnswered = true;
   Poke mConfigurationPoke;
-  Poke mPulsePoke;
+  Poke mProbePoke;
   Poke mResumePoke;
   ResumeWatch mResume;
   std::unique_ptr<net::HttpServer> mCallers;
--- a/apps/scheduler/SchedulerPages.cpp
+++ b/apps/scheduler/SchedulerPages.cpp
@@ -106,7 +106,7 @@
   }
   mMetrics.SampledGauge(
     "owner_rounds_put_off", "Rounds of placing that had to wait.", [load] {
-      return static_cast<double>(load().mRoundsPutOff);
+      return static_cast<double>(load().mRoundsDeferred);
     });
 }
 
@@ -140,7 +140,7 @@
     const auto figure = [this,
                          &queue](const char* aName,
                                  const char* aHelp,
-                                 std::uint64_t QueueCrashFigures::*aFigure) {
+                                 std::uint64_t QueueCrashCounters::*aFigure) {
       mMetrics.SampledGauge(
         aName,
         aHelp,
@@ -154,13 +154,13 @@
     };
     figure("owner_tasks_suspected",
            "Times that a crash counted against a task.",
-           &QueueCrashFigures::mSuspected);
+           &QueueCrashCounters::mSuspected);
     figure("owner_tasks_cleared",
            "Tasks that a run has cleared again.",
-           &QueueCrashFigures::mCleared);
+           &QueueCrashCounters::mCleared);
     figure("owner_tasks_given_up",
            "Jobs failed for a task under which workers crashed.",
-           &QueueCrashFigures::mGivenUp);
+           &QueueCrashCounters::mGivenUp);
   }
 }
 
--- a/apps/scheduler/SchedulerSettings.cpp
+++ b/apps/scheduler/SchedulerSettings.cpp
@@ -39,7 +39,7 @@
 void AddTimes(Settings& aSettings, SchedulerSettings& aValues)
 {
   aSettings.AddMilliseconds("--max-hold-ms",
-                            aValues.mMaxHold,
+                            aValues.mMaxWorkerLease,
                             { milliseconds(1000), hours(1) },
                             "Longest lease that workers accept");
   aSettings.AddMilliseconds("--keep-ended-ms",
--- a/apps/scheduler/SchedulerSettings.h
+++ b/apps/scheduler/SchedulerSettings.h
@@ -26,7 +26,7 @@
   /// Of one core, that this process may use; the weak let others own the cell.
   double mProcessorShare = 1.0;
   /// The platform ends all leases of a worker by then.
-  Duration mMaxHold = std::chrono::milliseconds(6000);
+  Duration mMaxWorkerLease = std::chrono::milliseconds(6000);
   /// Time for which ended jobs can be read.
   Duration mKeepEnded = std::chrono::seconds(120);
   /// After SIGTERM; shorter than the platform's time until SIGKILL.
--- a/apps/scheduler/WriteTries.cpp
+++ b/apps/scheduler/WriteRetries.cpp
@@ -1,4 +1,4 @@
-#include "apps/scheduler/WriteTries.h"
+#include "apps/scheduler/WriteRetries.h"
 
 #include <chrono>
 
@@ -21,15 +21,15 @@
 
 } // namespace
 
-void WriteTries::Note(const absl::Status& aStatus)
+void WriteRetries::OnFailure(const absl::Status& aStatus)
 {
   mLast = aStatus;
   mMayHaveRun = mMayHaveRun || VerdictOf(aStatus) != Verdict::NotRun;
 }
 
-bool WriteTries::Again(const absl::Status& aStatus)
+bool WriteRetries::WaitToRetry(const absl::Status& aStatus)
 {
-  Note(aStatus);
+  OnFailure(aStatus);
   mRefusals += VerdictOf(aStatus) == Verdict::NotRun ? 1 : 0;
   const Duration next = mMayHaveRun ? kRetryPause + kSilentCall : kRetryPause;
   if (MonotonicNow() + next >= mDeadline ||
@@ -40,9 +40,9 @@
   return true;
 }
 
-cell::JobRefused WriteTries::Refusal() const
+cell::JobRefused WriteRetries::Refusal() const
 {
-  return mMayHaveRun ? FateUnknown(mLast) : StoreAway(mLast);
+  return mMayHaveRun ? FateUnknown(mLast) : StoreUnavailable(mLast);
 }
 
 } // namespace foxtailbarrow::scheduler
--- a/apps/scheduler/WriteTries.h
+++ b/apps/scheduler/WriteRetries.h
@@ -9,19 +9,19 @@
 
 /// Tries a write of a request again until its fate is known, the store refuses
 /// it for too long, or the caller's time is up.
-class WriteTries
+class WriteRetries
 {
 public:
-  explicit WriteTries(Instant aDeadline)
+  explicit WriteRetries(Instant aDeadline)
     : mDeadline(aDeadline)
   {
   }
 
-  void Note(const absl::Status& aStatus);
+  void OnFailure(const absl::Status& aStatus);
 
   /// Notes a failed try. True when there is time for another, after a pause
   /// that suspends the fiber.
-  bool Again(const absl::Status& aStatus);
+  bool WaitToRetry(const absl::Status& aStatus);
 
   cell::JobRefused Refusal() const;
 
--- a/apps/taskagent/OwnerLink.cpp
+++ b/apps/taskagent/OwnerLink.cpp
@@ -16,7 +16,7 @@
 
 /// Between reports without news. Several fit into the shortest lease, and each
 /// brings figures, which cover half a second.
-constexpr Duration kInterval = ReportBase::kFiguresEvery;
+constexpr Duration kInterval = ReportEncoder::kFiguresInterval;
 constexpr Duration kReportTimeout = std::chrono::milliseconds(700);
 /// Without an owner or a session, until the next try.
 constexpr Duration kRetry = std::chrono::milliseconds(150);
@@ -65,12 +65,12 @@
     return;
   }
   mReporting = session;
-  mNews = false;
+  mReportRequested = false;
   mRuntime.Spawn([this, session] {
     Report();
     if (mReporting == session) {
       mReporting.reset();
-      if (mNews) {
+      if (mReportRequested) {
         mPoke.Now();
       }
     }
@@ -119,24 +119,25 @@
     return;
   }
   mReplyTook = MonotonicNow() - sentAt;
-  TakeReply(*reply, owner, report, sentAt);
+  OnReply(*reply, owner, report, sentAt);
 }
 
-void OwnerLink::TakeReply(const ReportReply& aReply,
-                          const Endpoint& aOwner,
-                          const ReportRequest& aReport,
-                          Instant aSentAt)
+void OwnerLink::OnReply(const ReportReply& aReply,
+                        const Endpoint& aOwner,
+                        const ReportRequest& aReport,
+                        Instant aSentAt)
 {
   if (aReport.mSession == mReportedSession) {
-    if (aReply.mAttached && !aReply.mSendWhole) {
-      mBase.NoteTaken(aReport);
+    if (aReply.mAttached && !aReply.mSendFullState) {
+      mBase.OnAccepted(aReport);
     } else {
       mBase.Forget();
     }
   }
   if (!aReply.mOwner) {
-    const bool moved = !aReply.mOwnerAt.empty() &&
-                       TakeOwner(aReply.mGeneration, aReply.mOwnerAt.front());
+    const bool moved =
+      !aReply.mOwnerAt.empty() &&
+      OnOwnerFound(aReply.mGeneration, aReply.mOwnerAt.front());
     if (!moved && mOwner == aOwner) {
       mOwner.reset();
     }
@@ -151,9 +152,9 @@
               { { "owner", aOwner }, { "generation", aReply.mGeneration } });
   }
   if (aReply.mAttached && mBase.Incarnation() == mWorker.Info().mIncarnation) {
-    mWorker.TakeGrant(
+    mWorker.OnGrant(
       aReport.mSession, aSentAt, aReply.mGrant, aReply.mAcknowledged);
-    mWorker.TakePressures(aReply.mPressures);
+    mWorker.SetInterferenceWeights(aReply.mPressures);
   }
 }
 
@@ -176,7 +177,7 @@
              { { "error", record.status().ToString() } });
     return false;
   }
-  return TakeOwner(record->mGeneration, record->mEndpoint);
+  return OnOwnerFound(record->mGeneration, record->mEndpoint);
 }
 
 bool OwnerLink::FindBySeeds()
@@ -185,14 +186,14 @@
     const auto reply = CallTyped<FindOwnerReply>(
       mRpc, seed, kFindOwnerMethod, FindOwner(), kSeedTimeout);
     if (reply.ok() && !reply->mOwnerAt.empty() &&
-        TakeOwner(reply->mGeneration, reply->mOwnerAt.front())) {
+        OnOwnerFound(reply->mGeneration, reply->mOwnerAt.front())) {
       return true;
     }
   }
   return false;
 }
 
-bool OwnerLink::TakeOwner(Generation aGeneration, const Endpoint& aOwner)
+bool OwnerLink::OnOwnerFound(Generation aGeneration, const Endpoint& aOwner)
 {
   if (aGeneration < mGeneration) {
     return false;
@@ -218,13 +219,13 @@
   if (!state.ok()) {
     return state.status();
   }
-  TakeOwner(aRequest.mGeneration, aRequest.mOwner);
+  OnOwnerFound(aRequest.mGeneration, aRequest.mOwner);
   mContactAt = MonotonicNow();
   mInContact = true;
   reply.mAttached = true;
   reply.mGeneration = mGeneration;
   reply.mState = *state;
-  Poked(); // The first report brings the first grant.
+  RequestReport(); // The first report brings the first grant.
   return reply;
 }
 
--- a/apps/taskagent/OwnerLink.h
+++ b/apps/taskagent/OwnerLink.h
@@ -8,7 +8,7 @@
 #include "apps/taskagent/WorkerControl.h"
 #include "foxtailbarrow/Store.h"
 #include "src/core/cell/CellMessages.h"
-#include "src/core/cell/ReportBase.h"
+#include "src/core/cell/ReportEncoder.h"
 #include "src/net/Poke.h"
 #include "src/net/Rpc.h"
 
@@ -27,9 +27,9 @@
             net::RpcClient& aRpc);
 
   /// Something is to be reported now.
-  void Poked()
+  void RequestReport()
   {
-    mNews = true;
+    mReportRequested = true;
     mPoke.Now();
   }
   Poke& RoundPoke() { return mPoke; }
@@ -51,14 +51,14 @@
   void StartReport();
   void Report();
   cell::ReportRequest NextReport(Instant aNow);
-  void TakeReply(const cell::ReportReply& aReply,
-                 const Endpoint& aOwner,
-                 const cell::ReportRequest& aReport,
-                 Instant aSentAt);
+  void OnReply(const cell::ReportReply& aReply,
+               const Endpoint& aOwner,
+               const cell::ReportRequest& aReport,
+               Instant aSentAt);
   void Find();
   bool FindByStore();
   bool FindBySeeds();
-  bool TakeOwner(cell::Generation aGeneration, const Endpoint& aOwner);
+  bool OnOwnerFound(cell::Generation aGeneration, const Endpoint& aOwner);
 
   const TaskAgentSettings& mSettings;
   net::FiberRuntime& mRuntime;
@@ -70,10 +70,10 @@
   cell::Generation mGeneration = 0;
   cell::Session mReportedSession = 0;
   std::optional<cell::Session> mReporting; ///< Session of a report on its way.
-  bool mNews = false;                      ///< Came while one was on its way.
+  bool mReportRequested = false;           ///< Came while one was on its way.
   std::int64_t mSequence = 0;
   Duration mReplyTook{}; ///< Of the newest report with a reply.
-  cell::ReportBase mBase;
+  cell::ReportEncoder mBase;
   Instant mContactAt{};
   bool mInContact = false;
   std::uint64_t mReports = 0;
--- a/apps/taskagent/TaskAgent.cpp
+++ b/apps/taskagent/TaskAgent.cpp
@@ -39,7 +39,7 @@
   , mWorkerClient(aRuntime, mSettings.mWorker)
   , mClient(aRuntime)
   , mRpc(mClient)
-  , mWorker(mWorkerClient, [this] { mOwner.Poked(); })
+  , mWorker(mWorkerClient, [this] { mOwner.RequestReport(); })
   , mOwner(mSettings, aRuntime, mWorker, mStore, mRpc)
   , mAdmin(mMetrics, mState, [] { return absl::OkStatus(); })
   , mFibers(aRuntime)
@@ -88,9 +88,9 @@
   if (!status.ok()) {
     return status;
   }
-  mFibers.Repeat(mLookPoke, [this] {
-    NoteResume();
-    return mWorker.Look();
+  mFibers.Repeat(mPollPoke, [this] {
+    OnResume();
+    return mWorker.Poll();
   });
   mFibers.Repeat(mOwner.RoundPoke(), [this] { return mOwner.Round(); });
   return absl::OkStatus();
@@ -122,20 +122,20 @@
     "Starts refused as not fitting the worker's newest capacity.",
     [this] { return static_cast<double>(mWorker.RefusedOverCapacity()); });
   mMetrics.SampledGauge("looks_late", "Looks over a second apart.", [this] {
-    return static_cast<double>(mWorker.Paces().LateLooks());
+    return static_cast<double>(mWorker.Throttling().LatePolls());
   });
   mMetrics.SampledGauge(
     "paces_unanswered", "Paces that the worker may yet carry out.", [this] {
-      return static_cast<double>(mWorker.Paces().UnansweredPaces());
+      return static_cast<double>(mWorker.Throttling().UnansweredThrottles());
     });
   mMetrics.SampledGauge(
     "tasks_unknown", "Running tasks whose traits are not known.", [this] {
-      return static_cast<double>(mWorker.Paces().UnknownTasks());
+      return static_cast<double>(mWorker.Throttling().UnknownTasks());
     });
   mMetrics.SampledGauge(
     "serving_over_longest_seconds",
     "Longest time that a serving image was over its target.",
-    [this] { return Seconds(mWorker.Paces().LongestOver()); });
+    [this] { return Seconds(mWorker.Throttling().LongestOverTarget()); });
   mMetrics.SampledGauge(
     "foreign_heartbeats", "Heartbeats that were not the worker's.", [this] {
       return static_cast<double>(mForeignHeartbeats);
@@ -159,51 +159,55 @@
     return Refusal(kNotFound);
   }
   if (!message.ok()) {
-    NoteForeign(aRequest.mTarget, std::string(message.status().message()));
+    OnForeignHeartbeat(aRequest.mTarget,
+                       std::string(message.status().message()));
     return Refusal(kBadRequest);
   }
-  std::visit([this](const auto& aMessage) { Take(aMessage); }, *message);
+  std::visit([this](const auto& aMessage) { OnWorkerMessage(aMessage); },
+             *message);
   return platform::AcknowledgeWorker();
 }
 
-void TaskAgent::Take(const platform::WorkerHeartbeat& aHeartbeat)
+void TaskAgent::OnWorkerMessage(const platform::WorkerHeartbeat& aHeartbeat)
 {
   const WorkerIncarnation& incarnation = aHeartbeat.mInfo.mIncarnation;
   const WorkerIncarnation before = mHeartbeats.Current();
-  const HeartbeatUse use = mHeartbeats.Judge(incarnation, aHeartbeat.mSequence);
+  const HeartbeatDecision use =
+    mHeartbeats.Classify(incarnation, aHeartbeat.mSequence);
   const bool otherService =
     incarnation == before &&
     aHeartbeat.mInfo.mService != mWorker.Info().mService;
-  if (use == HeartbeatUse::Foreign || otherService) {
-    NoteForeign(incarnation.Value(),
-                otherService ? "another service" : "sequence number");
+  if (use == HeartbeatDecision::Foreign || otherService) {
+    OnForeignHeartbeat(incarnation.Value(),
+                       otherService ? "another service" : "sequence number");
     return;
   }
-  if (use == HeartbeatUse::Ignore ||
-      (use == HeartbeatUse::Confirm && !mWorker.IsThere(incarnation))) {
+  if (use == HeartbeatDecision::Ignore ||
+      (use == HeartbeatDecision::Confirm && !mWorker.IsPresent(incarnation))) {
     return;
   }
   if (mHeartbeats.Current() != before) {
     return; // Another one was confirmed meanwhile; the next heartbeat tells.
   }
-  mHeartbeats.NoteTaken(incarnation, aHeartbeat.mSequence);
-  if (mWorker.TakeInfo(aHeartbeat.mInfo)) {
-    mWorker.Greet();
-    mOwner.Poked();
+  mHeartbeats.OnAccepted(incarnation, aHeartbeat.mSequence);
+  if (mWorker.UpdateInfo(aHeartbeat.mInfo)) {
+    mWorker.PollFirst();
+    mOwner.RequestReport();
   }
 }
 
-void TaskAgent::NoteResume()
+void TaskAgent::OnResume()
 {
   if (const auto suspended =
-        mResume.Look(MonotonicNow(), std::chrono::steady_clock::now())) {
+        mResume.Poll(MonotonicNow(), std::chrono::steady_clock::now())) {
     LogWarning("resumed", { { "ms", WholeMilliseconds(*suspended) } });
-    mOwner.Poked();
+    mOwner.RequestReport();
   }
 }
 
 /// A heartbeat that is not the worker's: what is known of the worker stays.
-void TaskAgent::NoteForeign(std::string_view aSender, std::string_view aReason)
+void TaskAgent::OnForeignHeartbeat(std::string_view aSender,
+                                   std::string_view aReason)
 {
   ++mForeignHeartbeats;
   if (const auto count = mForeign.Note(aSender, aReason)) {
@@ -213,9 +217,9 @@
   }
 }
 
-void TaskAgent::Take(const platform::WorkerGone& aGone)
+void TaskAgent::OnWorkerMessage(const platform::WorkerGone& aGone)
 {
-  if (!mHeartbeats.NoteGone(aGone.mIncarnation)) {
+  if (!mHeartbeats.OnWorkerLeft(aGone.mIncarnation)) {
     return;
   }
   LogChange("worker-gone", { { "incarnation", aGone.mIncarnation } });
@@ -223,8 +227,8 @@
   info.mDraining = true;
   info.mDrainLeft = Duration::zero();
   info.mGone = true;
-  if (mWorker.TakeInfo(info)) {
-    mOwner.Poked();
+  if (mWorker.UpdateInfo(info)) {
+    mOwner.RequestReport();
   }
 }
 
--- a/apps/taskagent/TaskAgent.h
+++ b/apps/taskagent/TaskAgent.h
@@ -14,7 +14,7 @@
 #include "platform/WorkerHeartbeat.h"
 #include "src/core/base/ResumeWatch.h"
 #include "src/core/cell/HeartbeatOrder.h"
-#include "src/core/cell/RepeatedFindings.h"
+#include "src/core/cell/LogRateLimiter.h"
 #include "src/net/FiberGroup.h"
 #include "src/net/HttpServer.h"
 #include "src/net/Rpc.h"
@@ -36,12 +36,12 @@
   net::HttpResponse ServeWorker(const net::HttpRequest& aRequest);
   net::HttpResponse ServeOwner(const net::HttpRequest& aRequest);
   net::HttpResponse ServeAdmin(const net::HttpRequest& aRequest);
-  void Take(const platform::WorkerHeartbeat& aHeartbeat);
-  void Take(const platform::WorkerGone& aGone);
+  void OnWorkerMessage(const platform::WorkerHeartbeat& aHeartbeat);
+  void OnWorkerMessage(const platform::WorkerGone& aGone);
   /// After a suspension the owner is asked at once whether the session is in
   /// force; leases are over by the clock.
-  void NoteResume();
-  void NoteForeign(std::string_view aSender, std::string_view aReason);
+  void OnResume();
+  void OnForeignHeartbeat(std::string_view aSender, std::string_view aReason);
   void AddMethods();
   void AddViews();
 
@@ -58,12 +58,12 @@
   StateDump mState;
   AdminPages mAdmin;
   cell::HeartbeatOrder mHeartbeats;
-  cell::RepeatedFindings mForeign;
+  cell::LogRateLimiter mForeign;
   std::int64_t mForeignHeartbeats = 0;
   std::unique_ptr<net::HttpServer> mWorkerServer;
   std::unique_ptr<net::HttpServer> mOwnerServer;
   std::unique_ptr<net::HttpServer> mAdminServer;
-  Poke mLookPoke;
+  Poke mPollPoke;
   ResumeWatch mResume;
   FiberGroup mFibers;
 };
--- a/apps/taskagent/PaceLog.cpp
+++ b/apps/taskagent/ThrottleLog.cpp
@@ -1,4 +1,4 @@
-#include "apps/taskagent/PaceLog.h"
+#include "apps/taskagent/ThrottleLog.h"
 
 #include <algorithm>
 #include <chrono>
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Duration kTellEvery = std::chrono::seconds(1);
+constexpr Duration kLogInterval = std::chrono::seconds(1);
 /// Without a look for so long, figures and paces are late.
 constexpr Duration kLateAfter = std::chrono::seconds(1);
 constexpr double kPercent = 100.0;
@@ -27,19 +27,19 @@
 
 } // namespace
 
-void PaceLog::NoteLook(Instant aNow)
+void ThrottleLog::OnPoll(Instant aNow)
 {
-  const Duration gap = aNow - mLookedAt;
-  if (mLookedAt != Instant() && gap > kLateAfter) {
-    ++mLateLooks;
+  const Duration gap = aNow - mPolledAt;
+  if (mPolledAt != Instant() && gap > kLateAfter) {
+    ++mLatePolls;
     LogWarning("look-late", { { "ms", WholeMilliseconds(gap) } });
   }
-  mLookedAt = aNow;
+  mPolledAt = aNow;
 }
 
-void PaceLog::NotePace(const cell::PaceChange& aChange,
-                       cell::Fence aFence,
-                       const absl::Status& aOutcome)
+void ThrottleLog::LogThrottle(const cell::ThrottleChange& aChange,
+                              cell::Fence aFence,
+                              const absl::Status& aOutcome)
 {
   mUnanswered += VerdictOf(aOutcome) == Verdict::MayHaveRun ? 1 : 0;
   LogChange(
@@ -56,17 +56,18 @@
       { "outcome", aOutcome.ok() ? "ok" : aOutcome.ToString() } });
 }
 
-void PaceLog::NoteOver(std::span<const cell::OverTarget> aOver, Instant aNow)
+void ThrottleLog::LogOverTarget(std::span<const cell::OverTarget> aOver,
+                                Instant aNow)
 {
-  std::erase_if(mToldOver, [&](const auto& aTold) {
+  std::erase_if(mOverLoggedAt, [&](const auto& aTold) {
     return std::ranges::none_of(aOver, [&](const cell::OverTarget& aEntry) {
       return aEntry.mImage == aTold.first;
     });
   });
   for (const cell::OverTarget& over : aOver) {
-    mLongestOver = std::max(mLongestOver, over.mOver);
-    Instant& told = mToldOver[over.mImage];
-    if (over.mOver < kTellEvery || aNow - told < kTellEvery) {
+    mLongestOverTarget = std::max(mLongestOverTarget, over.mOver);
+    Instant& told = mOverLoggedAt[over.mImage];
+    if (over.mOver < kLogInterval || aNow - told < kLogInterval) {
       continue;
     }
     told = aNow;
@@ -74,18 +75,18 @@
               { { "image", over.mImage },
                 { "ms", WholeMilliseconds(over.mOver) },
                 { "latencyPercent", Scaled(over.mLatencyShare, kPercent) },
-                { "tasksBeside", over.mBeside.size() },
-                { "paces", absl::StrJoin(over.mBeside, " ") } });
+                { "tasksBeside", over.mColocated.size() },
+                { "paces", absl::StrJoin(over.mColocated, " ") } });
   }
 }
 
-void PaceLog::NoteUnknown(std::size_t aTasks, Instant aNow)
+void ThrottleLog::LogUnknownTasks(std::size_t aTasks, Instant aNow)
 {
   mUnknown = static_cast<std::int64_t>(aTasks);
-  if (aTasks == 0 || aNow - mToldUnknown < kTellEvery) {
+  if (aTasks == 0 || aNow - mUnknownLoggedAt < kLogInterval) {
     return;
   }
-  mToldUnknown = aNow;
+  mUnknownLoggedAt = aNow;
   LogWarning("tasks-unknown", { { "tasks", aTasks } });
 }
 
--- a/apps/taskagent/UnknownTaskTimer.cpp
+++ b/apps/taskagent/UnknownTaskTimer.cpp
@@ -4,7 +4,7 @@
 
 namespace foxtailbarrow::taskagent {
 
-bool UnknownTaskTimer::Take(bool aUnknown, Instant aNow)
+bool UnknownTaskTimer::Update(bool aUnknown, Instant aNow)
 {
   if (!aUnknown) {
     mSince.reset();
--- a/apps/taskagent/UnknownTaskTimer.h
+++ b/apps/taskagent/UnknownTaskTimer.h
@@ -18,7 +18,7 @@
 
   /// After a look at `aNow`; `aUnknown`: it showed tasks that are not known.
   /// Returns true when the session is to be begun anew.
-  bool Take(bool aUnknown, Instant aNow);
+  bool Update(bool aUnknown, Instant aNow);
 
 private:
   std::optional<Instant> mSince;
--- a/apps/taskagent/WorkerControl.cpp
+++ b/apps/taskagent/WorkerControl.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 /// How long a look waits for an end. Bounds the age of leases and figures.
-constexpr Duration kLookWait = std::chrono::milliseconds(400);
+constexpr Duration kPollWait = std::chrono::milliseconds(400);
 /// How long an order is settled before the session is given up.
 constexpr Duration kSettleTime = std::chrono::milliseconds(1500);
 constexpr Duration kSettlePause = std::chrono::milliseconds(20);
@@ -27,7 +27,7 @@
 constexpr Duration kShortestRound = std::chrono::milliseconds(25);
 constexpr Duration kAfterFailure = std::chrono::milliseconds(50);
 /// A pace without an answer is sent again at once: the next look may be late.
-constexpr int kPaceTries = 2;
+constexpr int kThrottleAttempts = 2;
 /// Crashes that are remembered for an owner that has not heard of them: at four
 /// seconds a crash, those of the last half minute.
 constexpr std::size_t kCrashesKept = 8;
@@ -37,31 +37,32 @@
 } // namespace
 
 WorkerControl::WorkerControl(cell::TaskWorker& aWorker,
-                             std::function<void()> aOnNews)
+                             std::function<void()> aOnChange)
   : mWorker(aWorker)
-  , mOnNews(std::move(aOnNews))
+  , mOnChange(std::move(aOnChange))
 {
 }
 
-bool WorkerControl::TakeInfo(const cell::WorkerInfo& aInfo)
+bool WorkerControl::UpdateInfo(const cell::WorkerInfo& aInfo)
 {
   if (aInfo == mInfo) {
     return false;
   }
   if (aInfo.mIncarnation != mInfo.mIncarnation) {
-    LogChange("worker-incarnation",
-              { { "incarnation", aInfo.mIncarnation },
-                { "before", mInfo.mIncarnation },
-                { "ran", mBook.Running().size() },
-                { "answerAgeMs",
-                  WholeMilliseconds(MonotonicNow() - mLiveness.AliveAt()) } });
+    LogChange(
+      "worker-incarnation",
+      { { "incarnation", aInfo.mIncarnation },
+        { "before", mInfo.mIncarnation },
+        { "ran", mStateTracker.Running().size() },
+        { "answerAgeMs",
+          WholeMilliseconds(MonotonicNow() - mLiveness.LastAnswerAt()) } });
     if (!mLiveness.Ended()) {
-      NoteCrash();
+      RecordCrash();
     }
     mWorker.Expect(aInfo.mIncarnation);
-    mBook.Reset();
-    mLease.ForgetWorker();
-    mGovernor = cell::PaceGovernor();
+    mStateTracker.Reset();
+    mLease.ResetWorker();
+    mThrottleController = cell::ThrottleController();
     mLiveness.Begin(MonotonicNow());
   }
   if (aInfo.mDraining != mInfo.mDraining) {
@@ -74,12 +75,12 @@
 }
 
 /// The incarnation is gone. Unless it had said that it leaves, it has crashed.
-void WorkerControl::NoteCrash()
+void WorkerControl::RecordCrash()
 {
   if (mInfo.mIncarnation.Empty() || mInfo.mDraining) {
     return;
   }
-  if (auto crash = mBook.CrashAfter(mLiveness.AliveAt());
+  if (auto crash = mStateTracker.CrashAfter(mLiveness.LastAnswerAt());
       !crash.mRuns.empty()) {
     mCrashes.push_back(std::move(crash));
   }
@@ -88,9 +89,9 @@
   }
 }
 
-bool WorkerControl::IsThere(const cell::WorkerIncarnation& aIncarnation)
+bool WorkerControl::IsPresent(const cell::WorkerIncarnation& aIncarnation)
 {
-  const auto there = mWorker.IsThere(aIncarnation, mFence, kLookTimeout);
+  const auto there = mWorker.IsPresent(aIncarnation, mFence, kPollTimeout);
   LogChange("other-incarnation",
             { { "incarnation", aIncarnation },
               { "current", mInfo.mIncarnation },
@@ -110,7 +111,7 @@
     return absl::FailedPreconditionError("an older session");
   }
   mSession = aSession;
-  mBegun = false;
+  mSessionReady = false;
   mOrdersDone = 0;
   mFence = aSession;
   const cell::WorkerIncarnation incarnation = mInfo.mIncarnation;
@@ -118,25 +119,25 @@
       incarnation != mInfo.mIncarnation) {
     return absl::UnavailableError("the worker does not answer");
   }
-  mBook.NoteAllSettled();
-  mBegun = true;
+  mStateTracker.OnAllSettled();
+  mSessionReady = true;
   return Snapshot().mState;
 }
 
 bool WorkerControl::Settle(cell::Session aSession)
 {
-  const std::lock_guard lock(mSettling);
+  const std::lock_guard lock(mSettleMutex);
   const Instant end = MonotonicNow() + kSettleTime;
   while (MonotonicNow() < end && aSession == mSession &&
          mFence < aSession + kFencesOfSession) {
     const cell::Fence fence = ++mFence;
     // The look of a fence that was raised meanwhile is not in the book.
-    const auto reply = LookOnce(Duration::zero(), false);
+    const auto reply = PollOnce(Duration::zero(), false);
     if (reply.ok() && fence == mFence) {
       return aSession == mSession;
     }
     if (!reply.ok()) {
-      NoteFailedLook(reply.status());
+      OnPollFailed(reply.status());
     }
     if (mLiveness.Ended()) {
       return false; // What was sent may have run before.
@@ -146,32 +147,32 @@
   return false;
 }
 
-void WorkerControl::TakeGrant(cell::Session aSession,
-                              Instant aSentAt,
-                              Duration aGrant,
-                              std::int64_t aAcknowledged)
+void WorkerControl::OnGrant(cell::Session aSession,
+                            Instant aSentAt,
+                            Duration aGrant,
+                            std::int64_t aAcknowledged)
 {
   if (aSession != mSession) {
     return;
   }
   mLease.Extend(aSentAt, aGrant);
-  mBook.Acknowledge(aAcknowledged);
+  mStateTracker.Acknowledge(aAcknowledged);
 }
 
-absl::StatusOr<cell::LookReply> WorkerControl::LookOnce(Duration aWait,
+absl::StatusOr<cell::PollReply> WorkerControl::PollOnce(Duration aWait,
                                                         bool aExtend)
 {
   const Instant sentAt = MonotonicNow();
   const cell::WorkerIncarnation incarnation = mInfo.mIncarnation;
   const cell::Fence fence = mFence;
-  cell::LookCall call;
+  cell::PollCall call;
   call.mFence = fence;
-  call.mAcknowledged = mBook.Acknowledged();
+  call.mAcknowledged = mStateTracker.Acknowledged();
   call.mWait = aWait;
   if (aExtend) {
     call.mLeaseEnd = mLease.LeaseEnd(sentAt);
   }
-  auto reply = mWorker.Look(call, aWait + kLookTimeout);
+  auto reply = mWorker.Poll(call, aWait + kPollTimeout);
   const Instant now = MonotonicNow();
   if (incarnation != mInfo.mIncarnation) {
     return absl::AbortedError("the worker was replaced");
@@ -181,30 +182,30 @@
   }
   mLease.SampleClock(reply->mClock, now);
   const bool ended = mLiveness.Ended();
-  if (!mLiveness.NoteLook(now)) {
+  if (!mLiveness.OnPoll(now)) {
     LogChange("worker-answers",
               { { "incarnation", incarnation }, { "ended", ended ? 1 : 0 } });
   }
   // An answer to an older fence may be older than what is known.
-  if (fence == mFence && mBook.TakeLook(*reply, sentAt, now)) {
-    mOnNews();
+  if (fence == mFence && mStateTracker.OnPoll(*reply, sentAt, now)) {
+    mOnChange();
   }
   return reply;
 }
 
-void WorkerControl::Greet()
+void WorkerControl::PollFirst()
 {
-  if (mLease.KnowsClock()) {
+  if (mLease.HasClockSample()) {
     return;
   }
-  if (const auto reply = LookOnce(Duration::zero(), false); !reply.ok()) {
+  if (const auto reply = PollOnce(Duration::zero(), false); !reply.ok()) {
     LogWarning("worker-not-greeted",
                { { "incarnation", mInfo.mIncarnation },
                  { "error", reply.status().ToString() } });
   }
 }
 
-Duration WorkerControl::Look()
+Duration WorkerControl::Poll()
 {
   if (mInfo.mIncarnation.Empty() || mSession == 0) {
     return kAfterFailure;
@@ -212,61 +213,63 @@
   const Instant sentAt = MonotonicNow();
   // While the worker is silent, leases are not extended: the owner waits for
   // the end of the last one.
-  const auto reply = LookOnce(kLookWait, mLiveness.Answers());
+  const auto reply = PollOnce(kPollWait, mLiveness.Answers());
   if (!reply.ok()) {
-    NoteFailedLook(reply.status());
+    OnPollFailed(reply.status());
     return kAfterFailure;
   }
   const Instant now = MonotonicNow();
-  SetPaces();
+  UpdateThrottles();
   return now - sentAt < kShortestRound ? kShortestRound : Duration(1);
 }
 
-void WorkerControl::NoteFailedLook(const absl::Status& aStatus)
+void WorkerControl::OnPollFailed(const absl::Status& aStatus)
 {
-  const cell::LivenessNews news =
-    mLiveness.NoteFailedLook(net::IsConnectionRefused(aStatus), MonotonicNow());
-  if (news == cell::LivenessNews::None) {
+  const cell::LivenessChange news =
+    mLiveness.OnPollFailed(net::IsConnectionRefused(aStatus), MonotonicNow());
+  if (news == cell::LivenessChange::None) {
     return;
   }
-  const bool ended = news == cell::LivenessNews::Ended;
+  const bool ended = news == cell::LivenessChange::Ended;
   if (ended) {
-    NoteCrash();
+    RecordCrash();
   }
   LogWarning(ended ? "worker-ended" : "worker-silent",
              { { "incarnation", mInfo.mIncarnation },
                { "answerAgeMs",
-                 WholeMilliseconds(MonotonicNow() - mLiveness.AliveAt()) },
+                 WholeMilliseconds(MonotonicNow() - mLiveness.LastAnswerAt()) },
                { "error", aStatus.ToString() } });
-  mOnNews();
+  mOnChange();
 }
 
-void WorkerControl::SetPaces()
+void WorkerControl::UpdateThrottles()
 {
-  const std::vector<cell::RunningTask> running = mBook.Running();
+  const std::vector<cell::RunningTask> running = mStateTracker.Running();
   const Instant now = MonotonicNow();
-  mPaceLog.NoteLook(now);
-  const std::vector<cell::PaceChange> changes = mGovernor.Judge(running, now);
-  mPaceLog.NoteOver(mGovernor.OverTargets(now), now);
-  mPaceLog.NoteUnknown(mGovernor.UnknownTasks(), now);
-  if (mUnknownTasks.Take(mGovernor.UnknownTasks() > 0, now)) {
-    mBegun = false;
-    mOnNews();
+  mThrottleLog.OnPoll(now);
+  const std::vector<cell::ThrottleChange> changes =
+    mThrottleController.Update(running, now);
+  mThrottleLog.LogOverTarget(mThrottleController.OverTargets(now), now);
+  mThrottleLog.LogUnknownTasks(mThrottleController.UnknownTasks(), now);
+  if (mUnknownTasks.Update(mThrottleController.UnknownTasks() > 0, now)) {
+    mSessionReady = false;
+    mOnChange();
   }
   for (const bool raises : { false, true }) {
-    SendPaces(changes, raises);
+    SendThrottles(changes, raises);
   }
 }
 
 /// Side by side: without answers, one after the other would take a time-out
 /// each, and no look is taken meanwhile.
-void WorkerControl::SendPaces(std::span<const cell::PaceChange> aChanges,
-                              bool aRaises)
+void WorkerControl::SendThrottles(
+  std::span<const cell::ThrottleChange> aChanges,
+  bool aRaises)
 {
   std::vector<boost::fibers::fiber> calls;
-  for (const cell::PaceChange& change : aChanges) {
+  for (const cell::ThrottleChange& change : aChanges) {
     if (change.mRaises == aRaises) {
-      calls.emplace_back([this, &change] { SendPace(change); });
+      calls.emplace_back([this, &change] { SendThrottle(change); });
     }
   }
   for (boost::fibers::fiber& call : calls) {
@@ -274,21 +277,21 @@
   }
 }
 
-void WorkerControl::SendPace(const cell::PaceChange& aChange)
+void WorkerControl::SendThrottle(const cell::ThrottleChange& aChange)
 {
-  for (int attempt = 0; attempt < kPaceTries; ++attempt) {
+  for (int attempt = 0; attempt < kThrottleAttempts; ++attempt) {
     const cell::Fence fence = mFence;
-    const absl::Status status = mWorker.Pace(
+    const absl::Status status = mWorker.Throttle(
       { aChange.mTask, aChange.mRun, aChange.mPercent, fence }, kOrderTimeout);
-    mPaceLog.NotePace(aChange, fence, status);
+    mThrottleLog.LogThrottle(aChange, fence, status);
     if (status.ok()) {
-      mGovernor.NotePaced(aChange);
+      mThrottleController.OnThrottled(aChange);
       return;
     }
     if (VerdictOf(status) != Verdict::MayHaveRun) {
       return;
     }
-    mGovernor.NoteUnanswered(aChange);
+    mThrottleController.OnUnanswered(aChange);
     RaiseFence(fence);
   }
 }
@@ -301,7 +304,7 @@
   if (mFence < mSession + kFencesOfSession) {
     ++mFence;
   } else {
-    mBegun = false;
+    mSessionReady = false;
   }
 }
 
@@ -310,15 +313,15 @@
   WorkerSnapshot snapshot;
   snapshot.mState.mInfo = mInfo;
   if (!mLiveness.Ended()) {
-    snapshot.mState.mRunning = mBook.Running();
+    snapshot.mState.mRunning = mStateTracker.Running();
   }
-  snapshot.mState.mEnded = mBook.Ended();
+  snapshot.mState.mEnded = mStateTracker.Ended();
   snapshot.mState.mCrashes = { mCrashes.begin(), mCrashes.end() };
   snapshot.mAnswers = mLiveness.Answers();
   snapshot.mEnded = mLiveness.Ended();
   snapshot.mOrdersDone = mOrdersDone;
   const Instant now = MonotonicNow();
-  snapshot.mAnsweredAt = mLiveness.AliveAt().time_since_epoch();
+  snapshot.mAnsweredAt = mLiveness.LastAnswerAt().time_since_epoch();
   snapshot.mLeaseLeft = mLease.LeaseLeft(now);
   return snapshot;
 }
--- a/apps/taskagent/WorkerControlOrders.cpp
+++ b/apps/taskagent/WorkerControlOrders.cpp
@@ -23,7 +23,7 @@
 StartOutcome OutcomeOf(const absl::Status& aStatus)
 {
   return absl::IsUnavailable(aStatus) || absl::IsAborted(aStatus)
-           ? StartOutcome::Unwell
+           ? StartOutcome::Unhealthy
            : StartOutcome::NotStarted;
 }
 
@@ -35,9 +35,9 @@
   if (!InForce(aOrders)) {
     return reply;
   }
-  for (const cell::TaskTraits& traits : aOrders.mTraits) {
-    mGovernor.NoteTraits(traits);
-    mGate.NoteTask(traits.mTask, traits.mReserved);
+  for (const cell::TaskMetadata& traits : aOrders.mMetadata) {
+    mThrottleController.SetMetadata(traits);
+    mGate.SetReservation(traits.mTask, traits.mReserved);
   }
   bool settled = true;
   std::vector<boost::fibers::fiber> calls;
@@ -84,18 +84,18 @@
     return StartOutcome::NoLease;
   }
   if (mInfo.mDraining) {
-    return StartOutcome::Unwell;
+    return StartOutcome::Unhealthy;
   }
-  if (!HasRoom(aOrder)) {
+  if (!HasCapacityFor(aOrder)) {
     return StartOutcome::OverCapacity;
   }
-  mGovernor.NoteStart({ aOrder.mTask,
-                        aOrder.mLatencyTarget,
-                        aOrder.mLeftover,
-                        aOrder.mImage,
-                        aOrder.mReserved },
-                      aOrder.mRun);
-  mBook.NoteSent(aOrder.mTask, aOrder.mRun);
+  mThrottleController.OnStart({ aOrder.mTask,
+                                aOrder.mLatencyTarget,
+                                aOrder.mBestEffort,
+                                aOrder.mImage,
+                                aOrder.mReserved },
+                              aOrder.mRun);
+  mStateTracker.OnSent(aOrder.mTask, aOrder.mRun);
   const auto reply = mWorker.Start({ aOrder.mTask,
                                      aOrder.mRun,
                                      aOrder.mPayload,
@@ -107,20 +107,20 @@
   StartOutcome outcome = StartOutcome::NotStarted;
   bool fateKnown = true;
   if (reply.ok()) {
-    mLiveness.NoteCall(MonotonicNow());
+    mLiveness.OnCallAnswered(MonotonicNow());
     outcome = reply->mOutcome;
   } else if (VerdictOf(reply.status()) == Verdict::NotRun) {
     outcome = OutcomeOf(reply.status());
   } else if (!Settle(aOrders.mSession)) {
     fateKnown = false;
     aSettled = false;
-  } else if (mBook.Knows(aOrder.mTask, aOrder.mRun)) {
+  } else if (mStateTracker.Knows(aOrder.mTask, aOrder.mRun)) {
     outcome = StartOutcome::Started;
   }
   if (outcome == StartOutcome::Started) {
-    mBook.TakeStart(aOrder.mTask, aOrder.mRun, MonotonicNow());
+    mStateTracker.OnStarted(aOrder.mTask, aOrder.mRun, MonotonicNow());
   } else if (fateKnown) {
-    mBook.NoteNotStarted(aOrder.mTask, aOrder.mRun);
+    mStateTracker.OnNotStarted(aOrder.mTask, aOrder.mRun);
   }
   LogChange("task-started",
             { { "task", ToString(aOrder.mTask) },
@@ -129,17 +129,17 @@
               { "settled", fateKnown ? 1 : 0 },
               { "error", reply.ok() ? "" : reply.status().ToString() } });
   if (outcome == StartOutcome::Started) {
-    if (const auto change =
-          mGovernor.JudgeStart(aOrder.mTask, aOrder.mRun, MonotonicNow())) {
-      SendPace(*change);
+    if (const auto change = mThrottleController.ThrottleForStart(
+          aOrder.mTask, aOrder.mRun, MonotonicNow())) {
+      SendThrottle(*change);
     }
   }
   return outcome;
 }
 
-bool WorkerControl::HasRoom(const cell::StartOrder& aOrder)
+bool WorkerControl::HasCapacityFor(const cell::StartOrder& aOrder)
 {
-  const std::vector<cell::TaskRef> there = mBook.MayBeThere();
+  const std::vector<cell::TaskRef> there = mStateTracker.MayBeRunning();
   const Resources& capacity = mInfo.mCapacity;
   if (mGate.Admits(capacity, there, aOrder.mTask, aOrder.mReserved)) {
     return true;
--- a/apps/taskagent/WorkerTimeouts.h
+++ b/apps/taskagent/WorkerTimeouts.h
@@ -11,6 +11,6 @@
 /// settled instead of waited for.
 inline constexpr Duration kOrderTimeout = std::chrono::milliseconds(250);
 /// Of a look without a wait.
-inline constexpr Duration kLookTimeout = std::chrono::milliseconds(300);
+inline constexpr Duration kPollTimeout = std::chrono::milliseconds(300);
 
 } // namespace foxtailbarrow::taskagent
--- a/bench/cell/ScheduleRound.cpp
+++ b/bench/cell/ScheduleRound.cpp
@@ -36,7 +36,7 @@
       Add(i, Serving(i % kServingImages));
     }
     for (int i = 0; i < aWorkers; ++i) {
-      Add(aWorkers + i, Leftover(i % kLeftoverImages));
+      Add(aWorkers + i, BestEffort(i % kLeftoverImages));
     }
     Round();
     Learn();
@@ -61,12 +61,12 @@
     return step;
   }
 
-  static StepSpec Leftover(int aImage)
+  static StepSpec BestEffort(int aImage)
   {
     StepSpec step;
     step.mReplicas = kTasksPerJob;
     step.mDemand = { 7'000, 13'000, 0 };
-    step.mLeftover = true;
+    step.mBestEffort = true;
     step.mCheckpoints = true;
     step.mImage = "l" + std::to_string(aImage);
     step.mEstimate = seconds(2);
@@ -86,12 +86,12 @@
         const StepSpec& spec = mScheduler.Jobs().at(task.mJob).Spec(task);
         constexpr std::int64_t kFigure = 2000;
         report.mState.mRunning.push_back(
-          { task, run, {}, 100, spec.mLeftover ? kFigure : kFigure / 200 });
+          { task, run, {}, 100, spec.mBestEffort ? kFigure : kFigure / 200 });
       }
       mReports.push_back(std::move(report));
     }
     for (const ReportRequest& report : mReports) {
-      mScheduler.TakeReport(report, { mNow, 0 });
+      mScheduler.HandleReport(report, { mNow, 0 });
     }
   }
 
@@ -103,7 +103,7 @@
     state.mInfo.mCapacity = { 64'000, 256'000, 0 };
     mScheduler.AttachWorker(
       aAgent, { "127.0.0.1", 1 }, 256, state, { mNow, 0 });
-    mScheduler.NoteGrant(aAgent, mNow + std::chrono::hours(1));
+    mScheduler.OnGrant(aAgent, mNow + std::chrono::hours(1));
   }
 
   void Add(int aId, StepSpec aStep)
@@ -113,8 +113,8 @@
     graph.mQueue = QueueId("queue");
     graph.mSteps = { std::move(aStep) };
     mScheduler.AddJob({ graph, 0, false }, {}, 0, { mNow, 0 });
-    for (const UnrecordedProgress& job : mScheduler.Unrecorded(1)) {
-      mScheduler.NoteRecorded(job.mJob, job.mVersion, 1);
+    for (const UnsavedProgress& job : mScheduler.UnsavedJobs(1)) {
+      mScheduler.OnProgressSaved(job.mJob, job.mVersion, 1);
     }
   }
 
--- a/soak/Callers.cpp
+++ b/soak/Callers.cpp
@@ -54,7 +54,7 @@
     step["Daemon"] = spec.mStanding;
     if (!spec.mImage.empty()) {
       step["Image"] = spec.mImage;
-      step["Fills"] = spec.mLeftover;
+      step["Fills"] = spec.mBestEffort;
       step["MaxPerServer"] = spec.mMaxPerWorker;
       step["TargetMs"] = Json::Int64{
         std::chrono::duration_cast<milliseconds>(spec.mLatencyTarget).count()
@@ -150,7 +150,7 @@
   cell::JobGraph graph = OneStepJob(RandomId(mLeftoverRandom), program);
   cell::StepSpec& step = graph.mSteps[0];
   step.mReplicas = std::uniform_int_distribution<int>(2, 5)(mLeftoverRandom);
-  step.mLeftover = true;
+  step.mBestEffort = true;
   step.mCheckpoints = true;
   step.mImage = "leftover" + std::to_string(*program.mFills);
   return graph;
--- a/src/core/agent/CapacityLedger.cpp
+++ b/src/core/agent/CapacityLedger.cpp
@@ -23,9 +23,9 @@
 
 /// True when `aAmount` fits beside `aTaken`; subtracts, so that no sum of large
 /// declared sizes can overflow.
-bool FitsBeside(const Resources& aAmount,
-                const Resources& aTaken,
-                const Resources& aCapacity)
+bool FitsInRemaining(const Resources& aAmount,
+                     const Resources& aTaken,
+                     const Resources& aCapacity)
 {
   return aAmount.FitsIn(aCapacity - aTaken);
 }
@@ -76,8 +76,9 @@
   if (aAmount.mMillicores > share - ReservedBy(aCustomer).mMillicores) {
     return Reason::WaitingForQuota;
   }
-  return FitsBeside(aAmount, Reserved(), mCapacity) ? Reason::None
-                                                    : Reason::CapacityTaken;
+  return FitsInRemaining(aAmount, Reserved(), mCapacity)
+           ? Reason::None
+           : Reason::CapacityTaken;
 }
 
 void CapacityLedger::Release(const TaskKey& aKey)
@@ -98,7 +99,7 @@
 Reason CapacityLedger::ReserveService(const Resources& aAmount)
 {
   if (!mReady || IsNegative(aAmount) ||
-      !FitsBeside(aAmount, mTasks, mCapacity)) {
+      !FitsInRemaining(aAmount, mTasks, mCapacity)) {
     return Reason::CapacityTaken;
   }
   mService = aAmount;
--- a/src/core/agent/IdempotencyRegister.cpp
+++ b/src/core/agent/IdempotencyRegister.cpp
@@ -17,8 +17,8 @@
   Trim(aNow);
   if (const auto found = mRecords.find(aKey); found != mRecords.end()) {
     const Record& record = found->second;
-    if (record.mPromised) {
-      return AttemptPromised{};
+    if (record.mRevoked) {
+      return AttemptRevoked{};
     }
     if (record.mFingerprint != aFingerprint) {
       return AttemptMismatch{};
@@ -58,7 +58,8 @@
   Trim(aNow);
 }
 
-KeyPromise IdempotencyRegister::Revoke(const IdempotencyKey& aKey, Instant aNow)
+KeyRevocation IdempotencyRegister::Revoke(const IdempotencyKey& aKey,
+                                          Instant aNow)
 {
   const std::lock_guard lock(mMutex);
   Trim(aNow);
@@ -66,11 +67,11 @@
   Record& record = found->second;
   if (isNew) {
     record.mInProgress = false;
-    record.mPromised = true;
+    record.mRevoked = true;
     mEnded.push_back({ aKey, aNow });
     return { Verdict::NotRun, false };
   }
-  if (record.mPromised) {
+  if (record.mRevoked) {
     return { Verdict::NotRun, true };
   }
   return { record.mInProgress ? Verdict::MayHaveRun : record.mVerdict, false };
@@ -84,7 +85,7 @@
 
 void IdempotencyRegister::Trim(Instant aNow)
 {
-  while (!mEnded.empty() && (mEnded.front().mAt + mLimits.mKeptFor <= aNow ||
+  while (!mEnded.empty() && (mEnded.front().mAt + mLimits.mRetention <= aNow ||
                              mEnded.size() > mLimits.mMaxKeys)) {
     DropOldestKey();
   }
--- a/src/core/agent/IdempotencyRegister.h
+++ b/src/core/agent/IdempotencyRegister.h
@@ -38,7 +38,7 @@
   std::size_t mMaxKeys = 65'536;        ///< Of ended attempts.
   std::size_t mMaxAnswerBytes = 16'384; ///< Larger answers are not kept.
   std::size_t mMaxBytes = 16'777'216;   ///< Of all answers together.
-  Duration mKeptFor = std::chrono::minutes(10); ///< From the attempt's end.
+  Duration mRetention = std::chrono::minutes(10); ///< From the attempt's end.
 };
 
 /// First attempt, or every earlier one certainly did not run.
@@ -56,7 +56,7 @@
 {};
 
 /// Revoke() promised that no attempt under this key runs here.
-struct AttemptPromised
+struct AttemptRevoked
 {};
 
 /// An earlier attempt's answer.
@@ -66,7 +66,7 @@
 };
 
 /// Answer of IdempotencyRegister::Revoke().
-struct KeyPromise
+struct KeyRevocation
 {
   Verdict mVerdict = Verdict::MayHaveRun;
   bool mPromisedBefore = false; ///< NotRun, as an earlier answer said already.
@@ -75,14 +75,14 @@
 using KeyedAttempt = std::variant<AttemptAllowed,
                                   AttemptDuplicate,
                                   AttemptMismatch,
-                                  AttemptPromised,
+                                  AttemptRevoked,
                                   AttemptReplay>;
 
 /// Lets one attempt under an idempotency key run on this agent.
 ///
 /// Promises: while a key is remembered, a second attempt runs only after the
 /// earlier ones were NotRun; a short answer is replayed. Keys are remembered
-/// for `mKeptFor` after the attempt's end, fewer when more than `mMaxKeys`
+/// for `mRetention` after the attempt's end, fewer when more than `mMaxKeys`
 /// ended since; an attempt under a forgotten key runs. When answers hold more
 /// than `mMaxBytes` the oldest answers go, and their keys then give a
 /// duplicate. Nothing is known after a restart of the agent.
@@ -103,8 +103,8 @@
               Instant aNow);
 
   /// Whether an attempt under the key runs, ran or may have run here. Where the
-  /// answer is NotRun, none runs from now on, for `mKeptFor`.
-  KeyPromise Revoke(const IdempotencyKey& aKey, Instant aNow);
+  /// answer is NotRun, none runs from now on, for `mRetention`.
+  KeyRevocation Revoke(const IdempotencyKey& aKey, Instant aNow);
 
   std::size_t Size() const;
 
@@ -113,7 +113,7 @@
   {
     std::uint64_t mFingerprint = 0;
     bool mInProgress = true;
-    bool mPromised = false;
+    bool mRevoked = false;
     Verdict mVerdict = Verdict::MayHaveRun;
     std::shared_ptr<const StoredAnswer> mAnswer;
   };
--- a/src/core/agent/RefusedAssignments.cpp
+++ b/src/core/agent/RefusedAssignments.cpp
@@ -5,9 +5,9 @@
 namespace foxtailbarrow {
 
 RefusedAssignments::RefusedAssignments(std::size_t aMaxEntries,
-                                       Duration aKeptFor)
+                                       Duration aRetention)
   : mMaxEntries(aMaxEntries)
-  , mKeptFor(aKeptFor)
+  , mRetention(aRetention)
 {
 }
 
@@ -17,7 +17,7 @@
                                   Instant aNow)
 {
   while (!mQueue.empty() && (mQueue.size() >= mMaxEntries ||
-                             mQueue.front().mAt + mKeptFor <= aNow)) {
+                             mQueue.front().mAt + mRetention <= aNow)) {
     DropOldest();
   }
   Refusal& highest = mHighest[aKey.mJob];
--- a/src/core/agent/RefusedAssignments.h
+++ b/src/core/agent/RefusedAssignments.h
@@ -23,7 +23,7 @@
 class RefusedAssignments
 {
 public:
-  RefusedAssignments(std::size_t aMaxEntries, Duration aKeptFor);
+  RefusedAssignments(std::size_t aMaxEntries, Duration aRetention);
 
   /// `aSequence`: of the agent's newest heartbeat.
   void Remember(const TaskKey& aKey,
@@ -55,7 +55,7 @@
   void DropOldest();
 
   const std::size_t mMaxEntries;
-  const Duration mKeptFor;
+  const Duration mRetention;
   absl::flat_hash_map<JobId, Refusal> mHighest; ///< Of each job.
   std::deque<Queued> mQueue;
   std::uint64_t mFloor = 0;
--- a/src/core/agent/RequestRegister.cpp
+++ b/src/core/agent/RequestRegister.cpp
@@ -21,7 +21,7 @@
   return mShards[absl::HashOf(aRequest) >> 58];
 }
 
-RequestStanding RequestRegister::Begin(const RequestId& aRequest, Instant aNow)
+RequestAdmission RequestRegister::Begin(const RequestId& aRequest, Instant aNow)
 {
   Shard& shard = ShardOf(aRequest);
   const std::lock_guard lock(shard.mMutex);
@@ -29,18 +29,18 @@
   const auto [state, isNew] =
     shard.mStates.try_emplace(aRequest, State::InProgress);
   if (isNew) {
-    return RequestStanding::Admitted;
+    return RequestAdmission::Admitted;
   }
   switch (state->second) {
     case State::InProgress:
-      return RequestStanding::InProgress;
+      return RequestAdmission::InProgress;
     case State::Revoked:
-      return RequestStanding::Revoked;
+      return RequestAdmission::Revoked;
     case State::Ran:
     case State::MayHaveRun:
       break;
   }
-  return RequestStanding::Finished;
+  return RequestAdmission::Finished;
 }
 
 void RequestRegister::Finish(const RequestId& aRequest,
@@ -107,14 +107,14 @@
   while (!aShard.mFinished.empty()) {
     const Instant endedAt = aShard.mFinished.front().mAt;
     if (aShard.mFinished.size() <= mLimits.mMaxFinished / kShards &&
-        endedAt + mLimits.mFinishedFor > aNow) {
+        endedAt + mLimits.mFinishedRetention > aNow) {
       break;
     }
     aShard.mForgottenBefore = std::max(aShard.mForgottenBefore, endedAt);
     DropOldest(aShard, aShard.mFinished);
   }
   while (!aShard.mRevoked.empty() &&
-         aShard.mRevoked.front().mAt + mLimits.mRevokedFor <= aNow) {
+         aShard.mRevoked.front().mAt + mLimits.mRevokedRetention <= aNow) {
     DropOldest(aShard, aShard.mRevoked);
   }
 }
--- a/src/core/agent/RequestRegister.h
+++ b/src/core/agent/RequestRegister.h
@@ -20,15 +20,15 @@
   /// Requests that ran, remembered at most.
   std::size_t mMaxFinished = 65'536;
   /// Requests that ran are remembered for this long after their end.
-  Duration mFinishedFor = std::chrono::seconds(60);
+  Duration mFinishedRetention = std::chrono::seconds(60);
   /// Revoked ids, remembered at most; beyond it, Revoke() says MayHaveRun.
   std::size_t mMaxRevoked = 8'192;
   /// Revoked ids stay refused for this long.
-  Duration mRevokedFor = std::chrono::minutes(10);
+  Duration mRevokedRetention = std::chrono::minutes(10);
 };
 
 /// How an id that comes in stands.
-enum class RequestStanding : std::uint8_t
+enum class RequestAdmission : std::uint8_t
 {
   Admitted,   ///< Never seen: it may run, and Finish() must follow.
   InProgress, ///< It runs now: refuse, MayHaveRun.
@@ -40,12 +40,12 @@
 /// of them stays true.
 ///
 /// Promises: an id is admitted at most once while it is remembered; an id that
-/// Revoke() called NotRun is never admitted for `mRevokedFor`. Revoke() says
-/// NotRun only where the register certainly never admitted the id: it keeps
-/// the time before which it may have forgotten ids (its own start, and the end
-/// of the newest request that it dropped by age or for lack of room), and an
-/// unknown id that may be older than that gets MayHaveRun. So a full memory, a
-/// restart or a late question costs a retry, never a doubled run.
+/// Revoke() called NotRun is never admitted for `mRevokedRetention`. Revoke()
+/// says NotRun only where the register certainly never admitted the id: it
+/// keeps the time before which it may have forgotten ids (its own start, and
+/// the end of the newest request that it dropped by age or for lack of room),
+/// and an unknown id that may be older than that gets MayHaveRun. So a full
+/// memory, a restart or a late question costs a retry, never a doubled run.
 ///
 /// An id that ended NotRun is forgotten, so that a caller who was told when to
 /// come back may come with the same id. That is safe: the refusal consumed the
@@ -58,7 +58,7 @@
   /// `aStart`: the process's start; ids sent before it are unknown.
   RequestRegister(RequestRegisterLimits aLimits, Instant aStart);
 
-  RequestStanding Begin(const RequestId& aRequest, Instant aNow);
+  RequestAdmission Begin(const RequestId& aRequest, Instant aNow);
 
   /// Ends what Begin() admitted. `aVerdict` NotRun: it never reached the
   /// backend server.
--- a/src/core/agent/ShardLeases.cpp
+++ b/src/core/agent/ShardLeases.cpp
@@ -6,12 +6,12 @@
 
 void ShardLeases::HeartbeatSent(std::uint64_t aSequence, Instant aAt)
 {
-  mSent[aSequence % kRemembered] = { aSequence, aAt };
+  mSent[aSequence % kHeartbeatHistory] = { aSequence, aAt };
 }
 
 std::optional<Instant> ShardLeases::SentAt(std::uint64_t aSequence) const
 {
-  const Sending& sending = mSent[aSequence % kRemembered];
+  const SentHeartbeat& sending = mSent[aSequence % kHeartbeatHistory];
   if (aSequence == 0 || sending.mSequence != aSequence) {
     return std::nullopt;
   }
--- a/src/core/agent/ShardLeases.h
+++ b/src/core/agent/ShardLeases.h
@@ -54,15 +54,15 @@
     Duration mTtl{};
   };
 
-  struct Sending
+  struct SentHeartbeat
   {
     std::uint64_t mSequence = 0; ///< 0 = none.
     Instant mAt{};
   };
 
-  static constexpr std::size_t kRemembered = 2'048;
+  static constexpr std::size_t kHeartbeatHistory = 2'048;
 
-  std::array<Sending, kRemembered> mSent{};
+  std::array<SentHeartbeat, kHeartbeatHistory> mSent{};
   absl::flat_hash_map<ShardId, Lease> mLeases;
 };
 
--- a/src/core/agent/SlotGate.cpp
+++ b/src/core/agent/SlotGate.cpp
@@ -15,7 +15,7 @@
 constexpr std::int64_t kMeanDivisor = 16;
 
 /// Shown to callers even when a slot is expected sooner.
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(1);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(1);
 
 /// The gate's state in one word, so that one compare-and-swap decides.
 struct Packed
@@ -110,7 +110,7 @@
   std::uint64_t word = mState.load();
   for (;;) {
     if (Packed{ word }.Waiting() > 0) {
-      if (PassOn()) {
+      if (GrantToFirstWaiter()) {
         return;
       }
       word = mState.load();
@@ -123,7 +123,7 @@
   }
 }
 
-bool SlotGate::PassOn()
+bool SlotGate::GrantToFirstWaiter()
 {
   OnSlot onSlot;
   {
@@ -173,7 +173,7 @@
 
 SlotRefused SlotGate::Refuse(Reason aReason, std::int32_t aWaiting) const
 {
-  return { aReason, std::max(kLeastRetryAfter, ExpectedWait(aWaiting)) };
+  return { aReason, std::max(kMinRetryAfter, ExpectedWait(aWaiting)) };
 }
 
 } // namespace foxtailbarrow
--- a/src/core/agent/SlotGate.h
+++ b/src/core/agent/SlotGate.h
@@ -99,7 +99,7 @@
 
   Duration ExpectedWait(std::int32_t aWaiting) const;
   SlotRefused Refuse(Reason aReason, std::int32_t aWaiting) const;
-  bool PassOn();
+  bool GrantToFirstWaiter();
 
   const SlotGateLimits mLimits;
   std::atomic<std::uint64_t> mState{ 0 }; ///< See Packed in SlotGate.cpp.
--- a/src/core/agent/TaskTable.cpp
+++ b/src/core/agent/TaskTable.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using Wished = AgentTask::Wish;
+using Desired = AgentTask::DesiredState;
 
 std::string Text(Reason aReason)
 {
@@ -31,7 +31,7 @@
   , mIncarnation(aIncarnation)
   , mLedger(aLedger)
   , mShardOf(std::move(aShardOf))
-  , mRefused(aLimits.mMaxRefused, aLimits.mRefusedFor)
+  , mRefused(aLimits.mMaxRefused, aLimits.mRefusedRetention)
 {
 }
 
@@ -45,7 +45,7 @@
   if (!mTasks.contains(key)) {
     Reason reason = CheckLease(aAssign, aNow);
     if (reason == Reason::None) {
-      reason = CheckRoom(aAssign);
+      reason = CheckCapacity(aAssign);
     }
     if (reason != Reason::None) {
       return Refuse(aAssign, reason, aNow);
@@ -108,7 +108,7 @@
            : Reason::WaitingForLease;
 }
 
-Reason TaskTable::CheckRoom(const foxtailbarrow::Assign& aAssign)
+Reason TaskTable::CheckCapacity(const foxtailbarrow::Assign& aAssign)
 {
   if (mDraining) {
     return Reason::Draining;
@@ -142,10 +142,10 @@
   }
   switch (aControl.mAction) {
     case TaskAction::Stop:
-      Wish(*task, Wished::Stop, aControl.mReason);
+      DesiredState(*task, Desired::Stop, aControl.mReason);
       break;
     case TaskAction::Evict:
-      Wish(*task, Wished::Checkpoint, aControl.mReason);
+      DesiredState(*task, Desired::Checkpoint, aControl.mReason);
       break;
     case TaskAction::Throttle:
       Throttle(aControl.mKey, aControl.mFraction);
@@ -176,7 +176,7 @@
   }
   for (const TaskKey& key : aReply.mUnknown) {
     if (AgentTask* const task = Find(key)) {
-      Wish(*task, Wished::Stop, Reason::StaleEpoch);
+      DesiredState(*task, Desired::Stop, Reason::StaleEpoch);
       task->mAcknowledged = task->Ended();
     } else {
       mRefused.Remember(key, Reason::StaleEpoch, mSequence, aNow);
@@ -187,15 +187,15 @@
 void TaskTable::Evict(const TaskKey& aKey, Reason aReason)
 {
   if (AgentTask* const task = Find(aKey)) {
-    Wish(*task, Wished::Checkpoint, aReason);
+    DesiredState(*task, Desired::Checkpoint, aReason);
   }
 }
 
 void TaskTable::Throttle(const TaskKey& aKey, double aFraction)
 {
-  constexpr double kLeastFraction = 0.01;
+  constexpr double kMinFraction = 0.01;
   if (AgentTask* const task = Find(aKey)) {
-    task->mFraction = std::clamp(aFraction, kLeastFraction, 1.0);
+    task->mFraction = std::clamp(aFraction, kMinFraction, 1.0);
   }
 }
 
@@ -203,17 +203,19 @@
 {
   mDraining = true;
   for (auto& [key, task] : mTasks) {
-    Wish(task, Wished::Checkpoint, Reason::EvictedForDrain);
+    DesiredState(task, Desired::Checkpoint, Reason::EvictedForDrain);
   }
 }
 
 /// A wish only ever becomes stronger: run, checkpoint, stop.
-void TaskTable::Wish(AgentTask& aTask, AgentTask::Wish aWish, Reason aReason)
+void TaskTable::DesiredState(AgentTask& aTask,
+                             AgentTask::DesiredState aDesiredState,
+                             Reason aReason)
 {
-  if (aTask.Ended() || aWish <= aTask.mWish) {
+  if (aTask.Ended() || aDesiredState <= aTask.mDesiredState) {
     return;
   }
-  aTask.mWish = aWish;
+  aTask.mDesiredState = aDesiredState;
   aTask.mReason = aReason;
   if (!aTask.mStartTried) {
     End(aTask, TaskState::Stopped, Text(aReason));
@@ -247,10 +249,10 @@
     return task->second.mStatus;
   }
   const auto forgotten = std::find_if(
-    mForgotten.begin(), mForgotten.end(), [&aKey](const TaskStatus& aStatus) {
-      return aStatus.mKey == aKey;
-    });
-  if (forgotten == mForgotten.end()) {
+    mAcknowledgedEnds.begin(),
+    mAcknowledgedEnds.end(),
+    [&aKey](const TaskStatus& aStatus) { return aStatus.mKey == aKey; });
+  if (forgotten == mAcknowledgedEnds.end()) {
     return std::nullopt;
   }
   return *forgotten;
--- a/src/core/agent/TaskTable.h
+++ b/src/core/agent/TaskTable.h
@@ -34,14 +34,15 @@
   std::int32_t mMaxTries = 4;
   std::size_t mMaxTasks = 512;
   std::size_t mMaxRefused = 4'096;
-  std::size_t mMaxForgotten = 256; ///< Final states kept to answer Control.
-  Duration mRefusedFor = std::chrono::minutes(2);
+  std::size_t mMaxAcknowledgedEnds =
+    256; ///< Final states kept to answer Control.
+  Duration mRefusedRetention = std::chrono::minutes(2);
 };
 
 /// A task as the agent knows it, for reports and the state dump.
 struct AgentTask
 {
-  enum class Wish : std::uint8_t
+  enum class DesiredState : std::uint8_t
   {
     Run,
     Checkpoint,
@@ -51,19 +52,19 @@
   TaskStart mStart;
   ShardId mShard = 0;
   TaskStatus mStatus;
-  Wish mWish = Wish::Run;
+  DesiredState mDesiredState = DesiredState::Run;
   Reason mReason = Reason::None; ///< Why it is not wished to run.
   double mFraction = 1.0;        ///< Of its processors, as wished.
   double mAppliedFraction = 1.0;
   bool mStartTried = false;
-  bool mStarted = false;  ///< The worker has confirmed it.
-  bool mStopDone = false; ///< The worker took the stop; its view says how.
-  bool mBusy = false;     ///< A call about it is under way.
+  bool mStarted = false;      ///< The worker has confirmed it.
+  bool mStopAccepted = false; ///< The worker took the stop; its view says how.
+  bool mBusy = false;         ///< A call about it is under way.
   bool mAcknowledged = false;
   std::int32_t mStartTries = 0; ///< That failed.
   std::int32_t mCheckpointTries = 0;
-  Instant mNotBefore{}; ///< Of the next call.
-  Instant mSettledAt{}; ///< Views asked for earlier say nothing about it.
+  Instant mNotBefore{};   ///< Of the next call.
+  Instant mStableSince{}; ///< Views asked for earlier say nothing about it.
 
   bool Ended() const { return mStatus.mState != TaskState::Running; }
 };
@@ -174,19 +175,21 @@
                      Instant aNow);
   Reason CheckFences(const foxtailbarrow::Assign& aAssign) const;
   Reason CheckLease(const foxtailbarrow::Assign& aAssign, Instant aNow);
-  Reason CheckRoom(const foxtailbarrow::Assign& aAssign);
-  void Wish(AgentTask& aTask, AgentTask::Wish aWish, Reason aReason);
+  Reason CheckCapacity(const foxtailbarrow::Assign& aAssign);
+  void DesiredState(AgentTask& aTask,
+                    AgentTask::DesiredState aDesiredState,
+                    Reason aReason);
   void End(AgentTask& aTask,
            TaskState aState,
            std::string aReason,
            std::string aCheckpoint = {});
-  void Settle(AgentTask& aTask, const absl::Status& aResult, Instant aNow);
-  void WatchLease(AgentTask& aTask, Instant aNow);
+  void OnCallDone(AgentTask& aTask, const absl::Status& aResult, Instant aNow);
+  void EnforceLease(AgentTask& aTask, Instant aNow);
   void AddDue(AgentTask& aTask, Instant aNow, std::vector<WorkerCall>& aCalls);
-  void EndUnseen(AgentTask& aTask);
+  void EndMissingTask(AgentTask& aTask);
   void Adopt(const TaskStatus& aStatus, Instant aNow);
   void ObserveOne(AgentTask& aTask, const TaskStatus& aStatus);
-  void Forget(const TaskKey& aKey, Instant aNow);
+  void Erase(const TaskKey& aKey, Instant aNow);
   AgentTask* Find(const TaskKey& aKey);
 
   const TaskTableLimits mLimits;
@@ -196,9 +199,9 @@
   ShardLeases mLeases;
   RefusedAssignments mRefused;
   absl::btree_map<TaskKey, AgentTask> mTasks;
-  std::deque<TaskStatus> mForgotten; ///< Oldest first.
+  std::deque<TaskStatus> mAcknowledgedEnds; ///< Oldest first.
   std::uint64_t mSequence = 0;
-  Instant mForgottenAt{}; ///< When a task was last erased.
+  Instant mLastErasedAt{}; ///< When a task was last erased.
   bool mDraining = false;
 };
 
--- a/src/core/agent/TaskTableWorker.cpp
+++ b/src/core/agent/TaskTableWorker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using Wished = AgentTask::Wish;
+using Desired = AgentTask::DesiredState;
 
 /// Leases that differ by less than this are renewed in one call.
 constexpr Duration kRenewalStep = std::chrono::seconds(4);
@@ -40,15 +40,15 @@
     seen[status.mKey] = &status;
     if (AgentTask* const task = Find(status.mKey)) {
       ObserveOne(*task, status);
-    } else if (aAskedAt >= mForgottenAt) {
+    } else if (aAskedAt >= mLastErasedAt) {
       Adopt(status, aNow);
     }
   }
   for (auto& [key, task] : mTasks) {
-    const bool settled = !task.mBusy && aAskedAt >= task.mSettledAt;
-    const bool isKnown = task.mStarted || task.mStopDone;
+    const bool settled = !task.mBusy && aAskedAt >= task.mStableSince;
+    const bool isKnown = task.mStarted || task.mStopAccepted;
     if (isKnown && !task.Ended() && settled && !seen.contains(key)) {
-      EndUnseen(task);
+      EndMissingTask(task);
     }
   }
   mLedger.Rebuild(aView);
@@ -73,7 +73,7 @@
 }
 
 /// Ends a task of which the worker knows nothing.
-void TaskTable::EndUnseen(AgentTask& aTask)
+void TaskTable::EndMissingTask(AgentTask& aTask)
 {
   if (aTask.mStartTries >= mLimits.mMaxTries) {
     End(aTask, TaskState::Failed, kStartFailed);
@@ -95,9 +95,9 @@
   task.mStatus = aStatus;
   task.mStartTried = true;
   task.mStarted = true;
-  task.mSettledAt = aNow;
+  task.mStableSince = aNow;
   if (mDraining) {
-    Wish(task, Wished::Checkpoint, Reason::EvictedForDrain);
+    DesiredState(task, Desired::Checkpoint, Reason::EvictedForDrain);
   }
 }
 
@@ -106,7 +106,7 @@
   std::vector<WorkerCall> calls;
   CallAcknowledge acknowledge;
   for (auto& [key, task] : mTasks) {
-    WatchLease(task, aNow);
+    EnforceLease(task, aNow);
     if (task.mBusy || aNow < task.mNotBefore) {
       continue;
     }
@@ -123,7 +123,7 @@
   return calls;
 }
 
-void TaskTable::WatchLease(AgentTask& aTask, Instant aNow)
+void TaskTable::EnforceLease(AgentTask& aTask, Instant aNow)
 {
   const auto until = mLeases.Until(aTask.mShard);
   // A task found after a restart has no lease here yet; it runs on under the
@@ -134,9 +134,9 @@
   const Duration ahead =
     std::min(mLimits.mCheckpointAhead, mLeases.Ttl(aTask.mShard) / 4);
   if (*until <= aNow) {
-    Wish(aTask, Wished::Stop, Reason::LeaseLapsed);
+    DesiredState(aTask, Desired::Stop, Reason::LeaseLapsed);
   } else if (*until - ahead <= aNow && aTask.mStarted) {
-    Wish(aTask, Wished::Checkpoint, Reason::LeaseLapsed);
+    DesiredState(aTask, Desired::Checkpoint, Reason::LeaseLapsed);
   }
 }
 
@@ -145,8 +145,8 @@
                        std::vector<WorkerCall>& aCalls)
 {
   const TaskKey& key = aTask.mStatus.mKey;
-  switch (aTask.mWish) {
-    case Wished::Run:
+  switch (aTask.mDesiredState) {
+    case Desired::Run:
       if (!aTask.mStarted) {
         aTask.mStartTried = true;
         aTask.mStart.mLease =
@@ -158,11 +158,11 @@
         return;
       }
       break;
-    case Wished::Checkpoint:
+    case Desired::Checkpoint:
       aCalls.emplace_back(CallCheckpoint{ key });
       break;
-    case Wished::Stop:
-      if (aTask.mStopDone) {
+    case Desired::Stop:
+      if (aTask.mStopAccepted) {
         return;
       }
       aCalls.emplace_back(CallStop{ key });
@@ -177,7 +177,7 @@
   for (const auto& [key, task] : mTasks) {
     const Duration left =
       std::min(mLimits.mTaskLease, mLeases.Left(task.mShard, aNow));
-    if (!task.mStarted || task.Ended() || task.mWish == Wished::Stop ||
+    if (!task.mStarted || task.Ended() || task.mDesiredState == Desired::Stop ||
         left <= Duration{}) {
       continue;
     }
@@ -193,12 +193,12 @@
   return renewals;
 }
 
-void TaskTable::Settle(AgentTask& aTask,
-                       const absl::Status& aResult,
-                       Instant aNow)
+void TaskTable::OnCallDone(AgentTask& aTask,
+                           const absl::Status& aResult,
+                           Instant aNow)
 {
   aTask.mBusy = false;
-  aTask.mSettledAt = aNow;
+  aTask.mStableSince = aNow;
   if (!aResult.ok()) {
     aTask.mNotBefore = aNow + mLimits.mRetryPause;
   }
@@ -212,7 +212,7 @@
   if (task == nullptr) {
     return;
   }
-  Settle(*task, aResult, aNow);
+  OnCallDone(*task, aResult, aNow);
   if (task->Ended()) {
     return;
   }
@@ -221,7 +221,7 @@
   } else if (IsFinalRefusal(aResult)) {
     End(*task, TaskState::Failed, std::string(aResult.message()));
   } else if (++task->mStartTries >= mLimits.mMaxTries) {
-    Wish(*task, Wished::Stop, Reason::None);
+    DesiredState(*task, Desired::Stop, Reason::None);
   }
 }
 
@@ -233,15 +233,15 @@
   if (task == nullptr) {
     return;
   }
-  Settle(*task, aResult, aNow);
+  OnCallDone(*task, aResult, aNow);
   if (task->Ended()) {
     return;
   }
   if (absl::IsNotFound(aResult)) {
-    EndUnseen(*task);
+    EndMissingTask(*task);
   }
   // It may have ended by itself just before the stop: the next view tells.
-  task->mStopDone = aResult.ok();
+  task->mStopAccepted = aResult.ok();
 }
 
 void TaskTable::CheckpointDone(const TaskKey& aKey,
@@ -252,7 +252,7 @@
   if (task == nullptr) {
     return;
   }
-  Settle(*task, aResult.status(), aNow);
+  OnCallDone(*task, aResult.status(), aNow);
   if (task->Ended()) {
     return;
   }
@@ -261,7 +261,7 @@
   } else if (absl::IsNotFound(aResult.status())) {
     End(*task, TaskState::Stopped, kCheckpointFailed);
   } else if (++task->mCheckpointTries >= mLimits.mMaxTries) {
-    Wish(*task, Wished::Stop, task->mReason);
+    DesiredState(*task, Desired::Stop, task->mReason);
   }
 }
 
@@ -271,7 +271,7 @@
                              Instant aNow)
 {
   if (AgentTask* const task = Find(aKey)) {
-    Settle(*task, aResult, aNow);
+    OnCallDone(*task, aResult, aNow);
     if (aResult.ok()) {
       task->mAppliedFraction = aFraction;
     }
@@ -284,24 +284,24 @@
 {
   for (const TaskKey& key : aKeys) {
     if (AgentTask* const task = Find(key)) {
-      Settle(*task, aResult, aNow);
+      OnCallDone(*task, aResult, aNow);
       if (aResult.ok()) {
-        Forget(key, aNow);
+        Erase(key, aNow);
       }
     }
   }
 }
 
-void TaskTable::Forget(const TaskKey& aKey, Instant aNow)
+void TaskTable::Erase(const TaskKey& aKey, Instant aNow)
 {
   const auto task = mTasks.find(aKey);
   mRefused.Remember(aKey, Reason::StaleEpoch, mSequence, aNow);
-  mForgotten.push_back(std::move(task->second.mStatus));
-  if (mForgotten.size() > mLimits.mMaxForgotten) {
-    mForgotten.pop_front();
+  mAcknowledgedEnds.push_back(std::move(task->second.mStatus));
+  if (mAcknowledgedEnds.size() > mLimits.mMaxAcknowledgedEnds) {
+    mAcknowledgedEnds.pop_front();
   }
   mTasks.erase(task);
-  mForgottenAt = aNow;
+  mLastErasedAt = aNow;
 }
 
 } // namespace foxtailbarrow
--- a/src/core/base/ResumeWatch.h
+++ b/src/core/base/ResumeWatch.h
@@ -21,7 +21,7 @@
   using SteadyTime = std::chrono::steady_clock::time_point;
 
   /// How long the machine was suspended since the last look, if it was.
-  std::optional<Duration> Look(Instant aNow, SteadyTime aSteady)
+  std::optional<Duration> Poll(Instant aNow, SteadyTime aSteady)
   {
     const Duration ahead =
       aNow.time_since_epoch() -
--- a/src/core/cell/Candidacy.h
+++ b/src/core/cell/Candidacy.h
@@ -26,7 +26,7 @@
     return aNow - *mVacantSince >= mDelay;
   }
 
-  void SeeOwner() { mVacantSince.reset(); }
+  void OnOwnerSeen() { mVacantSince.reset(); }
 
 private:
   static constexpr double kAmpleShare = 0.2;
--- a/src/core/cell/CapacityGate.cpp
+++ b/src/core/cell/CapacityGate.cpp
@@ -4,7 +4,8 @@
 
 namespace foxtailbarrow::cell {
 
-void CapacityGate::NoteTask(const TaskRef& aTask, const Resources& aReserved)
+void CapacityGate::SetReservation(const TaskRef& aTask,
+                                  const Resources& aReserved)
 {
   mReserved.insert_or_assign(aTask, aReserved);
 }
--- a/src/core/cell/CapacityGate.h
+++ b/src/core/cell/CapacityGate.h
@@ -16,7 +16,7 @@
 {
 public:
   /// What a task reserves that the agent did not start itself.
-  void NoteTask(const TaskRef& aTask, const Resources& aReserved);
+  void SetReservation(const TaskRef& aTask, const Resources& aReserved);
 
   /// True when the start fits the capacity beside what is there: what runs, is
   /// being stopped, or was sent in this session and has no answer yet. A task
--- a/src/core/cell/CellMessages.cpp
+++ b/src/core/cell/CellMessages.cpp
@@ -10,16 +10,16 @@
   { RunEnd::Done, "done" },
   { RunEnd::Failed, "failed" },
   { RunEnd::Stopped, "stopped" },
-  { RunEnd::Lapsed, "lapsed" },
-  { RunEnd::Broken, "broken" },
-  { RunEnd::Alone, "alone" },
+  { RunEnd::LeaseExpired, "lapsed" },
+  { RunEnd::GangBroken, "broken" },
+  { RunEnd::GangIncomplete, "alone" },
 });
 
 constexpr EnumText<StartOutcome, 8> kStartOutcomes({
   { StartOutcome::Started, "started" },
-  { StartOutcome::NoRoom, "no-room" },
-  { StartOutcome::OldRun, "old-run" },
-  { StartOutcome::Unwell, "unwell" },
+  { StartOutcome::NoFreeCapacity, "no-room" },
+  { StartOutcome::StaleRun, "old-run" },
+  { StartOutcome::Unhealthy, "unwell" },
   { StartOutcome::NoLease, "no-lease" },
   { StartOutcome::NoTicket, "no-ticket" },
   { StartOutcome::NotStarted, "not-started" },
--- a/src/core/cell/CellMessages.h
+++ b/src/core/cell/CellMessages.h
@@ -11,7 +11,7 @@
 #include "foxtailbarrow/Id.h"
 #include "foxtailbarrow/Resources.h"
 #include "foxtailbarrow/Time.h"
-#include "src/core/cell/Interference.h"
+#include "src/core/cell/InterferenceEstimator.h"
 #include "src/core/cell/JobGraph.h"
 #include "src/core/cell/WorkerChange.h"
 #include "src/core/cell/WorkerState.h"
@@ -34,7 +34,7 @@
   std::string mCheckpoint;
   std::string mTicket; ///< Where another service chooses workers; else empty.
   Duration mLatencyTarget{}; ///< 0 = not a serving task.
-  bool mLeftover = false;    ///< May be slowed to protect serving tasks.
+  bool mBestEffort = false;  ///< May be slowed to protect serving tasks.
   std::string mImage;
   Resources mReserved{}; ///< Of the worker's capacity.
 };
@@ -46,11 +46,11 @@
 };
 
 /// What an agent must know of a task that it did not start itself.
-struct TaskTraits
+struct TaskMetadata
 {
   TaskRef mTask;
   Duration mLatencyTarget{};
-  bool mLeftover = false;
+  bool mBestEffort = false;
   std::string mImage;
   Resources mReserved{};
 };
@@ -58,9 +58,9 @@
 enum class StartOutcome : std::uint8_t
 {
   Started,
-  NoRoom,     ///< The worker refused for lack of room.
-  OldRun,     ///< A run as high has ended or been stopped there.
-  Unwell,     ///< The worker is unhealthy, draining, or another incarnation.
+  NoFreeCapacity, ///< The worker refused for lack of room.
+  StaleRun,       ///< A run as high has ended or been stopped there.
+  Unhealthy,  ///< The worker is unhealthy, draining, or another incarnation.
   NoLease,    ///< The agent's grant has run out.
   NoTicket,   ///< The worker rejected the ticket.
   NotStarted, ///< Certainly not started, for another reason.
@@ -100,7 +100,7 @@
   WorkerIncarnation mIncarnation; ///< The orders are for this one alone.
   std::vector<StartOrder> mStarts;
   std::vector<StopOrder> mStops;
-  std::vector<TaskTraits> mTraits;
+  std::vector<TaskMetadata> mMetadata;
 };
 
 struct OrderReply
@@ -152,8 +152,9 @@
   std::int64_t mAcknowledged = 0; ///< Ends up to this one are recorded.
   /// The report's base was not the newest report taken: the next one must tell
   /// the whole state.
-  bool mSendWhole = false;
-  std::vector<Pressure> mPressures; ///< Of the images on the agent's worker.
+  bool mSendFullState = false;
+  std::vector<InterferenceWeight>
+    mPressures; ///< Of the images on the agent's worker.
 };
 
 /// `cell.find`: anyone to a scheduler.
--- a/src/core/cell/CellRecords.cpp
+++ b/src/core/cell/CellRecords.cpp
@@ -31,7 +31,7 @@
   return aKey.substr(aPrefix.size());
 }
 
-JobPhase RecordedPhase(const std::optional<StoredProgress>& aProgress)
+JobPhase SavedPhase(const std::optional<StoredProgress>& aProgress)
 {
   return aProgress ? aProgress->mPhase : JobPhase::Queued;
 }
--- a/src/core/cell/CellRecords.h
+++ b/src/core/cell/CellRecords.h
@@ -60,7 +60,7 @@
   std::int32_t mIndex = 0;
   CrashHistory::Runs mRuns;
   RunNumber mClearedTo = 0;
-  RunNumber mAnnounced = 0; ///< Newest start that is not settled.
+  RunNumber mUnsettledStart = 0; ///< Newest start that is not settled.
 
   bool operator==(const StoredCrashes&) const = default;
 };
@@ -92,7 +92,7 @@
 /// What a caller is told by the records alone. A final phase only by the
 /// owner's record: a job may have ended before its cancellation reached the
 /// owner, so that its cancellation in the store does not tell how it ends.
-JobPhase RecordedPhase(const std::optional<StoredProgress>& aProgress);
+JobPhase SavedPhase(const std::optional<StoredProgress>& aProgress);
 
 /// `owner`, under a lease: who owns the cell now.
 struct OwnerRecord
--- a/src/core/cell/CellScheduler.cpp
+++ b/src/core/cell/CellScheduler.cpp
@@ -10,7 +10,7 @@
 
 Instant DeadlineOf(const JobEntry& aJob)
 {
-  const double chain = static_cast<double>(LongestChain(aJob.Graph()).count()) *
+  const double chain = static_cast<double>(CriticalPath(aJob.Graph()).count()) *
                        aJob.mPolicy.mStretch;
   return aJob.mAcceptedAt + Duration(static_cast<Duration::rep>(chain)) +
          aJob.mPolicy.mAllowance;
@@ -47,7 +47,7 @@
   for (const QueuePolicy& queue : aQueues) {
     mQueues.emplace(queue.mQueue, queue);
   }
-  for (const JobId& id : mActive) {
+  for (const JobId& id : mActiveJobs) {
     JobEntry& job = mJobs.at(id);
     if (const auto found = mQueues.find(job.Graph().mQueue);
         found != mQueues.end()) {
@@ -91,11 +91,11 @@
           .mJob = id,
           .mReason = ToString(job.mPhase),
           .mAgeMs = ageMs });
-  mActive.insert(id);
+  mActiveJobs.insert(id);
   if (aStored.mCancelled) {
     CancelJob(id, aClock);
   } else if (!job.mInherited) {
-    MarkChanged(job, aClock.mNow);
+    MarkUnsaved(job, aClock.mNow);
   }
 }
 
@@ -112,15 +112,15 @@
 void CellScheduler::DropJob(const JobId& aJob)
 {
   mJobs.erase(aJob);
-  mActive.erase(aJob);
-  mUnrecorded.erase(aJob);
+  mActiveJobs.erase(aJob);
+  mUnsaved.erase(aJob);
 }
 
-void CellScheduler::MarkChanged(JobEntry& aJob, Instant aNow)
+void CellScheduler::MarkUnsaved(JobEntry& aJob, Instant aNow)
 {
   ++aJob.mVersion;
-  if (mUnrecorded.insert(aJob.Graph().mId).second) {
-    aJob.mUnrecordedSince = aNow;
+  if (mUnsaved.insert(aJob.Graph().mId).second) {
+    aJob.mUnsavedSince = aNow;
   }
 }
 
@@ -130,7 +130,7 @@
 {
   aJob.mPhase = aPhase;
   aJob.mEndedUnixMs = aClock.mUnixMs;
-  mActive.erase(aJob.Graph().mId);
+  mActiveJobs.erase(aJob.Graph().mId);
   const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
     aClock.mNow - aJob.mAcceptedAt);
   mSink({ .mEvent = "job-end",
@@ -138,7 +138,7 @@
           .mReason = ToString(aPhase),
           .mAgeMs = age.count() });
   StopRuns(aJob, aClock);
-  MarkChanged(aJob, aClock.mNow);
+  MarkUnsaved(aJob, aClock.mNow);
 }
 
 void CellScheduler::StopRuns(JobEntry& aJob, const CellClock& aClock)
@@ -159,12 +159,12 @@
   }
 }
 
-std::vector<UnrecordedProgress> CellScheduler::Unrecorded(
-  std::size_t aMost) const
+std::vector<UnsavedProgress> CellScheduler::UnsavedJobs(
+  std::size_t aMaxJobs) const
 {
-  std::vector<UnrecordedProgress> unrecorded;
-  for (const JobId& id : mUnrecorded) {
-    if (unrecorded.size() == aMost) {
+  std::vector<UnsavedProgress> unrecorded;
+  for (const JobId& id : mUnsaved) {
+    if (unrecorded.size() == aMaxJobs) {
       break;
     }
     const JobEntry& job = mJobs.at(id);
@@ -172,47 +172,47 @@
                            job.mVersion,
                            ProgressOf(job),
                            job.mProgressRevision,
-                           job.mUnrecordedSince });
+                           job.mUnsavedSince });
   }
   return unrecorded;
 }
 
-void CellScheduler::NoteRecorded(const JobId& aJob,
-                                 std::uint64_t aVersion,
-                                 Revision aRevision)
+void CellScheduler::OnProgressSaved(const JobId& aJob,
+                                    std::uint64_t aVersion,
+                                    Revision aRevision)
 {
   const auto found = mJobs.find(aJob);
   if (found == mJobs.end()) {
     return;
   }
   JobEntry& job = found->second;
-  job.mRecorded = std::max(job.mRecorded, aVersion);
+  job.mSavedVersion = std::max(job.mSavedVersion, aVersion);
   job.mProgressRevision = aRevision;
-  job.mRecordInDoubt = false;
-  if (job.mRecorded >= job.mVersion) {
-    mUnrecorded.erase(aJob);
+  job.mSaveInDoubt = false;
+  if (job.mSavedVersion >= job.mVersion) {
+    mUnsaved.erase(aJob);
   }
 }
 
-void CellScheduler::NoteRecordInDoubt(const JobId& aJob)
+void CellScheduler::OnProgressSaveInDoubt(const JobId& aJob)
 {
   if (const auto found = mJobs.find(aJob); found != mJobs.end()) {
-    found->second.mRecordInDoubt = true;
+    found->second.mSaveInDoubt = true;
   }
 }
 
-void CellScheduler::NoteProgressRevision(const JobId& aJob, Revision aRevision)
+void CellScheduler::SetProgressRevision(const JobId& aJob, Revision aRevision)
 {
   if (const auto found = mJobs.find(aJob); found != mJobs.end()) {
     found->second.mProgressRevision = aRevision;
   }
 }
 
-std::uint64_t CellScheduler::RecordedVersion(const JobId& aJob) const
+std::uint64_t CellScheduler::SavedVersion(const JobId& aJob) const
 {
   const auto found = mJobs.find(aJob);
   return found == mJobs.end() ? std::numeric_limits<std::uint64_t>::max()
-                              : found->second.mRecorded;
+                              : found->second.mSavedVersion;
 }
 
 std::int64_t CellScheduler::Acknowledged(const AgentId& aAgent)
@@ -222,7 +222,7 @@
     return 0;
   }
   return found->second.mEnds.Acknowledge(
-    [this](const JobId& aJob) { return RecordedVersion(aJob); });
+    [this](const JobId& aJob) { return SavedVersion(aJob); });
 }
 
 std::optional<JobPhase> CellScheduler::PhaseOf(const JobId& aJob) const
@@ -232,17 +232,17 @@
     return std::nullopt;
   }
   const JobEntry& job = found->second;
-  const bool ahead = job.mRecorded < job.mVersion;
+  const bool ahead = job.mSavedVersion < job.mVersion;
   if (ahead && job.Final()) {
     // A caller who read the store may have seen the end already.
-    return job.mRecordInDoubt ? std::nullopt : std::optional(JobPhase::Running);
+    return job.mSaveInDoubt ? std::nullopt : std::optional(JobPhase::Running);
   }
   return job.mPhase;
 }
 
 std::int64_t CellScheduler::WaitingJobs(const QueueId& aQueue) const
 {
-  return std::ranges::count_if(mActive, [&](const JobId& aId) {
+  return std::ranges::count_if(mActiveJobs, [&](const JobId& aId) {
     const JobEntry& job = mJobs.at(aId);
     return job.Graph().mQueue == aQueue && job.mPhase == JobPhase::Queued;
   });
@@ -252,7 +252,7 @@
 {
   std::vector<JobId> ended;
   for (const auto& [id, job] : mJobs) {
-    if (job.Final() && job.mRecorded >= job.mVersion && !HasRuns(job) &&
+    if (job.Final() && job.mSavedVersion >= job.mVersion && !HasRuns(job) &&
         job.mEndedUnixMs < aUnixMs) {
       ended.push_back(id);
     }
@@ -260,12 +260,12 @@
   return ended;
 }
 
-void CellScheduler::Tell(std::string_view aEvent,
-                         const TaskRef& aTask,
-                         const AgentId& aAgent,
-                         RunNumber aRun,
-                         std::string_view aReason,
-                         std::int64_t aAgeMs) const
+void CellScheduler::LogDecision(std::string_view aEvent,
+                                const TaskRef& aTask,
+                                const AgentId& aAgent,
+                                RunNumber aRun,
+                                std::string_view aReason,
+                                std::int64_t aAgeMs) const
 {
   // Without a task it is about the worker.
   const bool task = !aTask.mJob.Empty();
--- a/src/core/cell/CellScheduler.h
+++ b/src/core/cell/CellScheduler.h
@@ -11,13 +11,13 @@
 #include "src/core/cell/CellDecision.h"
 #include "src/core/cell/CellMessages.h"
 #include "src/core/cell/CellSettings.h"
-#include "src/core/cell/CrashFigures.h"
+#include "src/core/cell/CrashCounters.h"
 #include "src/core/cell/CrashTrials.h"
 #include "src/core/cell/CrashedWorker.h"
-#include "src/core/cell/FullFor.h"
 #include "src/core/cell/JobEntry.h"
 #include "src/core/cell/LossCause.h"
-#include "src/core/cell/UnrecordedProgress.h"
+#include "src/core/cell/RefusedDemands.h"
+#include "src/core/cell/UnsavedProgress.h"
 #include "src/core/cell/WorkerChoice.h"
 #include "src/core/cell/WorkerEntry.h"
 
@@ -74,36 +74,36 @@
 
   /// False when the report belongs to no session in force, and when the worker
   /// has left for good, which ends its session. One that builds on another
-  /// report than the newest is not taken: SendsWhole() then is true.
-  bool TakeReport(const ReportRequest& aReport, const CellClock& aClock);
+  /// report than the newest is not taken: NeedsFullState() then is true.
+  bool HandleReport(const ReportRequest& aReport, const CellClock& aClock);
 
   /// The agent's next report must tell the whole state.
-  bool SendsWhole(const AgentId& aAgent) const;
+  bool NeedsFullState(const AgentId& aAgent) const;
 
   /// The session broke; tasks may run until their leases are over.
   void DetachWorker(const AgentId& aAgent, const CellClock& aClock);
 
-  void TakeStartResults(const AgentId& aAgent,
-                        Session aSession,
-                        const std::vector<StartResult>& aResults,
-                        const CellClock& aClock);
+  void OnStartResults(const AgentId& aAgent,
+                      Session aSession,
+                      const std::vector<StartResult>& aResults,
+                      const CellClock& aClock);
 
   /// True when nothing runs at the agent's worker and nothing will before the
   /// agent attaches again: a next owner need not know of it.
   bool RunsNothing(const AgentId& aAgent) const;
 
   /// Notes that the agent may hold leases until `aUntil`.
-  void NoteGrant(const AgentId& aAgent, Instant aUntil);
+  void OnGrant(const AgentId& aAgent, Instant aUntil);
 
   // Advice.
 
   /// The next question to the service that chooses workers, for a step that
   /// cannot be placed without an answer.
-  std::optional<AdviceQuery> NextAdvice(const CellClock& aClock);
+  std::optional<AdviceQuery> NextAdviceQuery(const CellClock& aClock);
   /// Nothing: the service did not answer.
-  void TakeAdvice(const AdviceQuery& aQuery,
-                  const std::optional<AdviceReply>& aReply,
-                  const CellClock& aClock);
+  void OnAdvice(const AdviceQuery& aQuery,
+                const std::optional<AdviceReply>& aReply,
+                const CellClock& aClock);
 
   // Output.
 
@@ -114,7 +114,7 @@
   /// True when more may be placed than at the last round: room became free, a
   /// step may begin, a worker is there again. Reports without such news, most
   /// of them, need no round of their own.
-  bool PlacingChanged() const { return mPlacingChanged; }
+  bool NeedsPlacement() const { return mNeedsPlacement; }
 
   bool HasOrders(const AgentId& aAgent) const
   {
@@ -128,19 +128,20 @@
   /// When the first of the orders' starts was decided on.
   std::optional<Instant> OrderedAt(const OrderRequest& aOrders);
 
-  /// At most `aMost` jobs whose progress must be recorded.
-  std::vector<UnrecordedProgress> Unrecorded(std::size_t aMost) const;
-  bool HasUnrecorded() const { return !mUnrecorded.empty(); }
-  void NoteRecorded(const JobId& aJob,
-                    std::uint64_t aVersion,
-                    Revision aRevision);
+  /// At most `aMaxJobs` jobs whose progress must be recorded.
+  std::vector<UnsavedProgress> UnsavedJobs(std::size_t aMaxJobs) const;
+  bool HasUnsavedJobs() const { return !mUnsaved.empty(); }
+  void OnProgressSaved(const JobId& aJob,
+                       std::uint64_t aVersion,
+                       Revision aRevision);
   /// A write of the record was sent and is not answered yet.
-  void NoteRecordInDoubt(const JobId& aJob);
+  void OnProgressSaveInDoubt(const JobId& aJob);
   /// The store has another revision of the record than was thought.
-  void NoteProgressRevision(const JobId& aJob, Revision aRevision);
+  void SetProgressRevision(const JobId& aJob, Revision aRevision);
 
   /// What is known of the images on this agent's worker, for its pacing.
-  std::vector<Pressure> PressuresOn(const AgentId& aAgent) const;
+  std::vector<InterferenceWeight> InterferenceWeightsOn(
+    const AgentId& aAgent) const;
 
   /// Ends of this agent's worker up to this number are recorded.
   std::int64_t Acknowledged(const AgentId& aAgent);
@@ -156,41 +157,41 @@
 
   const std::map<JobId, JobEntry>& Jobs() const { return mJobs; }
   const WorkerTable& Workers() const { return mWorkers; }
-  const Interference& Learned() const { return mInterference; }
+  const InterferenceEstimator& Learned() const { return mInterference; }
   void AdoptLearned(const LearnedInterference& aLearned)
   {
     mInterference.Adopt(aLearned);
   }
   Generation OwnGeneration() const { return mGeneration; }
-  const CrashFigures& Crashes() const { return mCrashFigures; }
+  const CrashCounters& Crashes() const { return mCrashCounters; }
   std::size_t Trials() const { return mTrials.Count(); }
 
 private:
   struct Candidate;
 
   // Jobs (CellScheduler.cpp).
-  void MarkChanged(JobEntry& aJob, Instant aNow);
+  void MarkUnsaved(JobEntry& aJob, Instant aNow);
   void StopRuns(JobEntry& aJob, const CellClock& aClock);
   void FinishJob(JobEntry& aJob, JobPhase aPhase, const CellClock& aClock);
-  std::uint64_t RecordedVersion(const JobId& aJob) const;
-  void Tell(std::string_view aEvent,
-            const TaskRef& aTask,
-            const AgentId& aAgent,
-            RunNumber aRun,
-            std::string_view aReason,
-            std::int64_t aAgeMs = 0) const;
+  std::uint64_t SavedVersion(const JobId& aJob) const;
+  void LogDecision(std::string_view aEvent,
+                   const TaskRef& aTask,
+                   const AgentId& aAgent,
+                   RunNumber aRun,
+                   std::string_view aReason,
+                   std::int64_t aAgeMs = 0) const;
 
   // Ends (CellSchedulerEnds.cpp).
-  void TakeEnds(WorkerEntry& aWorker,
-                const std::vector<EndedTask>& aEnded,
-                const CellClock& aClock);
-  std::uint64_t TakeEnd(WorkerEntry& aWorker,
-                        const EndedTask& aEnded,
-                        const CellClock& aClock);
-  bool CountsAsOurs(const JobEntry& aJob,
-                    const TaskEntry& aTask,
-                    const EndedTask& aEnded) const;
-  void NoteRunTime(const QueueId& aQueue, Duration aRunTime);
+  void OnEndedTasks(WorkerEntry& aWorker,
+                    const std::vector<EndedTask>& aEnded,
+                    const CellClock& aClock);
+  std::uint64_t OnEndedTask(WorkerEntry& aWorker,
+                            const EndedTask& aEnded,
+                            const CellClock& aClock);
+  bool IsEndOfInheritedRun(const JobEntry& aJob,
+                           const TaskEntry& aTask,
+                           const EndedTask& aEnded) const;
+  void RecordRunTime(const QueueId& aQueue, Duration aRunTime);
   void ApplyEnd(JobEntry& aJob,
                 const EndedTask& aEnded,
                 const AgentId& aAgent,
@@ -204,9 +205,9 @@
                   const AgentId& aAgent,
                   const CellClock& aClock);
   std::size_t FailuresOf(JobEntry& aJob, const TaskRef& aTask) const;
-  void JudgeWorker(WorkerEntry& aWorker,
-                   const EndedTask& aEnded,
-                   const CellClock& aClock);
+  void UpdateFailuresInRow(WorkerEntry& aWorker,
+                           const EndedTask& aEnded,
+                           const CellClock& aClock);
 
   // Runs (CellSchedulerRuns.cpp).
   void AddRun(JobEntry& aJob,
@@ -231,70 +232,70 @@
                  RunNumber aRun,
                  std::string_view aReason);
   /// `aAnsweredAt`: the worker's answer that shows them, by the agent's clock.
-  void TakeRunning(WorkerEntry& aWorker,
-                   const std::vector<RunningTask>& aRunning,
-                   Duration aAnsweredAt,
-                   const CellClock& aClock);
-  bool TakeRunningTask(WorkerEntry& aWorker,
-                       const RunningTask& aRunning,
-                       Duration aLived,
-                       const CellClock& aClock);
+  void OnRunningTasks(WorkerEntry& aWorker,
+                      const std::vector<RunningTask>& aRunning,
+                      Duration aAnsweredAt,
+                      const CellClock& aClock);
+  bool OnRunningTask(WorkerEntry& aWorker,
+                     const RunningTask& aRunning,
+                     Duration aUptime,
+                     const CellClock& aClock);
   bool Adopt(WorkerEntry& aWorker,
              const RunningTask& aRunning,
              const CellClock& aClock);
-  void TellTraits(const WorkerEntry& aWorker);
+  void SendMetadata(const WorkerEntry& aWorker);
   void DropAbsentRuns(WorkerEntry& aWorker,
                       const std::vector<RunningTask>& aRunning,
                       std::int64_t aOrdersDone,
                       const CellClock& aClock);
   /// Nothing runs on the worker any more. Unexplained: it may have crashed.
-  void LoseRuns(WorkerEntry& aWorker,
-                std::string_view aReason,
-                LossCause aCause,
-                const CellClock& aClock);
+  void OnRunsLost(WorkerEntry& aWorker,
+                  std::string_view aReason,
+                  LossCause aCause,
+                  const CellClock& aClock);
   RunNumber NextRun(const TaskEntry& aTask) const;
 
   // Workers (CellSchedulerWorkers.cpp).
   /// It refused a start, and takes none until it has answered again.
-  void NoteUnwell(WorkerEntry& aWorker);
-  void TakeInfo(WorkerEntry& aWorker,
-                const WorkerInfo& aInfo,
-                const CellClock& aClock);
+  void MarkUnhealthy(WorkerEntry& aWorker);
+  void UpdateInfo(WorkerEntry& aWorker,
+                  const WorkerInfo& aInfo,
+                  const CellClock& aClock);
   /// What the worker's newest report, already carried out, says.
-  void TakeState(WorkerEntry& aWorker,
-                 const ReportRequest& aReport,
-                 const CellClock& aClock);
+  void ApplyReport(WorkerEntry& aWorker,
+                   const ReportRequest& aReport,
+                   const CellClock& aClock);
   void Learn(WorkerEntry& aWorker,
              const std::vector<RunningTask>& aRunning,
              const CellClock& aClock);
-  void TakeTold(const WorkerEntry& aWorker,
-                const std::vector<CrashedWorker>& aCrashes,
-                const CellClock& aClock);
-  void TakeReplaced(WorkerEntry& aWorker, const CellClock& aClock);
-  void TakeEndOfWorker(WorkerEntry& aWorker,
-                       std::string_view aReason,
-                       const CellClock& aClock);
-  void LoseLapsedWorkers(const CellClock& aClock);
-  void TakeDeparture(const ReportRequest& aReport,
-                     bool aInSession,
+  void OnReportedCrashes(const WorkerEntry& aWorker,
+                         const std::vector<CrashedWorker>& aCrashes,
+                         const CellClock& aClock);
+  void OnWorkerReplaced(WorkerEntry& aWorker, const CellClock& aClock);
+  void OnWorkerEnded(WorkerEntry& aWorker,
+                     std::string_view aReason,
                      const CellClock& aClock);
-  void TakeSilence(WorkerEntry& aWorker,
-                   const ReportRequest& aReport,
-                   const CellClock& aClock);
+  void ExpireWorkers(const CellClock& aClock);
+  void OnWorkerLeft(const ReportRequest& aReport,
+                    bool aInSession,
+                    const CellClock& aClock);
+  void UpdateReachability(WorkerEntry& aWorker,
+                          const ReportRequest& aReport,
+                          const CellClock& aClock);
   void Evacuate(WorkerEntry& aWorker, const CellClock& aClock);
 
   // Crashes (CellSchedulerCrashes.cpp).
   TaskEntry* FindOpenTask(const TaskRef& aTask);
   CrashedWorker CrashOf(const WorkerEntry& aWorker);
-  void TakeCrash(const AgentId& aAgent,
-                 const CrashedWorker& aCrash,
-                 const CellClock& aClock);
+  void OnWorkerCrash(const AgentId& aAgent,
+                     const CrashedWorker& aCrash,
+                     const CellClock& aClock);
   /// Its worker does not answer.
-  bool IsAway(const AgentId& aAgent) const;
-  void NoteCrash(const AgentId& aAgent,
-                 const CrashedRun& aRun,
-                 CrashBlame aBlame,
-                 const CellClock& aClock);
+  bool IsUnreachable(const AgentId& aAgent) const;
+  void RecordCrash(const AgentId& aAgent,
+                   const CrashedRun& aRun,
+                   CrashBlame aBlame,
+                   const CellClock& aClock);
   void GiveUp(JobEntry& aJob,
               const CrashedRun& aRun,
               const AgentId& aAgent,
@@ -304,31 +305,31 @@
                     const AgentId& aAgent,
                     RunNumber aRun,
                     const CellClock& aClock);
-  void NoteAlive(JobEntry& aJob,
-                 const TaskRef& aTask,
-                 const TaskRun& aRun,
-                 const CellClock& aClock);
-  void NoteUnexplained(WorkerEntry& aWorker,
-                       const TaskRef& aTask,
-                       const TaskRun& aRun,
-                       Instant aNow);
-  void ExplainLosses(WorkerEntry& aWorker);
-  void AnnounceStart(JobEntry& aJob, const TaskRef& aTask, const TaskRun& aRun);
-  bool CountForgotten(const TaskRef& aTask, const CellClock& aClock);
+  void OnRunAlive(JobEntry& aJob,
+                  const TaskRef& aTask,
+                  const TaskRun& aRun,
+                  const CellClock& aClock);
+  void RecordUnexplainedLoss(WorkerEntry& aWorker,
+                             const TaskRef& aTask,
+                             const TaskRun& aRun,
+                             Instant aNow);
+  void ClearUnexplainedLosses(WorkerEntry& aWorker);
+  void RecordStart(JobEntry& aJob, const TaskRef& aTask, const TaskRun& aRun);
+  bool CountForgottenStart(const TaskRef& aTask, const CellClock& aClock);
   bool CrashesAllowStart(const JobEntry& aJob,
                          const TaskRef& aTask,
                          Instant aNow) const;
 
   // Advice (CellSchedulerAdvice.cpp).
-  std::vector<WorkerIncarnation> WorkersToAskAbout(JobEntry& aJob,
-                                                   const TaskRef& aStep,
-                                                   Instant aNow) const;
+  std::vector<WorkerIncarnation> WorkersToQuery(JobEntry& aJob,
+                                                const TaskRef& aStep,
+                                                Instant aNow) const;
 
   // Moves (CellSchedulerMoves.cpp).
-  void NoteStall(TaskRun& aRun,
-                 const StepSpec& aSpec,
-                 std::int64_t aFigure,
-                 Instant aNow) const;
+  void TrackStall(TaskRun& aRun,
+                  const StepSpec& aSpec,
+                  std::int64_t aFigure,
+                  Instant aNow) const;
   bool MayMove(const WorkerEntry& aWorker,
                const TaskRef& aTask,
                RunNumber aRun,
@@ -336,15 +337,15 @@
   void MoveStalledTasks(const CellClock& aClock);
 
   // Waiting work (CellSchedulerWaiting.cpp).
-  void NoteStepDone(JobEntry& aJob, const TaskRef& aTask);
-  void TellLoad() const;
-  void TellWaiting(const std::vector<Candidate>& aCandidates,
-                   const CellClock& aClock);
+  void OnStepDone(JobEntry& aJob, const TaskRef& aTask);
+  void LogLoad() const;
+  void LogWaiting(const std::vector<Candidate>& aCandidates,
+                  const CellClock& aClock);
 
   // Placing (CellSchedulerPlacing.cpp).
-  void RefreshPressure(WorkerEntry& aWorker, Instant aNow);
+  void RefreshInterference(WorkerEntry& aWorker, Instant aNow);
   bool Starving(const JobEntry& aJob, const TaskRef& aTask, Instant aNow) const;
-  bool MayBeRunningUnseen(const JobEntry& aJob, Instant aNow) const;
+  bool MayRunUnreported(const JobEntry& aJob, Instant aNow) const;
   std::vector<Candidate> Candidates(const CellClock& aClock);
   std::vector<Candidate> SortedCandidates(const CellClock& aClock);
   void PlaceStep(const Candidate& aCandidate, const CellClock& aClock);
@@ -355,7 +356,7 @@
                  const TaskRef& aFirst,
                  const CellClock& aClock);
   void PlaceCopies(const CellClock& aClock);
-  bool WantsCopy(const JobEntry& aJob,
+  bool NeedsCopy(const JobEntry& aJob,
                  const TaskEntry& aTask,
                  Instant aNow) const;
   bool PlaceTask(JobEntry& aJob,
@@ -380,22 +381,22 @@
   DecisionSink mSink;
   std::map<QueueId, QueuePolicy> mQueues;
   /// Mean run time of the tasks of a queue that ended done.
-  std::map<QueueId, Duration> mTypicalRun;
+  std::map<QueueId, Duration> mMeanRunTime;
   std::map<JobId, JobEntry> mJobs;
-  std::set<JobId> mActive; ///< Jobs that have not ended.
-  std::set<JobId> mUnrecorded;
+  std::set<JobId> mActiveJobs; ///< Jobs that have not ended.
+  std::set<JobId> mUnsaved;
   WorkerTable mWorkers;
-  Interference mInterference;
+  InterferenceEstimator mInterference;
   CrashTrials mTrials;
-  CrashFigures mCrashFigures;
-  Instant mRunsJudgedAt{};
-  Instant mWaitingToldAt{};
-  FullFor mFullFor;          ///< Of the present round of placing.
-  double mReservedShare = 0; ///< At the beginning of that round.
+  CrashCounters mCrashCounters;
+  Instant mRunsReviewedAt{};
+  Instant mWaitingLoggedAt{};
+  RefusedDemands mRefusedDemands; ///< Of the present round of placing.
+  double mReservedShare = 0;      ///< At the beginning of that round.
   /// Something ended or joined since: another round may place more.
-  bool mPlacingChanged = false;
+  bool mNeedsPlacement = false;
   std::map<AgentId, OrderRequest> mOrders;
-  std::set<AgentId> mExpected; ///< Not attached yet since the takeover.
+  std::set<AgentId> mExpectedAgents; ///< Not attached yet since the takeover.
   Instant mExpectedUntil{};
 };
 
--- a/src/core/cell/CellSchedulerCrashes.cpp
+++ b/src/core/cell/CellSchedulerCrashes.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A store that refuses writes for a while takes one within this.
-constexpr Duration kFirstCrashRecordTime = std::chrono::seconds(3);
+constexpr Duration kFirstCrashSaveTime = std::chrono::seconds(3);
 
 } // namespace
 
@@ -33,67 +33,68 @@
     const TaskRun* run =
       mJobs.at(ref.mJob).Find(ref)->FindRun(aWorker.mId, number);
     if (run != nullptr && run->mSent) {
-      crash.mRuns.push_back({ ref, number, run->mLived, run->Confirmed() });
+      crash.mRuns.push_back({ ref, number, run->mUptime, run->Confirmed() });
     }
   }
   return crash;
 }
 
-void CellScheduler::TakeCrash(const AgentId& aAgent,
-                              const CrashedWorker& aCrash,
-                              const CellClock& aClock)
+void CellScheduler::OnWorkerCrash(const AgentId& aAgent,
+                                  const CrashedWorker& aCrash,
+                                  const CellClock& aClock)
 {
-  std::vector<CrashWitness> witnesses;
+  std::vector<RunAtCrash> witnesses;
   witnesses.reserve(aCrash.mRuns.size());
   for (const CrashedRun& run : aCrash.mRuns) {
     const TaskEntry* task = FindOpenTask(run.mTask);
     witnesses.push_back(
-      { run.mLived, task != nullptr && task->mCrashes.Suspect() });
+      { run.mUptime, task != nullptr && task->mCrashes.Suspect() });
   }
-  const std::vector<CrashBlame> blames = JudgeCrash(witnesses);
+  const std::vector<CrashBlame> blames = AssignBlame(witnesses);
   for (std::size_t i = 0; i < blames.size(); ++i) {
     const CrashedRun& run = aCrash.mRuns[i];
     const bool counts = run.mConfirmed || blames[i] == CrashBlame::None;
-    NoteCrash(
+    RecordCrash(
       aAgent, run, counts ? blames[i] : CrashBlame::Unconfirmed, aClock);
   }
 }
 
-bool CellScheduler::IsAway(const AgentId& aAgent) const
+bool CellScheduler::IsUnreachable(const AgentId& aAgent) const
 {
   const auto found = mWorkers.find(aAgent);
   return found != mWorkers.end() && !found->second.mAnswers;
 }
 
-void CellScheduler::NoteCrash(const AgentId& aAgent,
-                              const CrashedRun& aRun,
-                              CrashBlame aBlame,
-                              const CellClock& aClock)
+void CellScheduler::RecordCrash(const AgentId& aAgent,
+                                const CrashedRun& aRun,
+                                CrashBlame aBlame,
+                                const CellClock& aClock)
 {
   TaskEntry* task = FindOpenTask(aRun.mTask);
-  if (task == nullptr || !task->mCrashes.NoteCrash(aRun.mRun, aBlame)) {
+  if (task == nullptr || !task->mCrashes.RecordCrash(aRun.mRun, aBlame)) {
     return;
   }
   JobEntry& job = mJobs.at(aRun.mTask.mJob);
-  MarkChanged(job, aClock.mNow);
+  MarkUnsaved(job, aClock.mNow);
   task->mCrashVersion = job.mVersion;
   task->mCrashedAt = aClock.mNow;
   if (task->mCrashes.Suspect()) {
     task->mFailedOn.push_back(aAgent);
     job.mSuspects.insert(aRun.mTask);
-    if (IsAway(aAgent)) {
+    if (IsUnreachable(aAgent)) {
       // A second worker is not risked meanwhile.
       task->mNotBefore = aClock.mNow + mSettings.mSuspectPause;
     }
   }
-  ++mCrashFigures.mQueues[job.Graph().mQueue].mSuspected;
-  Tell(aBlame == CrashBlame::Beside ? "task-beside-crash" : "task-suspected",
-       aRun.mTask,
-       aAgent,
-       aRun.mRun,
-       task->mCrashes.Suspected() == Suspicion::Strong ? "crashed-again"
-                                                       : "worker-crashed",
-       WholeMilliseconds(aRun.mLived));
+  ++mCrashCounters.mQueues[job.Graph().mQueue].mSuspected;
+  LogDecision(
+    aBlame == CrashBlame::Possible ? "task-beside-crash" : "task-suspected",
+    aRun.mTask,
+    aAgent,
+    aRun.mRun,
+    task->mCrashes.Suspected() == Suspicion::Strong ? "crashed-again"
+                                                    : "worker-crashed",
+    WholeMilliseconds(aRun.mUptime));
   if (task->mCrashes.GivenUp()) {
     GiveUp(job, aRun, aAgent, aClock);
   }
@@ -104,21 +105,21 @@
                            const AgentId& aAgent,
                            const CellClock& aClock)
 {
-  ++mCrashFigures.mQueues[aJob.Graph().mQueue].mGivenUp;
+  ++mCrashCounters.mQueues[aJob.Graph().mQueue].mGivenUp;
   const CrashHistory::Runs& crashes = aJob.Find(aRun.mTask)->mCrashes.Crashes();
-  Tell("task-given-up",
-       aRun.mTask,
-       aAgent,
-       aRun.mRun,
-       absl::StrCat("workers-crashed alone=",
-                    crashes.mAlone.size(),
-                    " likely=",
-                    crashes.mLikely.size(),
-                    " beside=",
-                    crashes.mBeside.size(),
-                    " unconfirmed=",
-                    crashes.mUnconfirmed.size()),
-       WholeMilliseconds(aClock.mNow - aJob.mAcceptedAt));
+  LogDecision("task-given-up",
+              aRun.mTask,
+              aAgent,
+              aRun.mRun,
+              absl::StrCat("workers-crashed alone=",
+                           crashes.mSole.size(),
+                           " likely=",
+                           crashes.mLikely.size(),
+                           " beside=",
+                           crashes.mPossible.size(),
+                           " unconfirmed=",
+                           crashes.mUnconfirmed.size()),
+              WholeMilliseconds(aClock.mNow - aJob.mAcceptedAt));
   FinishJob(aJob, JobPhase::Failed, aClock);
 }
 
@@ -132,22 +133,22 @@
   if (!aJob.Find(aTask)->mCrashes.Clear(aRun)) {
     return;
   }
-  ++mCrashFigures.mQueues[aJob.Graph().mQueue].mCleared;
+  ++mCrashCounters.mQueues[aJob.Graph().mQueue].mCleared;
   aJob.mSuspects.erase(aTask);
-  mPlacingChanged = true;
-  MarkChanged(aJob, aClock.mNow);
-  Tell("task-cleared", aTask, aAgent, aRun, "lives");
+  mNeedsPlacement = true;
+  MarkUnsaved(aJob, aClock.mNow);
+  LogDecision("task-cleared", aTask, aAgent, aRun, "lives");
 }
 
 /// A report shows the run alive.
-void CellScheduler::NoteAlive(JobEntry& aJob,
-                              const TaskRef& aTask,
-                              const TaskRun& aRun,
-                              const CellClock& aClock)
+void CellScheduler::OnRunAlive(JobEntry& aJob,
+                               const TaskRef& aTask,
+                               const TaskRun& aRun,
+                               const CellClock& aClock)
 {
   TaskEntry& task = *aJob.Find(aTask);
-  const Duration lived = aRun.mLived;
-  if (lived >= kProvenLife) {
+  const Duration lived = aRun.mUptime;
+  if (lived >= kProvenUptime) {
     task.mProven = true;
     task.mCrashes.Settle(aRun.mNumber);
   }
@@ -155,40 +156,40 @@
     return;
   }
   const Duration trial =
-    task.mCrashes.Suspected() == Suspicion::Weak ? kFreshLife : kProvenLife;
+    task.mCrashes.Suspected() == Suspicion::Weak ? kFreshUptime : kProvenUptime;
   if (lived >= trial && mTrials.IsTrial(aRun.mAgent, { aTask, aRun.mNumber })) {
     mTrials.End(aRun.mAgent, { aTask, aRun.mNumber });
-    mPlacingChanged = true;
+    mNeedsPlacement = true;
   }
-  if (lived >= kProvenLife) {
+  if (lived >= kProvenUptime) {
     ClearCrashes(aJob, aTask, aRun.mAgent, aRun.mNumber, aClock);
   }
 }
 
 /// The worker fell silent and its leases were waited out: whether it crashed is
 /// known when it is there again.
-void CellScheduler::NoteUnexplained(WorkerEntry& aWorker,
-                                    const TaskRef& aTask,
-                                    const TaskRun& aRun,
-                                    Instant aNow)
+void CellScheduler::RecordUnexplainedLoss(WorkerEntry& aWorker,
+                                          const TaskRef& aTask,
+                                          const TaskRun& aRun,
+                                          Instant aNow)
 {
-  if (!aRun.mSent || aRun.mLived >= kProvenLife) {
+  if (!aRun.mSent || aRun.mUptime >= kProvenUptime) {
     return;
   }
   aWorker.mUnexplained.push_back(
-    { aTask, aRun.mNumber, aRun.mLived, aRun.Confirmed() });
-  if (aRun.mLived < kFreshLife) {
+    { aTask, aRun.mNumber, aRun.mUptime, aRun.Confirmed() });
+  if (aRun.mUptime < kFreshUptime) {
     mJobs.at(aTask.mJob)
       .Find(aTask)
-      ->mCrashes.NoteUnexplained(aRun.mNumber, aNow);
+      ->mCrashes.RecordUnexplainedLoss(aRun.mNumber, aNow);
   }
 }
 
-void CellScheduler::ExplainLosses(WorkerEntry& aWorker)
+void CellScheduler::ClearUnexplainedLosses(WorkerEntry& aWorker)
 {
   for (const CrashedRun& run : aWorker.mUnexplained) {
     if (TaskEntry* task = FindOpenTask(run.mTask)) {
-      task->mCrashes.Explain(run.mRun);
+      task->mCrashes.ClearUnexplainedLoss(run.mRun);
     }
   }
   aWorker.mUnexplained.clear();
@@ -198,39 +199,39 @@
 /// the run are lost, the next owner counts it as a crash; otherwise a task that
 /// takes its worker down could be started without end. A task with a run that
 /// has lived is not the cause of crashes.
-void CellScheduler::AnnounceStart(JobEntry& aJob,
-                                  const TaskRef& aTask,
-                                  const TaskRun& aRun)
+void CellScheduler::RecordStart(JobEntry& aJob,
+                                const TaskRef& aTask,
+                                const TaskRun& aRun)
 {
   TaskEntry& task = *aJob.Find(aTask);
   if (task.mProven && task.mCrashes.Count() == 0) {
     return;
   }
-  task.mCrashes.Announce(aRun.mNumber);
-  MarkChanged(aJob, aRun.mOrderedAt);
+  task.mCrashes.RecordStart(aRun.mNumber);
+  MarkUnsaved(aJob, aRun.mOrderedAt);
 }
 
 /// An earlier owner sent a start of the task, and no agent knows of that run:
 /// all that knew of it were lost. It may also never have arrived, so that the
 /// first one makes no suspect. True when it was counted now.
-bool CellScheduler::CountForgotten(const TaskRef& aTask,
-                                   const CellClock& aClock)
+bool CellScheduler::CountForgottenStart(const TaskRef& aTask,
+                                        const CellClock& aClock)
 {
   TaskEntry* task = FindOpenTask(aTask);
   if (task == nullptr) {
     return false;
   }
-  const RunNumber run = task->mCrashes.Announced();
+  const RunNumber run = task->mCrashes.UnsettledStart();
   if (run <= task->mLastRun || run >= FirstRunOf(mGeneration)) {
     return false;
   }
   task->mLastRun = run;
-  Tell("task-start-forgotten", aTask, {}, run, "no-agent-knows-it");
+  LogDecision("task-start-forgotten", aTask, {}, run, "no-agent-knows-it");
   const bool first = task->mCrashes.Count() == 0;
-  NoteCrash({},
-            { aTask, run, {}, false },
-            first ? CrashBlame::Beside : CrashBlame::Unconfirmed,
-            aClock);
+  RecordCrash({},
+              { aTask, run, {}, false },
+              first ? CrashBlame::Possible : CrashBlame::Unconfirmed,
+              aClock);
   return true;
 }
 
@@ -244,8 +245,8 @@
   // Without its record the first crash costs one start more if all that know of
   // it are lost, so that a silent store holds the task for a bounded time only.
   const bool mayWait =
-    task.mCrashes.Count() > 1 || aNow - task.mCrashedAt < kFirstCrashRecordTime;
-  if ((task.mCrashVersion > aJob.mRecorded && mayWait) ||
+    task.mCrashes.Count() > 1 || aNow - task.mCrashedAt < kFirstCrashSaveTime;
+  if ((task.mCrashVersion > aJob.mSavedVersion && mayWait) ||
       !task.mCrashes.MayStart(aNow)) {
     return false;
   }
--- a/src/core/cell/CellSchedulerEnds.cpp
+++ b/src/core/cell/CellSchedulerEnds.cpp
@@ -8,55 +8,55 @@
 namespace {
 
 /// Ends of what was stopped for a job that has ended need no record.
-constexpr std::uint64_t kNeedsNoRecord = 0;
+constexpr std::uint64_t kNeedsNoSave = 0;
 
 } // namespace
 
-void CellScheduler::TakeEnds(WorkerEntry& aWorker,
-                             const std::vector<EndedTask>& aEnded,
-                             const CellClock& aClock)
+void CellScheduler::OnEndedTasks(WorkerEntry& aWorker,
+                                 const std::vector<EndedTask>& aEnded,
+                                 const CellClock& aClock)
 {
   for (const EndedTask& ended : aEnded) {
     if (!aWorker.mEnds.IsNew(ended.mNumber)) {
       continue;
     }
-    const std::uint64_t version = TakeEnd(aWorker, ended, aClock);
-    aWorker.mEnds.Take(ended.mNumber, ended.mTask.mJob, version);
+    const std::uint64_t version = OnEndedTask(aWorker, ended, aClock);
+    aWorker.mEnds.Add(ended.mNumber, ended.mTask.mJob, version);
   }
 }
 
 /// Returns the version of the job's progress that covers this end.
-std::uint64_t CellScheduler::TakeEnd(WorkerEntry& aWorker,
-                                     const EndedTask& aEnded,
-                                     const CellClock& aClock)
+std::uint64_t CellScheduler::OnEndedTask(WorkerEntry& aWorker,
+                                         const EndedTask& aEnded,
+                                         const CellClock& aClock)
 {
   aWorker.mForeign.erase(aEnded.mTask);
   const auto found = mJobs.find(aEnded.mTask.mJob);
   if (found == mJobs.end()) {
-    Tell("task-end-ignored",
-         aEnded.mTask,
-         aWorker.mId,
-         aEnded.mRun,
-         "unknown-job");
-    return kNeedsNoRecord;
+    LogDecision("task-end-ignored",
+                aEnded.mTask,
+                aWorker.mId,
+                aEnded.mRun,
+                "unknown-job");
+    return kNeedsNoSave;
   }
   JobEntry& job = found->second;
   TaskEntry* task = job.Find(aEnded.mTask);
   if (task == nullptr) {
-    return kNeedsNoRecord;
+    return kNeedsNoSave;
   }
   const TaskRun* run = task->FindRun(aWorker.mId, aEnded.mRun);
-  const bool ours = run != nullptr || CountsAsOurs(job, *task, aEnded);
+  const bool ours = run != nullptr || IsEndOfInheritedRun(job, *task, aEnded);
   const std::int64_t ageMs =
     run == nullptr ? 0 : WholeMilliseconds(aClock.mNow - run->mOrderedAt);
-  Tell(ours ? "task-end" : "task-end-ignored",
-       aEnded.mTask,
-       aWorker.mId,
-       aEnded.mRun,
-       ToString(aEnded.mEnd),
-       ageMs);
+  LogDecision(ours ? "task-end" : "task-end-ignored",
+              aEnded.mTask,
+              aWorker.mId,
+              aEnded.mRun,
+              ToString(aEnded.mEnd),
+              ageMs);
   if (run != nullptr && aEnded.mEnd == RunEnd::Done) {
-    NoteRunTime(job.Graph().mQueue, aClock.mNow - run->mRunningSince);
+    RecordRunTime(job.Graph().mQueue, aClock.mNow - run->mRunningSince);
   }
   if (run != nullptr) {
     RemoveRun(job, aEnded.mTask, aWorker.mId, aEnded.mRun, aClock);
@@ -65,32 +65,32 @@
     if (aEnded.mEnd == RunEnd::Done) {
       ClearCrashes(job, aEnded.mTask, aWorker.mId, aEnded.mRun, aClock);
     }
-    JudgeWorker(aWorker, aEnded, aClock);
+    UpdateFailuresInRow(aWorker, aEnded, aClock);
     ApplyEnd(job, aEnded, aWorker.mId, aClock);
   }
   return job.mVersion;
 }
 
-void CellScheduler::NoteRunTime(const QueueId& aQueue, Duration aRunTime)
+void CellScheduler::RecordRunTime(const QueueId& aQueue, Duration aRunTime)
 {
-  constexpr int kMemory = 10; // Runs that the mean is taken over, about.
-  const auto [entry, first] = mTypicalRun.try_emplace(aQueue, aRunTime);
+  constexpr int kMeanWindow = 10; // Runs that the mean is taken over, about.
+  const auto [entry, first] = mMeanRunTime.try_emplace(aQueue, aRunTime);
   if (!first) {
-    entry->second += (aRunTime - entry->second) / kMemory;
+    entry->second += (aRunTime - entry->second) / kMeanWindow;
   }
 }
 
 /// An end of a run that an earlier owner started and that this one never saw
 /// running, in whatever order the agents report. A run that this owner wrote
 /// off does not count: its lease lapsed.
-bool CellScheduler::CountsAsOurs(const JobEntry& aJob,
-                                 const TaskEntry& aTask,
-                                 const EndedTask& aEnded) const
+bool CellScheduler::IsEndOfInheritedRun(const JobEntry& aJob,
+                                        const TaskEntry& aTask,
+                                        const EndedTask& aEnded) const
 {
   return aJob.mInherited && !aTask.mDone &&
          aEnded.mRun < FirstRunOf(mGeneration) &&
-         std::ranges::find(aTask.mWrittenOff, aEnded.mRun) ==
-           aTask.mWrittenOff.end();
+         std::ranges::find(aTask.mExpiredRuns, aEnded.mRun) ==
+           aTask.mExpiredRuns.end();
 }
 
 void CellScheduler::ApplyEnd(JobEntry& aJob,
@@ -138,17 +138,17 @@
   }
   task.mDone = true;
   aJob.mSuspects.erase(aTask); // A member of a gang may end by another's end.
-  mPlacingChanged = true;
+  mNeedsPlacement = true;
   if (!aJob.Spec(aTask).mGang) {
     for (TaskRun& run : task.mRuns) {
       StopRun(run, aTask, "copy-done", aClock);
     }
   }
-  MarkChanged(aJob, aClock.mNow);
-  if (--aJob.StepOf(aTask).mLeft > 0) {
+  MarkUnsaved(aJob, aClock.mNow);
+  if (--aJob.StepOf(aTask).mTasksLeft > 0) {
     return;
   }
-  NoteStepDone(aJob, aTask);
+  OnStepDone(aJob, aTask);
   OccurrenceEntry& occurrence =
     aJob.mOccurrences[static_cast<std::size_t>(aTask.mOccurrence)];
   --occurrence.mStepsLeft;
@@ -173,7 +173,7 @@
   }
   task.mFailedRuns.push_back(aEnded.mRun);
   task.mFailedOn.push_back(aAgent);
-  MarkChanged(aJob, aClock.mNow);
+  MarkUnsaved(aJob, aClock.mNow);
   const auto failures = FailuresOf(aJob, aEnded.mTask);
   if (failures >= static_cast<std::size_t>(aJob.mPolicy.mAttempts)) {
     FinishJob(aJob, JobPhase::Failed, aClock);
@@ -194,9 +194,9 @@
   return runs.size();
 }
 
-void CellScheduler::JudgeWorker(WorkerEntry& aWorker,
-                                const EndedTask& aEnded,
-                                const CellClock& aClock)
+void CellScheduler::UpdateFailuresInRow(WorkerEntry& aWorker,
+                                        const EndedTask& aEnded,
+                                        const CellClock& aClock)
 {
   if (aEnded.mEnd == RunEnd::Done) {
     aWorker.mFailuresInRow = 0;
@@ -211,13 +211,13 @@
   // A job that always fails says nothing about the worker; two jobs do.
   if (aWorker.mFailuresInRow >= mSettings.mFailuresToAvoid &&
       aWorker.mFailingJobs.size() > 1) {
-    aWorker.mAvoidUntil = aClock.mNow + mSettings.mAvoid;
-    Tell("worker-avoided",
-         aEnded.mTask,
-         aWorker.mId,
-         aEnded.mRun,
-         "failures-in-row",
-         aWorker.mFailuresInRow);
+    aWorker.mAvoidUntil = aClock.mNow + mSettings.mAvoidFor;
+    LogDecision("worker-avoided",
+                aEnded.mTask,
+                aWorker.mId,
+                aEnded.mRun,
+                "failures-in-row",
+                aWorker.mFailuresInRow);
   }
 }
 
--- a/src/core/cell/CellSchedulerLearning.cpp
+++ b/src/core/cell/CellSchedulerLearning.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// The serving tasks of one job in a look at a worker.
-struct ServingLook
+struct ServingSample
 {
   std::string mImage;
   std::vector<double> mLogLatencies; ///< Over the target.
@@ -35,16 +35,16 @@
                           const std::vector<RunningTask>& aRunning,
                           const CellClock& aClock)
 {
-  if (aClock.mNow - aWorker.mObservedAt < mSettings.mObserveEvery) {
+  if (aClock.mNow - aWorker.mObservedAt < mSettings.mObserveInterval) {
     return;
   }
   aWorker.mObservedAt = aClock.mNow;
   constexpr double kMillicores = 1000.0;
   constexpr std::int32_t kAtWork = 100;
-  aWorker.mUse.mStalledOf.clear();
-  aWorker.mUse.mLeftoverUsed = 0;
+  aWorker.mUse.mStalledByImage.clear();
+  aWorker.mUse.mBestEffortUsed = 0;
   std::map<std::string, double> cores;
-  std::map<JobId, ServingLook> latencies;
+  std::map<JobId, ServingSample> latencies;
   for (const RunningTask& running : aRunning) {
     const auto job = mJobs.find(running.mTask.mJob);
     if (job == mJobs.end() || job->second.Find(running.mTask) == nullptr) {
@@ -53,23 +53,23 @@
     const StepSpec& spec = job->second.Spec(running.mTask);
     TaskEntry& task = *job->second.Find(running.mTask);
     if (TaskRun* run = task.FindRun(aWorker.mId, running.mRun)) {
-      NoteStall(*run, spec, running.mFigure, aClock.mNow);
-      if (spec.mLeftover) {
+      TrackStall(*run, spec, running.mFigure, aClock.mNow);
+      if (spec.mBestEffort) {
         CountTime(*run, task.mTime, spec, running.mFigure, aClock.mNow);
         if (run->mStalledSince) {
-          aWorker.mUse.mStalledOf[spec.mImage] += spec.mDemand.mMillicores;
+          aWorker.mUse.mStalledByImage[spec.mImage] += spec.mDemand.mMillicores;
         }
       }
     }
     const auto figure = static_cast<double>(running.mFigure);
-    if (spec.mLeftover) {
+    if (spec.mBestEffort) {
       cores[spec.mImage] += figure / kMillicores;
-      aWorker.mUse.mLeftoverUsed += running.mFigure;
+      aWorker.mUse.mBestEffortUsed += running.mFigure;
     } else if (spec.mLatencyTarget > Duration::zero() &&
                running.mPercent == kAtWork && running.mFigure > 0) {
       const std::chrono::duration<double, std::milli> target =
         spec.mLatencyTarget;
-      ServingLook& look = latencies[running.mTask.mJob];
+      ServingSample& look = latencies[running.mTask.mJob];
       look.mImage = spec.mImage;
       look.mLogLatencies.push_back(std::log(figure / target.count()));
     }
@@ -90,9 +90,10 @@
   }
 }
 
-std::vector<Pressure> CellScheduler::PressuresOn(const AgentId& aAgent) const
+std::vector<InterferenceWeight> CellScheduler::InterferenceWeightsOn(
+  const AgentId& aAgent) const
 {
-  std::vector<Pressure> pressures;
+  std::vector<InterferenceWeight> pressures;
   const auto found = mWorkers.find(aAgent);
   if (found == mWorkers.end()) {
     return pressures;
@@ -100,7 +101,7 @@
   const WorkerUse& use = found->second.mUse;
   for (const std::string_view image : ServingImages(use)) {
     const std::string serving(image);
-    for (const auto& [leftover, millicores] : use.mLeftoverOf) {
+    for (const auto& [leftover, millicores] : use.mBestEffortByImage) {
       pressures.push_back(
         { serving, leftover, mInterference.PerCore(serving, leftover) });
     }
--- a/src/core/cell/CellSchedulerMoves.cpp
+++ b/src/core/cell/CellSchedulerMoves.cpp
@@ -4,14 +4,14 @@
 
 namespace foxtailbarrow::cell {
 
-void CellScheduler::NoteStall(TaskRun& aRun,
-                              const StepSpec& aSpec,
-                              std::int64_t aFigure,
-                              Instant aNow) const
+void CellScheduler::TrackStall(TaskRun& aRun,
+                               const StepSpec& aSpec,
+                               std::int64_t aFigure,
+                               Instant aNow) const
 {
   const auto demand = static_cast<double>(aSpec.mDemand.mMillicores);
   const bool stalled =
-    aSpec.mLeftover && aRun.mPhase == RunPhase::Running &&
+    aSpec.mBestEffort && aRun.mPhase == RunPhase::Running &&
     aNow - aRun.mRunningSince > mSettings.mStalledGrace &&
     static_cast<double>(aFigure) < mSettings.mStalledShare * demand;
   if (!stalled) {
@@ -30,7 +30,7 @@
 {
   JobEntry& job = mJobs.at(aTask.mJob);
   const StepSpec& spec = job.Spec(aTask);
-  if (job.Final() || !spec.mLeftover || !spec.mCheckpoints || spec.mGang) {
+  if (job.Final() || !spec.mBestEffort || !spec.mCheckpoints || spec.mGang) {
     return false;
   }
   const TaskRun* run = job.Find(aTask)->FindRun(aWorker.mId, aRun);
@@ -48,7 +48,7 @@
 {
   for (auto& [id, worker] : mWorkers) {
     if (worker.mLink != WorkerLink::Attached ||
-        aClock.mNow - worker.mMovedAt < mSettings.mMovePause) {
+        aClock.mNow - worker.mStalledStopAt < mSettings.mMovePause) {
       continue;
     }
     for (const auto& [task, number] : worker.mRuns) {
@@ -58,7 +58,7 @@
       TaskEntry& entry = *mJobs.at(task.mJob).Find(task);
       entry.mStalledOn = id;
       entry.mStalledUntil = aClock.mNow + mSettings.mStalledAvoid;
-      worker.mMovedAt = aClock.mNow;
+      worker.mStalledStopAt = aClock.mNow;
       StopRun(*entry.FindRun(id, number), task, "stalled", aClock);
       break;
     }
--- a/src/core/cell/CellSchedulerOrders.cpp
+++ b/src/core/cell/CellSchedulerOrders.cpp
@@ -42,7 +42,7 @@
                : tasks[static_cast<std::size_t>(aTask.mIndex)].mCheckpoint,
            .mTicket = ticket == nullptr ? std::string() : *ticket,
            .mLatencyTarget = spec.mLatencyTarget,
-           .mLeftover = spec.mLeftover,
+           .mBestEffort = spec.mBestEffort,
            .mImage = spec.mImage,
            .mReserved = Reservation(spec) };
 }
@@ -71,7 +71,7 @@
   std::vector<AgentId> agents;
   for (const auto& [agent, orders] : mOrders) {
     if (!orders.mStarts.empty() || !orders.mStops.empty() ||
-        !orders.mTraits.empty()) {
+        !orders.mMetadata.empty()) {
       agents.push_back(agent);
     }
   }
@@ -107,7 +107,7 @@
   for (const StartOrder& start : orders.mStarts) {
     if (TaskRun* run = FindRun(aAgent, start)) {
       run->mSent = true;
-      AnnounceStart(mJobs.at(start.mTask.mJob), start.mTask, *run);
+      RecordStart(mJobs.at(start.mTask.mJob), start.mTask, *run);
     }
   }
   return orders;
