--- a/src/core/cell/CellSchedulerPlacing.cpp
+++ b/src/core/cell/CellSchedulerPlacing.cpp
@@ -2,19 +2,19 @@
 #include <tuple>
 
 #include "src/core/cell/Candidate.h"
-#include "src/core/cell/Prospect.h"
+#include "src/core/cell/Timeliness.h"
 
 namespace foxtailbarrow::cell {
 
-void CellScheduler::RefreshPressure(WorkerEntry& aWorker, Instant aNow)
+void CellScheduler::RefreshInterference(WorkerEntry& aWorker, Instant aNow)
 {
-  aWorker.mPressure.Refresh(
+  aWorker.mWorkerInterference.Refresh(
     aWorker.mUse, mInterference, mSettings.mPlannedLatencyShare, aNow);
 }
 
 void CellScheduler::Schedule(const CellClock& aClock)
 {
-  LoseLapsedWorkers(aClock);
+  ExpireWorkers(aClock);
   for (auto& [id, worker] : mWorkers) {
     if (worker.mLink != WorkerLink::Attached) {
       continue;
@@ -22,24 +22,24 @@
     if (worker.mInfo.mDraining) {
       Evacuate(worker, aClock);
     }
-    RefreshPressure(worker, aClock.mNow);
+    RefreshInterference(worker, aClock.mNow);
   }
-  mFullFor.Clear();
+  mRefusedDemands.Clear();
   mReservedShare = ReservedShareOf(mWorkers);
-  mPlacingChanged = false;
+  mNeedsPlacement = false;
   const std::vector<Candidate> candidates = SortedCandidates(aClock);
   for (const Candidate& candidate : candidates) {
     PlaceStep(candidate, aClock);
   }
-  TellWaiting(candidates, aClock);
-  if (aClock.mNow - mRunsJudgedAt >= mSettings.mJudgeRunsEvery) {
-    mRunsJudgedAt = aClock.mNow;
+  LogWaiting(candidates, aClock);
+  if (aClock.mNow - mRunsReviewedAt >= mSettings.mRunReviewInterval) {
+    mRunsReviewedAt = aClock.mNow;
     PlaceCopies(aClock);
     MoveStalledTasks(aClock);
   }
 }
 
-bool CellScheduler::WantsCopy(const JobEntry& aJob,
+bool CellScheduler::NeedsCopy(const JobEntry& aJob,
                               const TaskEntry& aTask,
                               Instant aNow) const
 {
@@ -49,7 +49,7 @@
   const TaskRun& run = aTask.mRuns.front();
   // What has taken its worker down stands still, too, and a copy of it would
   // take down another one.
-  if (run.mLived < kProvenLife) {
+  if (run.mUptime < kProvenUptime) {
     return false;
   }
   const WorkerEntry& worker = mWorkers.at(run.mAgent);
@@ -62,9 +62,9 @@
   if (aNow - run.mPercentChangedAt > mSettings.mCopyAfter) {
     return true;
   }
-  const auto typical = mTypicalRun.find(aJob.Graph().mQueue);
+  const auto typical = mMeanRunTime.find(aJob.Graph().mQueue);
   const Duration age = aNow - run.mRunningSince;
-  if (typical == mTypicalRun.end() || age < typical->second) {
+  if (typical == mMeanRunTime.end() || age < typical->second) {
     return false;
   }
   constexpr double kFull = 100.0;
@@ -77,7 +77,7 @@
 void CellScheduler::PlaceCopies(const CellClock& aClock)
 {
   int copies = 0;
-  for (const JobId& id : mActive) {
+  for (const JobId& id : mActiveJobs) {
     JobEntry& job = mJobs.at(id);
     TaskRef task{ id, 0, 0, 0 };
     for (const OccurrenceEntry& occurrence : job.mOccurrences) {
@@ -87,7 +87,7 @@
         for (const TaskEntry& entry : step.mTasks) {
           copies += entry.mRuns.size() > 1 ? 1 : 0;
           if (copies < mSettings.mMaxCopies && job.Spec(task).mSpeculative &&
-              WantsCopy(job, entry, aClock.mNow) &&
+              NeedsCopy(job, entry, aClock.mNow) &&
               PlaceTask(job, task, NextRun(entry), aClock)) {
             ++copies;
           }
@@ -102,9 +102,9 @@
 
 /// True when an agent that has not reported since the takeover may run a task
 /// of this job that we know nothing of.
-bool CellScheduler::MayBeRunningUnseen(const JobEntry& aJob, Instant aNow) const
+bool CellScheduler::MayRunUnreported(const JobEntry& aJob, Instant aNow) const
 {
-  return aJob.mInherited && !mExpected.empty() && aNow < mExpectedUntil;
+  return aJob.mInherited && !mExpectedAgents.empty() && aNow < mExpectedUntil;
 }
 
 /// True when no task of the step's occurrence runs and this one has waited for
@@ -132,10 +132,10 @@
   const CellClock& aClock)
 {
   std::vector<Candidate> candidates;
-  for (const JobId& id : mActive) {
+  for (const JobId& id : mActiveJobs) {
     JobEntry& job = mJobs.at(id);
     // Before its record is there, a next owner would take it for not started.
-    if (job.mProgressRevision == 0 || MayBeRunningUnseen(job, aClock.mNow)) {
+    if (job.mProgressRevision == 0 || MayRunUnreported(job, aClock.mNow)) {
       continue;
     }
     for (std::size_t number = 0; number < job.mOccurrences.size(); ++number) {
@@ -146,21 +146,21 @@
       }
       for (std::size_t step = 0; step < occurrence.mSteps.size(); ++step) {
         StepEntry& entry = occurrence.mSteps[step];
-        if (entry.mLeft == 0 || !Released(job.Graph(), occurrence, step) ||
+        if (entry.mTasksLeft == 0 || !Released(job.Graph(), occurrence, step) ||
             std::ranges::none_of(entry.mTasks, &TaskEntry::Idle)) {
           continue;
         }
         if (entry.mReleasedAt == Instant{}) {
           entry.mReleasedAt = aClock.mNow;
         }
-        const bool leftover = job.Graph().mSteps[step].mLeftover;
+        const bool leftover = job.Graph().mSteps[step].mBestEffort;
         const bool begun = HasBegun(occurrence);
         candidates.push_back(
           { leftover,
             job.mPolicy.mPriority,
             job.Graph().mSteps[step].mStanding
-              ? kStandingProspect
-              : ProspectOf(job, occurrence, begun, aClock.mNow),
+              ? kStandingTimeliness
+              : TimelinessOf(job, occurrence, begun, aClock.mNow),
             leftover && !begun,
             leftover ? RemainingWork(job.Graph(), occurrence) : 0.0,
             job.mDeadline,
@@ -187,11 +187,11 @@
 void CellScheduler::PlaceStep(const Candidate& aCandidate,
                               const CellClock& aClock)
 {
-  JobEntry& job = mJobs.at(aCandidate.mFirst.mJob);
-  if (job.Spec(aCandidate.mFirst).mGang) {
-    PlaceGang(job, aCandidate.mFirst, aClock);
+  JobEntry& job = mJobs.at(aCandidate.mFirstTask.mJob);
+  if (job.Spec(aCandidate.mFirstTask).mGang) {
+    PlaceGang(job, aCandidate.mFirstTask, aClock);
   } else {
-    PlaceTasks(job, aCandidate.mFirst, aClock);
+    PlaceTasks(job, aCandidate.mFirstTask, aClock);
   }
 }
 
@@ -251,7 +251,7 @@
                               const CellClock& aClock)
 {
   // Placed in the next round by what is known then; the job may have ended.
-  if (CountForgotten(aTask, aClock) || aJob.Final()) {
+  if (CountForgottenStart(aTask, aClock) || aJob.Final()) {
     return false;
   }
   const StepSpec& spec = aJob.Spec(aTask);
@@ -264,29 +264,30 @@
                         aClock.mNow)) {
     return false;
   }
-  const bool compared = !starving && !suspect && FullFor::Covers(aJob, spec);
-  if (compared && mFullFor.Refuses(aJob, spec)) {
+  const bool compared =
+    !starving && !suspect && RefusedDemands::Covers(aJob, spec);
+  if (compared && mRefusedDemands.Refuses(aJob, spec)) {
     return false;
   }
   // The members of a gang start together or never, wherever there is room.
-  const bool apart = TriedApart(suspected) && !spec.mGang;
+  const bool apart = NeedsIsolatedTrial(suspected) && !spec.mGang;
   PlacementView view{ mWorkers,    mInterference, mSettings, mTrials,
                       aClock.mNow, starving,      apart };
   const auto agent = ChooseWorker(view, aJob, aTask);
   if (!agent) {
-    view.mQuietOnly = false;
+    view.mNoRecentStartOnly = false;
     if (const auto best = apart ? ChooseWorker(view, aJob, aTask) : agent;
         best && mTrials.Reserve(*best, aTask, mWorkers.size(), aClock.mNow)) {
-      Tell("worker-reserved", aTask, *best, aRun, "trial");
+      LogDecision("worker-reserved", aTask, *best, aRun, "trial");
     }
     if (compared && aJob.Find(aTask)->mStalledUntil <= aClock.mNow) {
-      mFullFor.NoteRefused(aJob, spec);
+      mRefusedDemands.RecordRefusal(aJob, spec);
     }
     return false;
   }
   const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(
     aClock.mNow - aJob.mAcceptedAt);
-  Tell("task-start", aTask, *agent, aRun, "room", waited.count());
+  LogDecision("task-start", aTask, *agent, aRun, "room", waited.count());
   WorkerEntry& worker = mWorkers.at(*agent);
   TaskEntry& entry = *aJob.Find(aTask);
   entry.mTime.mWaited +=
@@ -298,7 +299,7 @@
            .mNumber = aRun,
            .mOrderedAt = aClock.mNow,
            .mOrderNumber = worker.mLastOrder + 1 });
-  RefreshPressure(worker, aClock.mNow);
+  RefreshInterference(worker, aClock.mNow);
   mOrders[*agent].mStarts.push_back(
     OrderFor(aJob, aTask, aRun, worker, aClock.mNow));
   return true;
--- a/src/core/cell/CellSchedulerRuns.cpp
+++ b/src/core/cell/CellSchedulerRuns.cpp
@@ -9,13 +9,13 @@
 
 /// A task that runs on so long after its stop was ordered is stopped again.
 /// Above the platform's longest stop.
-constexpr Duration kStopAgain = std::chrono::milliseconds(800);
+constexpr Duration kStopRetryDelay = std::chrono::milliseconds(800);
 
-TaskTraits TraitsOf(const TaskRef& aTask, const StepSpec& aSpec)
+TaskMetadata TraitsOf(const TaskRef& aTask, const StepSpec& aSpec)
 {
   return { aTask,
            aSpec.mLatencyTarget,
-           aSpec.mLeftover,
+           aSpec.mBestEffort,
            aSpec.mImage,
            Reservation(aSpec) };
 }
@@ -30,7 +30,7 @@
   TaskEntry& task = *aJob.Find(aTask);
   task.mLastRun = std::max(task.mLastRun, aRun.mNumber);
   aWorker.mRuns[aTask] = aRun.mNumber;
-  aWorker.mAllLived = false;
+  aWorker.mAllPastFreshUptime = false;
   if (task.mCrashes.Suspect()) {
     mTrials.Begin(aWorker.mId,
                   { { aTask, aRun.mNumber },
@@ -38,7 +38,7 @@
                     task.mCrashes.Suspected() });
   }
   CountUse(aWorker.mUse, aTask.mJob, aJob.Spec(aTask), 1);
-  aWorker.mPressure.Forget();
+  aWorker.mWorkerInterference.Forget();
   task.mRuns.push_back(std::move(aRun));
 }
 
@@ -63,8 +63,8 @@
   task.mCrashes.Settle(aRun);
   mTrials.End(aAgent, { aTask, aRun });
   CountUse(worker.mUse, aTask.mJob, aJob.Spec(aTask), -1);
-  worker.mPressure.Forget();
-  mPlacingChanged = true;
+  worker.mWorkerInterference.Forget();
+  mNeedsPlacement = true;
 }
 
 void CellScheduler::StopRun(TaskRun& aRun,
@@ -113,15 +113,15 @@
   if (ordered) {
     return;
   }
-  Tell("task-stop", aTask, aWorker.mId, aRun, aReason);
+  LogDecision("task-stop", aTask, aWorker.mId, aRun, aReason);
   WithdrawStart(aWorker.mId, aTask, aRun);
   orders.mStops.push_back({ aTask, aRun });
 }
 
-void CellScheduler::TakeRunning(WorkerEntry& aWorker,
-                                const std::vector<RunningTask>& aRunning,
-                                Duration aAnsweredAt,
-                                const CellClock& aClock)
+void CellScheduler::OnRunningTasks(WorkerEntry& aWorker,
+                                   const std::vector<RunningTask>& aRunning,
+                                   Duration aAnsweredAt,
+                                   const CellClock& aClock)
 {
   std::erase_if(aWorker.mForeign, [&](const auto& aForeign) {
     return std::ranges::none_of(aRunning, [&](const RunningTask& aTask) {
@@ -133,18 +133,18 @@
     const Duration known = running.mSince == Duration::zero()
                              ? Duration::zero()
                              : aAnsweredAt - running.mSince;
-    if (TakeRunningTask(aWorker, running, known, aClock)) {
-      lived += known >= kFreshLife ? 1 : 0;
+    if (OnRunningTask(aWorker, running, known, aClock)) {
+      lived += known >= kFreshUptime ? 1 : 0;
     }
   }
-  aWorker.mAllLived = lived == aWorker.mRuns.size();
+  aWorker.mAllPastFreshUptime = lived == aWorker.mRuns.size();
 }
 
 /// False when no run of ours is there.
-bool CellScheduler::TakeRunningTask(WorkerEntry& aWorker,
-                                    const RunningTask& aRunning,
-                                    Duration aLived,
-                                    const CellClock& aClock)
+bool CellScheduler::OnRunningTask(WorkerEntry& aWorker,
+                                  const RunningTask& aRunning,
+                                  Duration aUptime,
+                                  const CellClock& aClock)
 {
   const auto found = mJobs.find(aRunning.mTask.mJob);
   TaskEntry* task =
@@ -159,8 +159,8 @@
     return false;
   }
   run->Confirm(aClock.mNow);
-  run->mLived = std::max(run->mLived, aLived);
-  NoteAlive(found->second, aRunning.mTask, *run, aClock);
+  run->mUptime = std::max(run->mUptime, aUptime);
+  OnRunAlive(found->second, aRunning.mTask, *run, aClock);
   if (run->mPercent != aRunning.mPercent) {
     run->mPercent = aRunning.mPercent;
     run->mPercentChangedAt = aClock.mNow;
@@ -172,7 +172,7 @@
     found->second.mPhase = JobPhase::Running;
   }
   if (run->mPhase == RunPhase::Stopping &&
-      aClock.mNow - run->mStopOrderedAt > kStopAgain) {
+      aClock.mNow - run->mStopOrderedAt > kStopRetryDelay) {
     // Ordered before a session that broke, or lost: a stop is idempotent.
     StopRun(*run, aRunning.mTask, "again", aClock);
   }
@@ -198,11 +198,11 @@
   if (!task->mRuns.empty() && !job.Spec(aRunning.mTask).mSpeculative) {
     return false;
   }
-  Tell("task-adopted",
-       aRunning.mTask,
-       aWorker.mId,
-       aRunning.mRun,
-       "earlier-owner");
+  LogDecision("task-adopted",
+              aRunning.mTask,
+              aWorker.mId,
+              aRunning.mRun,
+              "earlier-owner");
   AddRun(job,
          aRunning.mTask,
          aWorker,
@@ -215,7 +215,7 @@
            .mPercent = aRunning.mPercent,
            .mPercentChangedAt = aClock.mNow });
   if (task->mCrashes.Count() > 0) {
-    AnnounceStart(job, aRunning.mTask, task->mRuns.back());
+    RecordStart(job, aRunning.mTask, task->mRuns.back());
   }
   if (!aRunning.mCheckpoint.empty()) {
     task->mCheckpoint = aRunning.mCheckpoint;
@@ -223,18 +223,18 @@
   if (job.mPhase == JobPhase::Queued) {
     job.mPhase = JobPhase::Running;
   }
-  mOrders[aWorker.mId].mTraits.push_back(
+  mOrders[aWorker.mId].mMetadata.push_back(
     TraitsOf(aRunning.mTask, job.Spec(aRunning.mTask)));
   return true;
 }
 
 /// An agent that has restarted knows nothing of what its worker runs.
-void CellScheduler::TellTraits(const WorkerEntry& aWorker)
+void CellScheduler::SendMetadata(const WorkerEntry& aWorker)
 {
   if (aWorker.mRuns.empty()) {
     return;
   }
-  std::vector<TaskTraits>& traits = mOrders[aWorker.mId].mTraits;
+  std::vector<TaskMetadata>& traits = mOrders[aWorker.mId].mMetadata;
   traits.clear();
   for (const auto& [task, number] : aWorker.mRuns) {
     traits.push_back(TraitsOf(task, mJobs.at(task.mJob).Spec(task)));
@@ -271,32 +271,32 @@
     if (open) {
       continue;
     }
-    Tell("task-lost", task, aWorker.mId, number, "not-there");
+    LogDecision("task-lost", task, aWorker.mId, number, "not-there");
     RemoveRun(job, task, aWorker.mId, number, aClock);
     StopGang(job, task, number, aClock);
   }
 }
 
-void CellScheduler::LoseRuns(WorkerEntry& aWorker,
-                             std::string_view aReason,
-                             LossCause aCause,
-                             const CellClock& aClock)
+void CellScheduler::OnRunsLost(WorkerEntry& aWorker,
+                               std::string_view aReason,
+                               LossCause aCause,
+                               const CellClock& aClock)
 {
   const auto runs = aWorker.mRuns;
   for (const auto& [task, number] : runs) {
     const TaskRun& run =
       *mJobs.at(task.mJob).Find(task)->FindRun(aWorker.mId, number);
-    Tell(run.mSent ? "task-lost" : "task-start-withdrawn",
-         task,
-         aWorker.mId,
-         number,
-         aReason,
-         WholeMilliseconds(run.mLived));
+    LogDecision(run.mSent ? "task-lost" : "task-start-withdrawn",
+                task,
+                aWorker.mId,
+                number,
+                aReason,
+                WholeMilliseconds(run.mUptime));
     if (aCause == LossCause::Unexplained) {
-      NoteUnexplained(aWorker, task, run, aClock.mNow);
+      RecordUnexplainedLoss(aWorker, task, run, aClock.mNow);
     }
     if (number < FirstRunOf(mGeneration)) {
-      mJobs.at(task.mJob).Find(task)->mWrittenOff.push_back(number);
+      mJobs.at(task.mJob).Find(task)->mExpiredRuns.push_back(number);
     }
     RemoveRun(mJobs.at(task.mJob), task, aWorker.mId, number, aClock);
     StopGang(mJobs.at(task.mJob), task, number, aClock);
--- a/src/core/cell/CellSchedulerWaiting.cpp
+++ b/src/core/cell/CellSchedulerWaiting.cpp
@@ -14,7 +14,7 @@
 
 constexpr double kMillicores = 1000.0;
 /// Between two rounds of lines on steps that wait: one line an image.
-constexpr Duration kTellWaitingEvery = std::chrono::seconds(1);
+constexpr Duration kLogWaitingInterval = std::chrono::seconds(1);
 
 std::string ToText(const RefusalCounts& aCounts)
 {
@@ -30,27 +30,27 @@
 } // namespace
 
 /// Tells where the time of a leftover step's last task went.
-void CellScheduler::NoteStepDone(JobEntry& aJob, const TaskRef& aTask)
+void CellScheduler::OnStepDone(JobEntry& aJob, const TaskRef& aTask)
 {
   const StepSpec& spec = aJob.Spec(aTask);
-  if (!spec.mLeftover) {
+  if (!spec.mBestEffort) {
     return;
   }
-  Tell("step-done",
-       aTask,
-       {},
-       0,
-       absl::StrCat(ToString(aJob.Find(aTask)->mTime),
-                    " image=",
-                    spec.mImage,
-                    " tasks=",
-                    spec.mReplicas));
+  LogDecision("step-done",
+              aTask,
+              {},
+              0,
+              absl::StrCat(ToString(aJob.Find(aTask)->mTime),
+                           " image=",
+                           spec.mImage,
+                           " tasks=",
+                           spec.mReplicas));
 }
 
 /// Tells what the workers leave to leftover tasks, how much of it these want,
 /// stand still with and use, in cores; and workers by the number of serving
 /// images on them.
-void CellScheduler::TellLoad() const
+void CellScheduler::LogLoad() const
 {
   double left = 0;
   double wanted = 0;
@@ -61,10 +61,10 @@
     if (worker.mLink != WorkerLink::Attached) {
       continue;
     }
-    left += LeftoverMillicores(worker, mSettings);
-    wanted += static_cast<double>(worker.mUse.mLeftover);
-    used += static_cast<double>(worker.mUse.mLeftoverUsed);
-    for (const auto& [image, millicores] : worker.mUse.mStalledOf) {
+    left += BestEffortMillicores(worker, mSettings);
+    wanted += static_cast<double>(worker.mUse.mBestEffort);
+    used += static_cast<double>(worker.mUse.mBestEffortUsed);
+    for (const auto& [image, millicores] : worker.mUse.mStalledByImage) {
       stalled += static_cast<double>(millicores);
     }
     ++byImages[ServingImages(worker.mUse).size()];
@@ -73,57 +73,57 @@
   for (const auto& [count, workers] : byImages) {
     images += " images" + std::to_string(count) + "=" + std::to_string(workers);
   }
-  Tell("leftover-load",
-       {},
-       {},
-       0,
-       absl::StrCat("left=",
-                    std::llround(left / kMillicores),
-                    " wanted=",
-                    std::llround(wanted / kMillicores),
-                    " stalled=",
-                    std::llround(stalled / kMillicores),
-                    " used=",
-                    std::llround(used / kMillicores),
-                    images));
+  LogDecision("leftover-load",
+              {},
+              {},
+              0,
+              absl::StrCat("left=",
+                           std::llround(left / kMillicores),
+                           " wanted=",
+                           std::llround(wanted / kMillicores),
+                           " stalled=",
+                           std::llround(stalled / kMillicores),
+                           " used=",
+                           std::llround(used / kMillicores),
+                           images));
 }
 
 /// Tells of the first waiting step of each leftover image why no worker takes
 /// it.
-void CellScheduler::TellWaiting(const std::vector<Candidate>& aCandidates,
-                                const CellClock& aClock)
+void CellScheduler::LogWaiting(const std::vector<Candidate>& aCandidates,
+                               const CellClock& aClock)
 {
-  if (aClock.mNow - mWaitingToldAt < kTellWaitingEvery) {
+  if (aClock.mNow - mWaitingLoggedAt < kLogWaitingInterval) {
     return;
   }
-  mWaitingToldAt = aClock.mNow;
-  TellLoad();
+  mWaitingLoggedAt = aClock.mNow;
+  LogLoad();
   std::set<std::string> told;
   for (const Candidate& candidate : aCandidates) {
-    JobEntry& job = mJobs.at(candidate.mFirst.mJob);
-    const StepSpec& spec = job.Spec(candidate.mFirst);
-    std::vector<TaskEntry>& tasks = job.StepOf(candidate.mFirst).mTasks;
+    JobEntry& job = mJobs.at(candidate.mFirstTask.mJob);
+    const StepSpec& spec = job.Spec(candidate.mFirstTask);
+    std::vector<TaskEntry>& tasks = job.StepOf(candidate.mFirstTask).mTasks;
     const auto idle = std::ranges::find_if(tasks, &TaskEntry::Idle);
-    if (!spec.mLeftover || idle == tasks.end() ||
+    if (!spec.mBestEffort || idle == tasks.end() ||
         !told.insert(spec.mImage).second) {
       continue;
     }
-    TaskRef task = candidate.mFirst;
+    TaskRef task = candidate.mFirstTask;
     task.mIndex = static_cast<std::int32_t>(idle - tasks.begin());
     const RefusalCounts refusals = CountRefusals(
       { mWorkers, mInterference, mSettings, mTrials, aClock.mNow, false },
       job,
       task);
-    Tell("step-waits",
-         task,
-         {},
-         0,
-         absl::StrCat("image=",
-                      spec.mImage,
-                      " idle=",
-                      std::ranges::count_if(tasks, &TaskEntry::Idle),
-                      " ",
-                      ToText(refusals)));
+    LogDecision("step-waits",
+                task,
+                {},
+                0,
+                absl::StrCat("image=",
+                             spec.mImage,
+                             " idle=",
+                             std::ranges::count_if(tasks, &TaskEntry::Idle),
+                             " ",
+                             ToText(refusals)));
   }
 }
 
--- a/src/core/cell/CellSchedulerWorkers.cpp
+++ b/src/core/cell/CellSchedulerWorkers.cpp
@@ -8,7 +8,7 @@
 void CellScheduler::ExpectAgents(const std::set<AgentId>& aAgents,
                                  Instant aUntil)
 {
-  mExpected = aAgents;
+  mExpectedAgents = aAgents;
   mExpectedUntil = aUntil;
 }
 
@@ -25,43 +25,43 @@
   worker.mSession = aSession;
   worker.mLastSequence = 0;
   worker.mReported = aState;
-  worker.mSendWhole = false;
+  worker.mSendFullState = false;
   worker.mLastOrder = 0;
   worker.mForeign.clear();
   worker.mAnswers = true;
   worker.mAwaitsReport = false;
   worker.mAnsweredAt = {};
-  worker.mUnwellAfter.reset();
+  worker.mUnhealthyAfter.reset();
   // Until the first report, leases are those that an earlier owner granted.
-  worker.mHeldUntil =
-    std::max(worker.mHeldUntil, aClock.mNow + mSettings.mHold);
+  worker.mLeasedUntil =
+    std::max(worker.mLeasedUntil, aClock.mNow + mSettings.mMaxTaskLease);
   mOrders.erase(aAgent);
-  Tell("worker-attached", {}, aAgent, aSession, "session");
-  TakeInfo(worker, aState.mInfo, aClock);
-  TakeEnds(worker, aState.mEnded, aClock);
-  TakeTold(worker, aState.mCrashes, aClock);
-  TakeRunning(worker, aState.mRunning, Duration::zero(), aClock);
-  ExplainLosses(worker);
+  LogDecision("worker-attached", {}, aAgent, aSession, "session");
+  UpdateInfo(worker, aState.mInfo, aClock);
+  OnEndedTasks(worker, aState.mEnded, aClock);
+  OnReportedCrashes(worker, aState.mCrashes, aClock);
+  OnRunningTasks(worker, aState.mRunning, Duration::zero(), aClock);
+  ClearUnexplainedLosses(worker);
   // Orders of earlier sessions are dead, so that what is not there never comes.
   DropAbsentRuns(worker, aState.mRunning, kAllOrders, aClock);
-  TellTraits(worker);
+  SendMetadata(worker);
   for (const auto& [task, number] : worker.mRuns) {
     mJobs.at(task.mJob).Find(task)->FindRun(aAgent, number)->mOrderNumber = 0;
   }
   if (!aState.mInfo.mIncarnation.Empty()) {
-    mExpected.erase(aAgent);
+    mExpectedAgents.erase(aAgent);
   }
 }
 
-bool CellScheduler::TakeReport(const ReportRequest& aReport,
-                               const CellClock& aClock)
+bool CellScheduler::HandleReport(const ReportRequest& aReport,
+                                 const CellClock& aClock)
 {
   const auto found = mWorkers.find(aReport.mAgent);
   const bool inSession = found != mWorkers.end() &&
                          found->second.mLink == WorkerLink::Attached &&
                          found->second.mSession == aReport.mSession;
   if (aReport.mState.mInfo.mGone) {
-    TakeDeparture(aReport, inSession, aClock);
+    OnWorkerLeft(aReport, inSession, aClock);
     return false;
   }
   if (!inSession) {
@@ -71,50 +71,50 @@
   if (aReport.mSequence <= worker.mLastSequence) {
     return true; // Overtaken by a newer one.
   }
-  worker.mSendWhole =
+  worker.mSendFullState =
     aReport.mBase != 0 && aReport.mBase != worker.mLastSequence;
-  if (worker.mSendWhole) {
+  if (worker.mSendFullState) {
     return true;
   }
   worker.mLastSequence = aReport.mSequence;
   worker.mAwaitsReport = false;
-  TakeSilence(worker, aReport, aClock);
+  UpdateReachability(worker, aReport, aClock);
   if (aReport.mBase == 0) {
     worker.mReported = aReport.mState;
   } else if (aReport.mChange) {
     Apply(*aReport.mChange, worker.mReported);
   }
-  TakeState(worker, aReport, aClock);
+  ApplyReport(worker, aReport, aClock);
   return true;
 }
 
-void CellScheduler::TakeState(WorkerEntry& aWorker,
-                              const ReportRequest& aReport,
-                              const CellClock& aClock)
+void CellScheduler::ApplyReport(WorkerEntry& aWorker,
+                                const ReportRequest& aReport,
+                                const CellClock& aClock)
 {
   const bool whole = aReport.mBase == 0;
   const WorkerState& state = aWorker.mReported;
   if (whole || (aReport.mChange && aReport.mChange->mInfo)) {
-    TakeInfo(aWorker, state.mInfo, aClock);
+    UpdateInfo(aWorker, state.mInfo, aClock);
   }
   if (!state.mInfo.mIncarnation.Empty()) {
-    mExpected.erase(aReport.mAgent);
+    mExpectedAgents.erase(aReport.mAgent);
   }
   if (whole || (aReport.mChange && !aReport.mChange->mEnded.empty())) {
-    TakeEnds(aWorker, state.mEnded, aClock);
+    OnEndedTasks(aWorker, state.mEnded, aClock);
   }
   if (whole) {
-    TakeTold(aWorker, state.mCrashes, aClock);
+    OnReportedCrashes(aWorker, state.mCrashes, aClock);
   }
   if (aReport.mWorkerAnswers) {
-    ExplainLosses(aWorker);
+    ClearUnexplainedLosses(aWorker);
     aWorker.mEnded = false;
   } else if (aReport.mWorkerEnded && !aWorker.mEnded) {
-    TakeEndOfWorker(aWorker, "worker-ended", aClock);
+    OnWorkerEnded(aWorker, "worker-ended", aClock);
     aWorker.mEnded = true;
   }
   aWorker.mAnsweredAt = std::max(aWorker.mAnsweredAt, aReport.mAnsweredAt);
-  TakeRunning(aWorker, state.mRunning, aReport.mAnsweredAt, aClock);
+  OnRunningTasks(aWorker, state.mRunning, aReport.mAnsweredAt, aClock);
   DropAbsentRuns(aWorker, state.mRunning, aReport.mOrdersDone, aClock);
   if (whole || (aReport.mChange && aReport.mChange->mFigures)) {
     Learn(aWorker, state.mRunning, aClock);
@@ -123,19 +123,20 @@
 
 /// What the agent remembers of crashes: an owner that took the cell over in
 /// between has not seen these runs.
-void CellScheduler::TakeTold(const WorkerEntry& aWorker,
-                             const std::vector<CrashedWorker>& aCrashes,
-                             const CellClock& aClock)
+void CellScheduler::OnReportedCrashes(
+  const WorkerEntry& aWorker,
+  const std::vector<CrashedWorker>& aCrashes,
+  const CellClock& aClock)
 {
   for (const CrashedWorker& crash : aCrashes) {
-    TakeCrash(aWorker.mId, crash, aClock);
+    OnWorkerCrash(aWorker.mId, crash, aClock);
   }
 }
 
 /// Its last ends count; what else it ran is over, without a wait for leases.
-void CellScheduler::TakeDeparture(const ReportRequest& aReport,
-                                  bool aInSession,
-                                  const CellClock& aClock)
+void CellScheduler::OnWorkerLeft(const ReportRequest& aReport,
+                                 bool aInSession,
+                                 const CellClock& aClock)
 {
   const auto [entry, first] = mWorkers.try_emplace(aReport.mAgent);
   WorkerEntry& worker = entry->second;
@@ -149,21 +150,21 @@
   }
   worker.mId = aReport.mAgent;
   worker.mEndpoint = aReport.mEndpoint;
-  mExpected.erase(aReport.mAgent);
+  mExpectedAgents.erase(aReport.mAgent);
   if (aInSession) {
-    TakeInfo(worker, aReport.mState.mInfo, aClock);
-    TakeEnds(worker, aReport.mState.mEnded, aClock);
+    UpdateInfo(worker, aReport.mState.mInfo, aClock);
+    OnEndedTasks(worker, aReport.mState.mEnded, aClock);
   }
-  Tell("worker-lost", {}, worker.mId, worker.mSession, "left");
-  LoseRuns(worker, "worker-left", LossCause::Known, aClock);
+  LogDecision("worker-lost", {}, worker.mId, worker.mSession, "left");
+  OnRunsLost(worker, "worker-left", LossCause::Known, aClock);
   worker.mLink = WorkerLink::Lost;
   mOrders.erase(worker.mId);
 }
 
-bool CellScheduler::SendsWhole(const AgentId& aAgent) const
+bool CellScheduler::NeedsFullState(const AgentId& aAgent) const
 {
   const auto found = mWorkers.find(aAgent);
-  return found != mWorkers.end() && found->second.mSendWhole;
+  return found != mWorkers.end() && found->second.mSendFullState;
 }
 
 bool CellScheduler::RunsNothing(const AgentId& aAgent) const
@@ -174,23 +175,23 @@
 
 /// A worker that does not answer its agent keeps what it runs until its leases
 /// are over.
-void CellScheduler::TakeSilence(WorkerEntry& aWorker,
-                                const ReportRequest& aReport,
-                                const CellClock& aClock)
+void CellScheduler::UpdateReachability(WorkerEntry& aWorker,
+                                       const ReportRequest& aReport,
+                                       const CellClock& aClock)
 {
   if (aWorker.mAnswers != aReport.mWorkerAnswers) {
-    Tell(aReport.mWorkerAnswers ? "worker-answers" : "worker-silent",
-         {},
-         aWorker.mId,
-         aWorker.mSession,
-         aReport.mState.mInfo.mIncarnation.Value());
+    LogDecision(aReport.mWorkerAnswers ? "worker-answers" : "worker-silent",
+                {},
+                aWorker.mId,
+                aWorker.mSession,
+                aReport.mState.mInfo.mIncarnation.Value());
     aWorker.mSilentLeaseEnd = aClock.mNow + aReport.mLeaseLeft;
-    mPlacingChanged = true;
+    mNeedsPlacement = true;
   }
   aWorker.mAnswers = aReport.mWorkerAnswers;
   if (!aWorker.mAnswers &&
       aClock.mNow > aWorker.mSilentLeaseEnd + mSettings.mLeaseMargin) {
-    LoseRuns(aWorker, "worker-silent", LossCause::Unexplained, aClock);
+    OnRunsLost(aWorker, "worker-silent", LossCause::Unexplained, aClock);
   }
 }
 
@@ -200,24 +201,25 @@
       found != mWorkers.end() && found->second.mLink == WorkerLink::Attached) {
     found->second.mLink = WorkerLink::Detached;
     mOrders.erase(aAgent);
-    Tell("worker-detached", {}, aAgent, found->second.mSession, "silent");
+    LogDecision(
+      "worker-detached", {}, aAgent, found->second.mSession, "silent");
   }
 }
 
-void CellScheduler::NoteGrant(const AgentId& aAgent, Instant aUntil)
+void CellScheduler::OnGrant(const AgentId& aAgent, Instant aUntil)
 {
   if (const auto found = mWorkers.find(aAgent); found != mWorkers.end()) {
     WorkerEntry& worker = found->second;
-    mPlacingChanged = mPlacingChanged || worker.mGrantedUntil == Instant{};
+    mNeedsPlacement = mNeedsPlacement || worker.mGrantedUntil == Instant{};
     worker.mGrantedUntil = std::max(worker.mGrantedUntil, aUntil);
-    worker.mHeldUntil = std::max(worker.mHeldUntil, aUntil);
+    worker.mLeasedUntil = std::max(worker.mLeasedUntil, aUntil);
   }
 }
 
-void CellScheduler::TakeStartResults(const AgentId& aAgent,
-                                     Session aSession,
-                                     const std::vector<StartResult>& aResults,
-                                     const CellClock& aClock)
+void CellScheduler::OnStartResults(const AgentId& aAgent,
+                                   Session aSession,
+                                   const std::vector<StartResult>& aResults,
+                                   const CellClock& aClock)
 {
   const auto worker = mWorkers.find(aAgent);
   if (worker == mWorkers.end() || worker->second.mSession != aSession) {
@@ -239,19 +241,19 @@
       }
       continue;
     }
-    Tell("task-start-refused",
-         result.mTask,
-         aAgent,
-         result.mRun,
-         ToString(result.mOutcome));
+    LogDecision("task-start-refused",
+                result.mTask,
+                aAgent,
+                result.mRun,
+                ToString(result.mOutcome));
     if (result.mOutcome == StartOutcome::NoTicket) {
       found->second.StepOf(result.mTask)
         .mAdvice.Reject(worker->second.mInfo.mIncarnation);
     }
     RemoveRun(found->second, result.mTask, aAgent, result.mRun, aClock);
     StopGang(found->second, result.mTask, result.mRun, aClock);
-    if (result.mOutcome == StartOutcome::Unwell) {
-      NoteUnwell(worker->second);
+    if (result.mOutcome == StartOutcome::Unhealthy) {
+      MarkUnhealthy(worker->second);
     }
     if (result.mOutcome == StartOutcome::OverCapacity) {
       worker->second.mAwaitsReport = true;
@@ -261,25 +263,26 @@
   }
 }
 
-void CellScheduler::NoteUnwell(WorkerEntry& aWorker)
+void CellScheduler::MarkUnhealthy(WorkerEntry& aWorker)
 {
   // Agents of earlier versions do not tell when their worker answered.
-  if (aWorker.Unwell() || aWorker.mAnsweredAt == Duration::zero()) {
+  if (aWorker.Unhealthy() || aWorker.mAnsweredAt == Duration::zero()) {
     return;
   }
-  aWorker.mUnwellAfter = aWorker.mAnsweredAt;
-  Tell("worker-unwell", {}, aWorker.mId, aWorker.mSession, "refused-start");
+  aWorker.mUnhealthyAfter = aWorker.mAnsweredAt;
+  LogDecision(
+    "worker-unwell", {}, aWorker.mId, aWorker.mSession, "refused-start");
 }
 
-void CellScheduler::TakeInfo(WorkerEntry& aWorker,
-                             const WorkerInfo& aInfo,
-                             const CellClock& aClock)
+void CellScheduler::UpdateInfo(WorkerEntry& aWorker,
+                               const WorkerInfo& aInfo,
+                               const CellClock& aClock)
 {
   if (aInfo.mIncarnation.Empty()) {
     return; // An agent that has just started; the worker tells within seconds.
   }
   if (aWorker.mEnds.Incarnation() != aInfo.mIncarnation) {
-    TakeReplaced(aWorker, aClock);
+    OnWorkerReplaced(aWorker, aClock);
     aWorker.mEnds.Reset(aInfo.mIncarnation);
     aWorker.mForeign.clear();
     aWorker.mAvoidUntil = {};
@@ -287,17 +290,19 @@
     aWorker.mFailingJobs.clear();
   }
   if (aInfo.mDraining && !aWorker.mInfo.mDraining) {
-    Tell("worker-draining", {}, aWorker.mId, 0, aInfo.mIncarnation.Value());
+    LogDecision(
+      "worker-draining", {}, aWorker.mId, 0, aInfo.mIncarnation.Value());
   }
   if (aInfo.mDraining) {
     aWorker.mLeavesAt = aClock.mNow + aInfo.mDrainLeft;
   }
-  mPlacingChanged = mPlacingChanged || aWorker.mInfo != aInfo;
+  mNeedsPlacement = mNeedsPlacement || aWorker.mInfo != aInfo;
   aWorker.mInfo = aInfo;
 }
 
 /// Another incarnation answers.
-void CellScheduler::TakeReplaced(WorkerEntry& aWorker, const CellClock& aClock)
+void CellScheduler::OnWorkerReplaced(WorkerEntry& aWorker,
+                                     const CellClock& aClock)
 {
   if (aWorker.mInfo.mIncarnation.Empty()) {
     return;
@@ -306,41 +311,41 @@
     aWorker.mEnded = false; // Its end was taken as it came.
     return;
   }
-  TakeEndOfWorker(aWorker, "worker-restarted", aClock);
+  OnWorkerEnded(aWorker, "worker-restarted", aClock);
 }
 
 /// All that the incarnation ran is lost. Unless it had said that it leaves, it
 /// has crashed.
-void CellScheduler::TakeEndOfWorker(WorkerEntry& aWorker,
-                                    std::string_view aReason,
-                                    const CellClock& aClock)
+void CellScheduler::OnWorkerEnded(WorkerEntry& aWorker,
+                                  std::string_view aReason,
+                                  const CellClock& aClock)
 {
   const bool crashed = !aWorker.mInfo.mDraining;
-  Tell(crashed ? "worker-crashed" : "worker-replaced",
-       {},
-       aWorker.mId,
-       static_cast<RunNumber>(aWorker.mRuns.size()),
-       aWorker.mInfo.mIncarnation.Value());
+  LogDecision(crashed ? "worker-crashed" : "worker-replaced",
+              {},
+              aWorker.mId,
+              static_cast<RunNumber>(aWorker.mRuns.size()),
+              aWorker.mInfo.mIncarnation.Value());
   const CrashedWorker crash = CrashOf(aWorker);
   aWorker.mUnexplained.clear();
-  LoseRuns(aWorker, aReason, LossCause::Known, aClock);
+  OnRunsLost(aWorker, aReason, LossCause::Known, aClock);
   if (crashed) {
-    ++mCrashFigures.mWorkers;
+    ++mCrashCounters.mWorkers;
     aWorker.mCrashedAt = aClock.mNow;
-    TakeCrash(aWorker.mId, crash, aClock);
+    OnWorkerCrash(aWorker.mId, crash, aClock);
   }
 }
 
-void CellScheduler::LoseLapsedWorkers(const CellClock& aClock)
+void CellScheduler::ExpireWorkers(const CellClock& aClock)
 {
   for (auto& [id, worker] : mWorkers) {
     if (worker.mLink != WorkerLink::Detached ||
-        aClock.mNow < worker.mHeldUntil + mSettings.mLeaseMargin) {
+        aClock.mNow < worker.mLeasedUntil + mSettings.mLeaseMargin) {
       continue;
     }
     worker.mLink = WorkerLink::Lost;
-    Tell("worker-lost", {}, id, worker.mSession, "leases-over");
-    LoseRuns(worker, "leases-over", LossCause::Unexplained, aClock);
+    LogDecision("worker-lost", {}, id, worker.mSession, "leases-over");
+    OnRunsLost(worker, "leases-over", LossCause::Unexplained, aClock);
   }
 }
 
--- a/src/core/cell/CellSettings.h
+++ b/src/core/cell/CellSettings.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "foxtailbarrow/Time.h"
-#include "src/core/cell/Interference.h"
+#include "src/core/cell/InterferenceEstimator.h"
 
 namespace foxtailbarrow::cell {
 
@@ -10,16 +10,16 @@
 {
   /// Longest lease of a task beyond its agent's last word with the owner. A
   /// lost worker's tasks restart after it; a shorter cut is survived.
-  Duration mHold = std::chrono::milliseconds(3500);
+  Duration mMaxTaskLease = std::chrono::milliseconds(3500);
   /// Longest time that an owner grants leases without a confirmation of its
   /// ownership by the store. A store outage of this length is survived. A new
   /// owner waits it out for workers that do not answer.
-  Duration mAuthority = std::chrono::milliseconds(5600);
+  Duration mOwnershipTimeout = std::chrono::milliseconds(5600);
   /// Added to every waited lease: slow clocks of workers (2 %) and the time
   /// that a worker takes to end what has lapsed.
   Duration mLeaseMargin = std::chrono::milliseconds(350);
   /// How long nothing is started on a worker that fails all it starts.
-  Duration mAvoid = std::chrono::seconds(3);
+  Duration mAvoidFor = std::chrono::seconds(3);
   /// Failures in a row, of two jobs or more, after which a worker is avoided.
   int mFailuresToAvoid = 3;
   /// Before a start is tried again at a worker that refused it.
@@ -32,16 +32,16 @@
   /// Demand of leftover tasks on a worker over what it has for them. Some are
   /// held down at any moment, and the others use what these leave; far above
   /// it all are late together.
-  double mMaxLeftoverRatio = 1.3;
+  double mMaxBestEffortRatio = 1.3;
   /// Share of its target that a serving task's latency may come to by plan, at
   /// the load that its job is expected to have. The rest is for what is not
   /// known: new pairs of images, rough figures.
   double mPlannedLatencyShare = 0.75;
   /// Pressure over what was planned, in the logarithm of the latency, from
   /// which on no further leftover task is placed: such a task would hardly run.
-  double mMaxPressureOver = 0.05;
+  double mMaxExcessInterference = 0.05;
   /// Share of its reservation that a standing task is taken to use.
-  double mStandingUse = 0.5;
+  double mStandingUseShare = 0.5;
   /// Without any running task for so long, a job takes any worker with room,
   /// unless more than mBusyShare of the cell's processors are reserved.
   Duration mStarvingAfter = std::chrono::milliseconds(1500);
@@ -55,7 +55,7 @@
   int mMaxCopies = 24;
   /// Between two looks over all runs for copies and moves. These wait for about
   /// a second, while rounds of placing are many times as frequent.
-  Duration mJudgeRunsEvery = std::chrono::milliseconds(100);
+  Duration mRunReviewInterval = std::chrono::milliseconds(100);
   /// A leftover task that uses less than this share of its demand, later than
   /// so long after its start, is stalled: slowed down for a serving task.
   double mStalledShare = 0.3;
@@ -70,7 +70,7 @@
   /// Between two looks at one worker that interference is learned from: its
   /// figures cover half a second. Shorter than between two reports of figures,
   /// or every second one would be passed over.
-  Duration mObserveEvery = std::chrono::milliseconds(450);
+  Duration mObserveInterval = std::chrono::milliseconds(450);
   InterferenceSettings mInterference;
 };
 
--- a/src/core/cell/CrashBlame.cpp
+++ b/src/core/cell/CrashBlame.cpp
@@ -8,35 +8,35 @@
 
 namespace {
 
-bool IsFresh(const CrashWitness& aWitness)
+bool IsFresh(const RunAtCrash& aWitness)
 {
-  return aWitness.mLived < kFreshLife;
+  return aWitness.mUptime < kFreshUptime;
 }
 
-bool IsFreshSuspect(const CrashWitness& aWitness)
+bool IsFreshSuspect(const RunAtCrash& aWitness)
 {
   return IsFresh(aWitness) && aWitness.mSuspect;
 }
 
-bool IsUnproven(const CrashWitness& aWitness)
+bool IsUnproven(const RunAtCrash& aWitness)
 {
-  return aWitness.mLived < kProvenLife;
+  return aWitness.mUptime < kProvenUptime;
 }
 
 } // namespace
 
-std::vector<CrashBlame> JudgeCrash(std::span<const CrashWitness> aWitnesses)
+std::vector<CrashBlame> AssignBlame(std::span<const RunAtCrash> aWitnesses)
 {
   const bool suspects = std::ranges::any_of(aWitnesses, IsFreshSuspect);
   const bool alone =
     suspects && std::ranges::count_if(aWitnesses, IsFresh) == 1;
   std::vector<CrashBlame> blames;
   blames.reserve(aWitnesses.size());
-  for (const CrashWitness& witness : aWitnesses) {
+  for (const RunAtCrash& witness : aWitnesses) {
     const bool likely = suspects ? IsFreshSuspect(witness) : IsFresh(witness);
     blames.push_back(!IsUnproven(witness) ? CrashBlame::None
-                     : !likely            ? CrashBlame::Beside
-                     : alone              ? CrashBlame::Alone
+                     : !likely            ? CrashBlame::Possible
+                     : alone              ? CrashBlame::Sole
                                           : CrashBlame::Likely);
   }
   return blames;
--- a/src/core/cell/CrashBlame.h
+++ b/src/core/cell/CrashBlame.h
@@ -14,15 +14,15 @@
   None, ///< It had lived for long: it is not the cause.
   /// It may not have run at all: its start got no answer.
   Unconfirmed,
-  Beside, ///< It may be the cause, but others are likelier.
-  Likely, ///< It is one of the likeliest causes.
-  Alone,  ///< It is the only likely cause.
+  Possible, ///< It may be the cause, but others are likelier.
+  Likely,   ///< It is one of the likeliest causes.
+  Sole,     ///< It is the only likely cause.
 };
 
 /// A run at the moment of the crash.
-struct CrashWitness
+struct RunAtCrash
 {
-  Duration mLived{};     ///< It is known to have run for.
+  Duration mUptime{};    ///< It is known to have run for.
   bool mSuspect = false; ///< Its task was likely to have caused another crash.
 };
 
@@ -30,6 +30,6 @@
 /// crash by themselves, so that this is evidence and no proof. The likeliest
 /// are fresh suspects, else fresh tasks. Older ones are never likely: crashes
 /// by chance meet standing tasks most.
-std::vector<CrashBlame> JudgeCrash(std::span<const CrashWitness> aWitnesses);
+std::vector<CrashBlame> AssignBlame(std::span<const RunAtCrash> aWitnesses);
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/CrashFigures.h
+++ b/src/core/cell/CrashCounters.h
@@ -8,7 +8,7 @@
 namespace foxtailbarrow::cell {
 
 /// What crashes were held against one queue's tasks.
-struct QueueCrashFigures
+struct QueueCrashCounters
 {
   std::uint64_t mSuspected = 0; ///< Times that a crash counted for a task.
   std::uint64_t mCleared = 0;   ///< Tasks that a run has cleared again.
@@ -16,15 +16,15 @@
 };
 
 /// What the owner has made of crashes in its term, for the metrics.
-struct CrashFigures
+struct CrashCounters
 {
   std::uint64_t mWorkers = 0; ///< Crashes of workers.
-  std::map<QueueId, QueueCrashFigures> mQueues;
+  std::map<QueueId, QueueCrashCounters> mQueues;
 
-  QueueCrashFigures Of(const QueueId& aQueue) const
+  QueueCrashCounters Of(const QueueId& aQueue) const
   {
     const auto found = mQueues.find(aQueue);
-    return found == mQueues.end() ? QueueCrashFigures{} : found->second;
+    return found == mQueues.end() ? QueueCrashCounters{} : found->second;
   }
 };
 
--- a/src/core/cell/CrashHistory.cpp
+++ b/src/core/cell/CrashHistory.cpp
@@ -14,21 +14,21 @@
 
 bool Contains(const CrashHistory::Runs& aRuns, RunNumber aRun)
 {
-  return Contains(aRuns.mAlone, aRun) || Contains(aRuns.mLikely, aRun) ||
-         Contains(aRuns.mBeside, aRun) || Contains(aRuns.mUnconfirmed, aRun);
+  return Contains(aRuns.mSole, aRun) || Contains(aRuns.mLikely, aRun) ||
+         Contains(aRuns.mPossible, aRun) || Contains(aRuns.mUnconfirmed, aRun);
 }
 
 std::vector<RunNumber>& RunsOf(CrashHistory::Runs& aRuns, CrashBlame aBlame)
 {
   switch (aBlame) {
-    case CrashBlame::Alone:
-      return aRuns.mAlone;
+    case CrashBlame::Sole:
+      return aRuns.mSole;
     case CrashBlame::Likely:
       return aRuns.mLikely;
     case CrashBlame::Unconfirmed:
       return aRuns.mUnconfirmed;
     default:
-      return aRuns.mBeside;
+      return aRuns.mPossible;
   }
 }
 
@@ -39,13 +39,13 @@
                            RunNumber aAnnounced)
   : mRuns(std::move(aRuns))
   , mClearedTo(aClearedTo)
-  , mAnnounced(aAnnounced)
+  , mUnsettledStart(aAnnounced)
 {
 }
 
-bool CrashHistory::NoteCrash(RunNumber aRun, CrashBlame aBlame)
+bool CrashHistory::RecordCrash(RunNumber aRun, CrashBlame aBlame)
 {
-  Explain(aRun);
+  ClearUnexplainedLoss(aRun);
   if (aBlame == CrashBlame::None || aRun <= mClearedTo ||
       Contains(mRuns, aRun)) {
     return false;
@@ -54,12 +54,12 @@
   return true;
 }
 
-void CrashHistory::NoteUnexplained(RunNumber aRun, Instant aNow)
+void CrashHistory::RecordUnexplainedLoss(RunNumber aRun, Instant aNow)
 {
-  mUnexplained.push_back({ aRun, aNow + kUnexplainedFor });
+  mUnexplained.push_back({ aRun, aNow + kUnexplainedTimeout });
 }
 
-void CrashHistory::Explain(RunNumber aRun)
+void CrashHistory::ClearUnexplainedLoss(RunNumber aRun)
 {
   std::erase_if(mUnexplained, [aRun](const Unexplained& aLoss) {
     return aLoss.mRun == aRun;
@@ -73,8 +73,8 @@
     std::ranges::any_of(mUnexplained, [aRun](const Unexplained& aLoss) {
       return aLoss.mRun == aRun;
     });
-  if (aRun == mAnnounced && !unexplained) {
-    mAnnounced = 0;
+  if (aRun == mUnsettledStart && !unexplained) {
+    mUnsettledStart = 0;
   }
 }
 
@@ -95,7 +95,7 @@
       return aNow < aLoss.mUntil;
     });
   return open == 0 ||
-         Weight() + kAloneWeight * static_cast<std::size_t>(open) < kMostWeight;
+         Weight() + kSoleWeight * static_cast<std::size_t>(open) < kMaxWeight;
 }
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/CrashHistory.h
+++ b/src/core/cell/CrashHistory.h
@@ -24,35 +24,35 @@
 /// so do crashes that come later; five in all are the end, too.
 ///
 /// A sound task that a crash made a suspect is given up where its trial meets a
-/// crash by chance within kFreshLife. Workers that have crashed lately are
+/// crash by chance within kFreshUptime. Workers that have crashed lately are
 /// taken last for trials.
 class CrashHistory
 {
 public:
   /// Of weights: a crash that speaks against the task alone weighs two, one
   /// that speaks against others too weighs one.
-  static constexpr std::size_t kMostWeight = 3;
-  static constexpr std::size_t kAloneWeight = 2;
-  /// A task that crashes its worker later than kFreshLife after the start, or
+  static constexpr std::size_t kMaxWeight = 3;
+  static constexpr std::size_t kSoleWeight = 2;
+  /// A task that crashes its worker later than kFreshUptime after the start, or
   /// always beside likelier ones, is tried alone after so many crashes.
-  static constexpr std::size_t kMostBeside = 2;
+  static constexpr std::size_t kMaxPossible = 2;
   /// Crashes of all kinds: one more start after these is allowed at most.
-  static constexpr std::size_t kMostInAll = 5;
+  static constexpr std::size_t kMaxCrashes = 5;
   /// A run that was lost for another reason than a known crash is taken for a
   /// crash so long: above the time after which a crashed worker is back.
-  static constexpr Duration kUnexplainedFor = std::chrono::seconds(12);
+  static constexpr Duration kUnexplainedTimeout = std::chrono::seconds(12);
 
   /// The crashes of each kind, by run.
   struct Runs
   {
-    std::vector<RunNumber> mAlone{};
+    std::vector<RunNumber> mSole{};
     std::vector<RunNumber> mLikely{};
-    std::vector<RunNumber> mBeside{};
+    std::vector<RunNumber> mPossible{};
     std::vector<RunNumber> mUnconfirmed{};
 
     std::size_t Count() const
     {
-      return mAlone.size() + mLikely.size() + mBeside.size() +
+      return mSole.size() + mLikely.size() + mPossible.size() +
              mUnconfirmed.size();
     }
     bool operator==(const Runs&) const = default;
@@ -62,20 +62,23 @@
   CrashHistory(Runs aRuns, RunNumber aClearedTo, RunNumber aAnnounced);
 
   /// False when the crash is known already, or disproved by a later run.
-  bool NoteCrash(RunNumber aRun, CrashBlame aBlame);
+  bool RecordCrash(RunNumber aRun, CrashBlame aBlame);
 
   /// The run was lost, fresh, with a worker that is silent.
-  void NoteUnexplained(RunNumber aRun, Instant aNow);
+  void RecordUnexplainedLoss(RunNumber aRun, Instant aNow);
   /// The worker is there again, and had not crashed.
-  void Explain(RunNumber aRun);
+  void ClearUnexplainedLoss(RunNumber aRun);
 
   /// A start was sent. Recorded, so that a next owner knows of a run that all
   /// others have forgotten.
-  void Announce(RunNumber aRun) { mAnnounced = std::max(mAnnounced, aRun); }
+  void RecordStart(RunNumber aRun)
+  {
+    mUnsettledStart = std::max(mUnsettledStart, aRun);
+  }
   /// What became of the run is known. No effect while its loss is unexplained.
   void Settle(RunNumber aRun);
   /// The newest run that was announced and is not settled; 0 = none.
-  RunNumber Announced() const { return mAnnounced; }
+  RunNumber UnsettledStart() const { return mUnsettledStart; }
 
   /// A run has ended by itself or lives: the task is not the cause. False when
   /// nothing was held against it.
@@ -87,7 +90,7 @@
     if (Weight() > 1) {
       return Suspicion::Strong;
     }
-    if (mRuns.mBeside.size() + mRuns.mUnconfirmed.size() >= kMostBeside) {
+    if (mRuns.mPossible.size() + mRuns.mUnconfirmed.size() >= kMaxPossible) {
       return Suspicion::Unclear;
     }
     return Weight() + mRuns.mUnconfirmed.size() == 0 ? Suspicion::None
@@ -96,7 +99,7 @@
   bool Suspect() const { return Suspected() != Suspicion::None; }
   bool GivenUp() const
   {
-    return Weight() >= kMostWeight || Count() >= kMostInAll;
+    return Weight() >= kMaxWeight || Count() >= kMaxCrashes;
   }
   /// Crashes that count.
   std::size_t Count() const { return mRuns.Count(); }
@@ -105,7 +108,7 @@
 
   bool Empty() const
   {
-    return Count() == 0 && mClearedTo == 0 && mAnnounced == 0;
+    return Count() == 0 && mClearedTo == 0 && mUnsettledStart == 0;
   }
   const Runs& Crashes() const { return mRuns; }
   RunNumber ClearedTo() const { return mClearedTo; }
@@ -119,12 +122,12 @@
 
   std::size_t Weight() const
   {
-    return mRuns.mLikely.size() + kAloneWeight * mRuns.mAlone.size();
+    return mRuns.mLikely.size() + kSoleWeight * mRuns.mSole.size();
   }
 
   Runs mRuns;
   RunNumber mClearedTo = 0; ///< Crashes of runs up to this are disproved.
-  RunNumber mAnnounced = 0;
+  RunNumber mUnsettledStart = 0;
   std::vector<Unexplained> mUnexplained;
 };
 
--- a/src/core/cell/CrashTrials.cpp
+++ b/src/core/cell/CrashTrials.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr std::size_t kLeast = 2;
+constexpr std::size_t kMinTrials = 2;
 constexpr std::size_t kWorkersPerStrong = 8;
 constexpr std::size_t kWorkersPerOther = 2;
 
-std::size_t Most(Suspicion aSuspicion, std::size_t aWorkers)
+std::size_t MaxTrials(Suspicion aSuspicion, std::size_t aWorkers)
 {
   const std::size_t each =
     aSuspicion == Suspicion::Strong ? kWorkersPerStrong : kWorkersPerOther;
-  return std::max(kLeast, aWorkers / each);
+  return std::max(kMinTrials, aWorkers / each);
 }
 
 } // namespace
@@ -40,10 +40,10 @@
   return found != mTrials.end() && found->second.mRun == aRun;
 }
 
-bool CrashTrials::Takes(const AgentId& aAgent,
-                        const TaskRef& aTask,
-                        Suspicion aSuspicion,
-                        Instant aNow) const
+bool CrashTrials::AllowsStart(const AgentId& aAgent,
+                              const TaskRef& aTask,
+                              Suspicion aSuspicion,
+                              Instant aNow) const
 {
   if (const auto reserved = mReserved.find(aAgent);
       reserved != mReserved.end() && aNow < reserved->second.mUntil &&
@@ -77,23 +77,24 @@
     }
     ofGang = true;
   }
-  const std::size_t most = Most(aStart.mSuspicion, aWorkers);
+  const std::size_t most = MaxTrials(aStart.mSuspicion, aWorkers);
   if (ofGang) {
     return true;
   }
   if (alike >= most) {
-    mTurnedAway[{ aStart.mQueue, aStart.mSuspicion }] = aNow;
+    mRejectedAt[{ aStart.mQueue, aStart.mSuspicion }] = aNow;
     return false;
   }
-  return ofQueue < most / 2 || !OthersWait(aStart, aNow);
+  return ofQueue < most / 2 || !OtherQueuesWait(aStart, aNow);
 }
 
-bool CrashTrials::OthersWait(const SuspectStart& aStart, Instant aNow) const
+bool CrashTrials::OtherQueuesWait(const SuspectStart& aStart,
+                                  Instant aNow) const
 {
-  return std::ranges::any_of(mTurnedAway, [&](const auto& aEntry) {
+  return std::ranges::any_of(mRejectedAt, [&](const auto& aEntry) {
     const auto& [queue, suspicion] = aEntry.first;
     return queue != aStart.mQueue && suspicion == aStart.mSuspicion &&
-           aNow - aEntry.second < kTurn;
+           aNow - aEntry.second < kTurnTime;
   });
 }
 
@@ -109,10 +110,10 @@
     return aReserved.second.mTask == aTask;
   });
   if (kept || mReserved.contains(aAgent) ||
-      mReserved.size() >= Most(Suspicion::Strong, aWorkers)) {
+      mReserved.size() >= MaxTrials(Suspicion::Strong, aWorkers)) {
     return false;
   }
-  mReserved.emplace(aAgent, Reservation{ aTask, aNow + kReservedFor });
+  mReserved.emplace(aAgent, Reservation{ aTask, aNow + kReservationTime });
   return true;
 }
 
--- a/src/core/cell/CrashTrials.h
+++ b/src/core/cell/CrashTrials.h
@@ -23,7 +23,7 @@
 };
 
 /// Such a suspect is tried with nothing else that could be the cause.
-constexpr bool TriedApart(Suspicion aSuspicion)
+constexpr bool NeedsIsolatedTrial(Suspicion aSuspicion)
 {
   return aSuspicion == Suspicion::Unclear || aSuspicion == Suspicion::Strong;
 }
@@ -38,8 +38,8 @@
 
 /// Starts of suspects that have not lived for long enough yet: one a worker, so
 /// that a crash speaks against one task. Beside a weak suspect, which is tried
-/// for kFreshLife, other tasks are started; beside the others, which are tried
-/// for kProvenLife, none. Pure.
+/// for kFreshUptime, other tasks are started; beside the others, which are
+/// tried for kProvenUptime, none. Pure.
 ///
 /// Where every worker has started something lately, one is reserved for such a
 /// suspect: nothing else is started there until it can be tried apart. A crash
@@ -47,11 +47,11 @@
 class CrashTrials
 {
 public:
-  /// Above kFreshLife and the time until a report shows it.
-  static constexpr Duration kReservedFor = std::chrono::milliseconds(2000);
+  /// Above kFreshUptime and the time until a report shows it.
+  static constexpr Duration kReservationTime = std::chrono::milliseconds(2000);
 
   /// A queue that was turned away waits for its turn so long.
-  static constexpr Duration kTurn = std::chrono::milliseconds(1000);
+  static constexpr Duration kTurnTime = std::chrono::milliseconds(1000);
 
   void Begin(const AgentId& aAgent, const SuspectStart& aStart);
   /// Nothing happens when another run is on trial there.
@@ -59,10 +59,10 @@
 
   bool IsTrial(const AgentId& aAgent, const RunRef& aRun) const;
   /// True when the worker may get a start of the task.
-  bool Takes(const AgentId& aAgent,
-             const TaskRef& aTask,
-             Suspicion aSuspicion,
-             Instant aNow) const;
+  bool AllowsStart(const AgentId& aAgent,
+                   const TaskRef& aTask,
+                   Suspicion aSuspicion,
+                   Instant aNow) const;
 
   /// True when one more may begin, given the number of workers. One a job, so
   /// that a job risks one worker; but all members of a gang begin under one run
@@ -75,8 +75,8 @@
   /// the tasks of others from being cleared.
   bool MayBegin(const SuspectStart& aStart, std::size_t aWorkers, Instant aNow);
 
-  /// Keeps a worker for the task, for kReservedFor. False when one is kept for
-  /// it already, or as many as may be on trial.
+  /// Keeps a worker for the task, for kReservationTime. False when one is kept
+  /// for it already, or as many as may be on trial.
   bool Reserve(const AgentId& aAgent,
                const TaskRef& aTask,
                std::size_t aWorkers,
@@ -92,11 +92,11 @@
   };
 
   /// Another queue's suspects of that kind have lately found no place.
-  bool OthersWait(const SuspectStart& aStart, Instant aNow) const;
+  bool OtherQueuesWait(const SuspectStart& aStart, Instant aNow) const;
 
   std::map<AgentId, SuspectStart> mTrials;
   /// When suspects found no place last.
-  std::map<std::pair<QueueId, Suspicion>, Instant> mTurnedAway;
+  std::map<std::pair<QueueId, Suspicion>, Instant> mRejectedAt;
   std::map<AgentId, Reservation> mReserved;
 };
 
--- /dev/null
+++ b/src/core/cell/EndAcknowledger.cpp
@@ -0,0 +1,29 @@
+#include "src/core/cell/EndAcknowledger.h"
+
+namespace foxtailbarrow::cell {
+
+void EndAcknowledger::Reset(const WorkerIncarnation& aIncarnation)
+{
+  *this = EndAcknowledger();
+  mIncarnation = aIncarnation;
+}
+
+void EndAcknowledger::Add(std::int64_t aNumber,
+                          const JobId& aJob,
+                          std::uint64_t aVersion)
+{
+  mLastNumber = aNumber;
+  mPending.push_back({ aNumber, aJob, aVersion });
+}
+
+std::int64_t EndAcknowledger::Acknowledge(const SavedVersion& aRecorded)
+{
+  while (!mPending.empty() &&
+         aRecorded(mPending.front().mJob) >= mPending.front().mVersion) {
+    mAcknowledged = mPending.front().mNumber;
+    mPending.pop_front();
+  }
+  return mAcknowledged;
+}
+
+} // namespace foxtailbarrow::cell
--- a/src/core/cell/HeartbeatOrder.cpp
+++ b/src/core/cell/HeartbeatOrder.cpp
@@ -10,31 +10,32 @@
 
 } // namespace
 
-HeartbeatUse HeartbeatOrder::Judge(const WorkerIncarnation& aIncarnation,
-                                   std::int64_t aSequence) const
+HeartbeatDecision HeartbeatOrder::Classify(
+  const WorkerIncarnation& aIncarnation,
+  std::int64_t aSequence) const
 {
   if (mCurrent.Empty()) {
-    return HeartbeatUse::Take;
+    return HeartbeatDecision::Accept;
   }
   if (aIncarnation != mCurrent) {
-    return HeartbeatUse::Confirm;
+    return HeartbeatDecision::Confirm;
   }
   if (aSequence - mSequence > kMostLost) {
-    return HeartbeatUse::Foreign;
+    return HeartbeatDecision::Foreign;
   }
-  return mGone || aSequence <= mSequence ? HeartbeatUse::Ignore
-                                         : HeartbeatUse::Take;
+  return mGone || aSequence <= mSequence ? HeartbeatDecision::Ignore
+                                         : HeartbeatDecision::Accept;
 }
 
-void HeartbeatOrder::NoteTaken(const WorkerIncarnation& aIncarnation,
-                               std::int64_t aSequence)
+void HeartbeatOrder::OnAccepted(const WorkerIncarnation& aIncarnation,
+                                std::int64_t aSequence)
 {
   mCurrent = aIncarnation;
   mSequence = aSequence;
   mGone = false;
 }
 
-bool HeartbeatOrder::NoteGone(const WorkerIncarnation& aIncarnation)
+bool HeartbeatOrder::OnWorkerLeft(const WorkerIncarnation& aIncarnation)
 {
   if (aIncarnation != mCurrent || mGone) {
     return false;
--- a/src/core/cell/HeartbeatOrder.h
+++ b/src/core/cell/HeartbeatOrder.h
@@ -7,9 +7,9 @@
 namespace foxtailbarrow::cell {
 
 /// What to do with a worker's heartbeat.
-enum class HeartbeatUse : std::uint8_t
+enum class HeartbeatDecision : std::uint8_t
 {
-  Take,
+  Accept,
   Ignore,  ///< Overtaken by a newer one, or of a worker that has left.
   Foreign, ///< Not the worker's: its number is far beyond the last one.
   Confirm, ///< Of another incarnation: only the worker can tell whether it is
@@ -21,14 +21,15 @@
 class HeartbeatOrder
 {
 public:
-  HeartbeatUse Judge(const WorkerIncarnation& aIncarnation,
-                     std::int64_t aSequence) const;
+  HeartbeatDecision Classify(const WorkerIncarnation& aIncarnation,
+                             std::int64_t aSequence) const;
 
   /// The heartbeat was taken.
-  void NoteTaken(const WorkerIncarnation& aIncarnation, std::int64_t aSequence);
+  void OnAccepted(const WorkerIncarnation& aIncarnation,
+                  std::int64_t aSequence);
 
   /// The worker says that it leaves. False when it is not the current one.
-  bool NoteGone(const WorkerIncarnation& aIncarnation);
+  bool OnWorkerLeft(const WorkerIncarnation& aIncarnation);
 
   const WorkerIncarnation& Current() const { return mCurrent; }
 
--- a/src/core/cell/Interference.cpp
+++ b/src/core/cell/InterferenceEstimator.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/Interference.h"
+#include "src/core/cell/InterferenceEstimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,63 +12,65 @@
 
 } // namespace
 
-Interference::Interference(InterferenceSettings aSettings)
+InterferenceEstimator::InterferenceEstimator(InterferenceSettings aSettings)
   : mSettings(aSettings)
 {
 }
 
-Interference::ServingImage& Interference::Entry(const std::string& aServing)
+InterferenceEstimator::ServingImage& InterferenceEstimator::Entry(
+  const std::string& aServing)
 {
   const auto [entry, added] = mServing.try_emplace(aServing);
   if (added) {
-    entry->second.mCalm = { std::log(mSettings.mCalmShare),
-                            mSettings.mCalmVariance };
+    entry->second.mBaseline = { std::log(mSettings.mBaselineShare),
+                                mSettings.mBaselineVariance };
   }
   return entry->second;
 }
 
-Interference::Estimate& Interference::PairOf(ServingImage& aServing,
-                                             const std::string& aLeftover)
+InterferenceEstimator::Estimate& InterferenceEstimator::PairOf(
+  ServingImage& aServing,
+  const std::string& aBestEffort)
 {
   return aServing.mPerCore
-    .try_emplace(aLeftover,
+    .try_emplace(aBestEffort,
                  Estimate{ mSettings.mPriorPerCore, mSettings.mPriorVariance })
     .first->second;
 }
 
 /// The load as it is expected now.
-LoadTrack& Interference::LoadOf(const JobId& aJob,
-                                const ServingImage& aImage,
-                                Instant aNow)
+LoadFilter& InterferenceEstimator::LoadOf(const JobId& aJob,
+                                          const ServingImage& aImage,
+                                          Instant aNow)
 {
   if (!mLoads.contains(aJob)) {
     std::erase_if(mLoads, [&](const auto& aOther) {
-      return aNow - aOther.second.MovedAt() > kForgetLoad;
+      return aNow - aOther.second.PredictedAt() > kForgetLoad;
     });
   }
-  LoadTrack& load =
+  LoadFilter& load =
     mLoads
       .try_emplace(aJob,
-                   aImage.mCalm.mValue,
-                   aImage.mCalm.mVariance + mSettings.mLoadVariance,
+                   aImage.mBaseline.mValue,
+                   aImage.mBaseline.mVariance + mSettings.mLoadVariance,
                    aNow,
-                   mSettings.mLoadTrack)
+                   mSettings.mLoadFilter)
       .first->second;
-  load.MoveOn(aNow);
+  load.Predict(aNow);
   return load;
 }
 
-void Interference::Observe(const JobId& aJob,
-                           const std::string& aServing,
-                           double aLogLatency,
-                           std::span<const ImageLoad> aBeside,
-                           Instant aNow)
+void InterferenceEstimator::Observe(const JobId& aJob,
+                                    const std::string& aServing,
+                                    double aLogLatency,
+                                    std::span<const ImageLoad> aColocated,
+                                    Instant aNow)
 {
   ServingImage& serving = Entry(aServing);
-  LoadTrack& load = LoadOf(aJob, serving, aNow);
+  LoadFilter& load = LoadOf(aJob, serving, aNow);
   double predicted = load.Level();
   double variance = mSettings.mNoise + load.Variance();
-  for (const auto& [image, cores] : aBeside) {
+  for (const auto& [image, cores] : aColocated) {
     const Estimate& pair = PairOf(serving, image);
     predicted += pair.mValue * cores;
     variance += pair.mVariance * cores * cores;
@@ -83,41 +85,41 @@
       aEstimate.mVariance += mSettings.mDrift;
     };
   load.Correct(error, variance - load.Variance());
-  correct(serving.mCalm,
+  correct(serving.mBaseline,
           1.0,
-          load.Level() - serving.mCalm.mValue,
-          mSettings.mLoadVariance + serving.mCalm.mVariance);
-  for (const auto& [image, cores] : aBeside) {
+          load.Level() - serving.mBaseline.mValue,
+          mSettings.mLoadVariance + serving.mBaseline.mVariance);
+  for (const auto& [image, cores] : aColocated) {
     Estimate& pair = PairOf(serving, image);
     correct(pair, cores, error, variance);
     pair.mValue = std::max(0.0, pair.mValue);
   }
 }
 
-double Interference::PerCore(const std::string& aServing,
-                             const std::string& aLeftover) const
+double InterferenceEstimator::PerCore(const std::string& aServing,
+                                      const std::string& aBestEffort) const
 {
   const auto serving = mServing.find(aServing);
   if (serving == mServing.end()) {
     return mSettings.mPriorPerCore;
   }
-  const auto pair = serving->second.mPerCore.find(aLeftover);
+  const auto pair = serving->second.mPerCore.find(aBestEffort);
   return pair == serving->second.mPerCore.end() ? mSettings.mPriorPerCore
                                                 : pair->second.mValue;
 }
 
-std::vector<CalmLatency> Interference::Calm() const
+std::vector<BaselineLatency> InterferenceEstimator::Baselines() const
 {
-  std::vector<CalmLatency> calm;
+  std::vector<BaselineLatency> calm;
   for (const auto& [image, entry] : mServing) {
-    calm.push_back({ image, std::exp(entry.mCalm.mValue) });
+    calm.push_back({ image, std::exp(entry.mBaseline.mValue) });
   }
   return calm;
 }
 
-std::vector<Pressure> Interference::Known() const
+std::vector<InterferenceWeight> InterferenceEstimator::Known() const
 {
-  std::vector<Pressure> known;
+  std::vector<InterferenceWeight> known;
   for (const auto& [serving, entry] : mServing) {
     for (const auto& [leftover, pair] : entry.mPerCore) {
       known.push_back({ serving, leftover, pair.mValue });
@@ -126,16 +128,17 @@
   return known;
 }
 
-LearnedInterference Interference::WellKnown(std::size_t aMostPairs) const
+LearnedInterference InterferenceEstimator::WellKnown(
+  std::size_t aMaxPairs) const
 {
   const double share = mSettings.mKeptVarianceShare;
   LearnedInterference learned;
   for (const auto& [image, entry] : mServing) {
-    if (learned.mPairs.size() + entry.mPerCore.size() > aMostPairs) {
+    if (learned.mPairs.size() + entry.mPerCore.size() > aMaxPairs) {
       break;
     }
-    if (entry.mCalm.mVariance <= share * mSettings.mCalmVariance) {
-      learned.mCalm.push_back({ image, std::exp(entry.mCalm.mValue) });
+    if (entry.mBaseline.mVariance <= share * mSettings.mBaselineVariance) {
+      learned.mBaseline.push_back({ image, std::exp(entry.mBaseline.mValue) });
     }
     for (const auto& [leftover, pair] : entry.mPerCore) {
       if (pair.mVariance <= share * mSettings.mPriorVariance) {
@@ -146,12 +149,13 @@
   return learned;
 }
 
-void Interference::Adopt(const LearnedInterference& aLearned)
+void InterferenceEstimator::Adopt(const LearnedInterference& aLearned)
 {
   const double share = mSettings.mKeptVarianceShare;
-  for (const auto& [image, calm] : aLearned.mCalm) {
+  for (const auto& [image, calm] : aLearned.mBaseline) {
     if (!mServing.contains(image) && calm > 0) {
-      Entry(image).mCalm = { std::log(calm), share * mSettings.mCalmVariance };
+      Entry(image).mBaseline = { std::log(calm),
+                                 share * mSettings.mBaselineVariance };
     }
   }
   for (const auto& [image, leftover, perCore] : aLearned.mPairs) {
@@ -160,10 +164,10 @@
   }
 }
 
-double Interference::Budget(const JobId& aJob,
-                            const std::string& aServing,
-                            double aShare,
-                            Instant aNow) const
+double InterferenceEstimator::Budget(const JobId& aJob,
+                                     const std::string& aServing,
+                                     double aShare,
+                                     Instant aNow) const
 {
   const double room = std::log(aShare);
   if (const auto load = mLoads.find(aJob); load != mLoads.end()) {
@@ -172,8 +176,9 @@
   }
   // Not seen yet: it may be anywhere in its swing.
   const auto serving = mServing.find(aServing);
-  const double calm = serving == mServing.end() ? std::log(mSettings.mCalmShare)
-                                                : serving->second.mCalm.mValue;
+  const double calm = serving == mServing.end()
+                        ? std::log(mSettings.mBaselineShare)
+                        : serving->second.mBaseline.mValue;
   return room - calm - std::sqrt(mSettings.mLoadVariance);
 }
 
--- a/src/core/cell/Interference.h
+++ b/src/core/cell/InterferenceEstimator.h
@@ -8,7 +8,7 @@
 
 #include "foxtailbarrow/Id.h"
 #include "foxtailbarrow/Time.h"
-#include "src/core/cell/LoadTrack.h"
+#include "src/core/cell/LoadFilter.h"
 
 namespace foxtailbarrow::cell {
 
@@ -21,15 +21,15 @@
 
 /// How much one core of a leftover image raises the logarithm of a serving
 /// image's tail latency, and what that latency is in calm.
-struct Pressure
+struct InterferenceWeight
 {
   std::string mServing;
-  std::string mLeftover;
+  std::string mBestEffort;
   double mPerCore = 0;
 };
 
 /// An image's latency with nothing beside it, as a share of the target.
-struct CalmLatency
+struct BaselineLatency
 {
   std::string mServing;
   double mShare = 0;
@@ -38,8 +38,8 @@
 /// What a next owner of the cell need not learn anew.
 struct LearnedInterference
 {
-  std::vector<CalmLatency> mCalm;
-  std::vector<Pressure> mPairs;
+  std::vector<BaselineLatency> mBaseline;
+  std::vector<InterferenceWeight> mPairs;
 };
 
 struct InterferenceSettings
@@ -48,16 +48,16 @@
   /// hardly disturb each other; some raise the latency several times.
   double mPriorPerCore = 0.025;
   double mPriorVariance = 0.003;
-  /// Calm latency as a share of the target, before it is known.
-  double mCalmShare = 0.45;
-  double mCalmVariance = 0.03;
+  /// Baselines latency as a share of the target, before it is known.
+  double mBaselineShare = 0.45;
+  double mBaselineVariance = 0.03;
   /// Variance of the logarithm of one look at a job's tasks on a worker:
   /// rounding, roughness, and what a sum of weights cannot explain.
   double mNoise = 0.02;
   /// Variance of a standing job's load about the mean of its image; all tasks
   /// of a job share it.
   double mLoadVariance = 0.1;
-  LoadTrackSettings mLoadTrack;
+  LoadFilterSettings mLoadFilter;
   /// How far ahead placing looks: leftover tasks last longer, and the load
   /// rises meanwhile.
   Duration mForecast = std::chrono::milliseconds(1000);
@@ -77,22 +77,22 @@
 /// leftover image beside it a weight times the processors it uses. Kalman
 /// filters, one a job and one a pair, estimate both from figures that are rough
 /// and late.
-class Interference
+class InterferenceEstimator
 {
 public:
-  explicit Interference(InterferenceSettings aSettings = {});
+  explicit InterferenceEstimator(InterferenceSettings aSettings = {});
 
   /// One look: the mean logarithm of the tail latency over the target of the
   /// job's tasks on one worker, and what ran beside them.
   void Observe(const JobId& aJob,
                const std::string& aServing,
                double aLogLatency,
-               std::span<const ImageLoad> aBeside,
+               std::span<const ImageLoad> aColocated,
                Instant aNow);
 
   /// Weight of the pair for each core; the prior for an unknown one.
   double PerCore(const std::string& aServing,
-                 const std::string& aLeftover) const;
+                 const std::string& aBestEffort) const;
 
   /// Room, in units of the logarithm, between the latency that the job's load
   /// is expected to bring, now and a little later, and `aShare` of the target.
@@ -103,13 +103,13 @@
 
   /// Every serving image that was seen, with what its calm latency is taken
   /// to be.
-  std::vector<CalmLatency> Calm() const;
+  std::vector<BaselineLatency> Baselines() const;
 
   /// Every pair that was seen.
-  std::vector<Pressure> Known() const;
+  std::vector<InterferenceWeight> Known() const;
 
-  /// What is known well enough to be kept, at most `aMostPairs` of it.
-  LearnedInterference WellKnown(std::size_t aMostPairs) const;
+  /// What is known well enough to be kept, at most `aMaxPairs` of it.
+  LearnedInterference WellKnown(std::size_t aMaxPairs) const;
   /// Takes over what an earlier owner learned. What was observed here stays.
   void Adopt(const LearnedInterference& aLearned);
 
@@ -124,19 +124,19 @@
 
   struct ServingImage
   {
-    Estimate mCalm; ///< Mean of the jobs' loads.
+    Estimate mBaseline; ///< Mean of the jobs' loads.
     std::map<std::string, Estimate> mPerCore;
   };
 
   ServingImage& Entry(const std::string& aServing);
-  LoadTrack& LoadOf(const JobId& aJob,
-                    const ServingImage& aImage,
-                    Instant aNow);
-  Estimate& PairOf(ServingImage& aServing, const std::string& aLeftover);
+  LoadFilter& LoadOf(const JobId& aJob,
+                     const ServingImage& aImage,
+                     Instant aNow);
+  Estimate& PairOf(ServingImage& aServing, const std::string& aBestEffort);
 
   InterferenceSettings mSettings;
   std::map<std::string, ServingImage> mServing;
-  std::map<JobId, LoadTrack> mLoads;
+  std::map<JobId, LoadFilter> mLoads;
 };
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/JobEntry.cpp
+++ b/src/core/cell/JobEntry.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr char kDoneMark = '1';
-constexpr char kOpenMark = '0';
+constexpr char kNotDoneMark = '0';
 
 bool InRange(std::int32_t aIndex, std::size_t aSize)
 {
@@ -26,7 +26,7 @@
   for (const StepSpec& spec : aGraph.mSteps) {
     StepEntry step;
     step.mTasks.resize(static_cast<std::size_t>(spec.mReplicas));
-    step.mLeft = spec.mReplicas;
+    step.mTasksLeft = spec.mReplicas;
     occurrence.mSteps.push_back(std::move(step));
   }
   occurrence.mStepsLeft = static_cast<std::int32_t>(aGraph.mSteps.size());
@@ -39,7 +39,7 @@
   for (std::size_t index = 0; index < known; ++index) {
     if (aStored.mDone[index] == kDoneMark && !aStep.mTasks[index].mDone) {
       aStep.mTasks[index].mDone = true;
-      --aStep.mLeft;
+      --aStep.mTasksLeft;
     }
   }
   for (const StoredFailures& failures : aStored.mFailures) {
@@ -57,7 +57,8 @@
   for (const StoredCrashes& crashes : aStored.mCrashes) {
     if (InRange(crashes.mIndex, aStep.mTasks.size())) {
       aStep.mTasks[static_cast<std::size_t>(crashes.mIndex)].mCrashes =
-        CrashHistory(crashes.mRuns, crashes.mClearedTo, crashes.mAnnounced);
+        CrashHistory(
+          crashes.mRuns, crashes.mClearedTo, crashes.mUnsettledStart);
     }
   }
 }
@@ -73,7 +74,7 @@
       aJob.mOccurrences[static_cast<std::size_t>(stored.mOccurrence)];
     StepEntry& step = occurrence.mSteps[static_cast<std::size_t>(stored.mStep)];
     RestoreStep(stored, step);
-    if (step.mLeft == 0) {
+    if (step.mTasksLeft == 0) {
       --occurrence.mStepsLeft;
     }
     for (const StoredCrashes& crashes : stored.mCrashes) {
@@ -90,7 +91,7 @@
 
 /// Longest chain of declared run times over the steps that count.
 template<typename Counts>
-Duration Chain(const JobGraph& aGraph, Counts aCounts)
+Duration PathLength(const JobGraph& aGraph, Counts aCounts)
 {
   std::vector<Duration> ends;
   Duration longest{};
@@ -112,7 +113,7 @@
   bool anyDone = false;
   for (std::size_t index = 0; index < aStep.mTasks.size(); ++index) {
     const TaskEntry& task = aStep.mTasks[index];
-    stored.mDone.push_back(task.mDone ? kDoneMark : kOpenMark);
+    stored.mDone.push_back(task.mDone ? kDoneMark : kNotDoneMark);
     anyDone = anyDone || task.mDone;
     if (!task.mDone && !task.mFailedRuns.empty()) {
       stored.mFailures.push_back(
@@ -126,7 +127,7 @@
       stored.mCrashes.push_back({ static_cast<std::int32_t>(index),
                                   task.mCrashes.Crashes(),
                                   task.mCrashes.ClearedTo(),
-                                  task.mCrashes.Announced() });
+                                  task.mCrashes.UnsettledStart() });
     }
   }
   if (!anyDone) {
@@ -189,16 +190,16 @@
   return progress;
 }
 
-Duration LongestChain(const JobGraph& aGraph)
+Duration CriticalPath(const JobGraph& aGraph)
 {
-  return Chain(aGraph, [](std::size_t) { return true; });
+  return PathLength(aGraph, [](std::size_t) { return true; });
 }
 
-Duration RemainingChain(const JobGraph& aGraph,
-                        const OccurrenceEntry& aOccurrence)
+Duration RemainingCriticalPath(const JobGraph& aGraph,
+                               const OccurrenceEntry& aOccurrence)
 {
-  return Chain(aGraph, [&](std::size_t aStep) {
-    return aOccurrence.mSteps[aStep].mLeft > 0;
+  return PathLength(aGraph, [&](std::size_t aStep) {
+    return aOccurrence.mSteps[aStep].mTasksLeft > 0;
   });
 }
 
@@ -210,7 +211,7 @@
     const StepSpec& spec = aGraph.mSteps[step];
     const std::chrono::duration<double> estimate = spec.mEstimate;
     work += static_cast<double>(spec.mDemand.mMillicores) / kMillicores *
-            estimate.count() * aOccurrence.mSteps[step].mLeft;
+            estimate.count() * aOccurrence.mSteps[step].mTasksLeft;
   }
   return work;
 }
@@ -230,7 +231,8 @@
 {
   return std::ranges::all_of(
     aGraph.mSteps[aStep].mAfter, [&](std::int32_t aBefore) {
-      return aOccurrence.mSteps[static_cast<std::size_t>(aBefore)].mLeft == 0;
+      return aOccurrence.mSteps[static_cast<std::size_t>(aBefore)].mTasksLeft ==
+             0;
     });
 }
 
--- a/src/core/cell/JobEntry.h
+++ b/src/core/cell/JobEntry.h
@@ -16,9 +16,9 @@
 struct StepEntry
 {
   std::vector<TaskEntry> mTasks;
-  std::int32_t mLeft = 0; ///< Tasks that are not done.
-  Instant mReleasedAt{};  ///< It was first found free to start.
-  StepAdvice mAdvice;     ///< Where the queue's policy asks for it.
+  std::int32_t mTasksLeft = 0; ///< Tasks that are not done.
+  Instant mReleasedAt{};       ///< It was first found free to start.
+  StepAdvice mAdvice;          ///< Where the queue's policy asks for it.
 };
 
 /// One time that the steps of a job run.
@@ -45,12 +45,12 @@
   std::int64_t mEndedUnixMs = 0;
   std::set<TaskRef> mSuspects; ///< Tasks that crashes speak against.
 
-  std::uint64_t mVersion = 0;     ///< Of what the progress record must say.
-  std::uint64_t mRecorded = 0;    ///< Version that the store has.
-  Instant mUnrecordedSince{};     ///< While the store has an older version.
-  Revision mProgressRevision = 0; ///< Of the progress record; 0 = none.
+  std::uint64_t mVersion = 0;      ///< Of what the progress record must say.
+  std::uint64_t mSavedVersion = 0; ///< Version that the store has.
+  Instant mUnsavedSince{};         ///< While the store has an older version.
+  Revision mProgressRevision = 0;  ///< Of the progress record; 0 = none.
   /// A write of the record is not answered yet: the store may have it.
-  bool mRecordInDoubt = false;
+  bool mSaveInDoubt = false;
 
   const JobGraph& Graph() const { return mStored.mGraph; }
   bool Final() const { return IsFinal(mPhase); }
@@ -82,11 +82,11 @@
 StoredProgress ProgressOf(const JobEntry& aJob);
 
 /// Longest chain of declared run times over the steps' dependencies.
-Duration LongestChain(const JobGraph& aGraph);
+Duration CriticalPath(const JobGraph& aGraph);
 
-/// As LongestChain(), over the steps of the occurrence that are not done.
-Duration RemainingChain(const JobGraph& aGraph,
-                        const OccurrenceEntry& aOccurrence);
+/// As CriticalPath(), over the steps of the occurrence that are not done.
+Duration RemainingCriticalPath(const JobGraph& aGraph,
+                               const OccurrenceEntry& aOccurrence);
 
 /// Declared work of the tasks that are not done, in core-seconds.
 double RemainingWork(const JobGraph& aGraph,
--- a/src/core/cell/JobForward.cpp
+++ b/src/core/cell/JobForward.cpp
@@ -142,7 +142,7 @@
     case ForwardedOutcome::NoSuchJob:
       return NoSuchJob{};
     case ForwardedOutcome::NotRun:
-      return JobRefused{ RefusalCause::StoreAway,
+      return JobRefused{ RefusalCause::StoreUnavailable,
                          Verdict::NotRun,
                          aReply.mMessage };
     case ForwardedOutcome::InDoubt:
@@ -153,11 +153,11 @@
                      aReply.mMessage };
 }
 
-bool WorthForwarding(const JobAnswer& aAnswer)
+bool ShouldForward(const JobAnswer& aAnswer)
 {
   const auto* refused = std::get_if<JobRefused>(&aAnswer);
   return refused != nullptr && refused->mVerdict == Verdict::NotRun &&
-         (refused->mCause == RefusalCause::StoreAway ||
+         (refused->mCause == RefusalCause::StoreUnavailable ||
           refused->mCause == RefusalCause::NotReady);
 }
 
--- a/src/core/cell/JobForward.h
+++ b/src/core/cell/JobForward.h
@@ -65,6 +65,6 @@
 
 /// True when another scheduler may do better: nothing was done here, and the
 /// cause lies between this process and the store.
-bool WorthForwarding(const JobAnswer& aAnswer);
+bool ShouldForward(const JobAnswer& aAnswer);
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/JobGraph.h
+++ b/src/core/cell/JobGraph.h
@@ -31,7 +31,7 @@
   bool mSpeculative = false; ///< Copies may run; the first to finish counts.
   bool mStanding = false;    ///< Lasts until cancelled; restarted when it ends.
   /// Processors are not reserved: the task gets what the others leave.
-  bool mLeftover = false;
+  bool mBestEffort = false;
   std::string mRequiredLabel; ///< The worker must have it; empty = any worker.
   RackId mDataRack;           ///< Faster there; empty = no preference.
   std::int32_t mMaxPerWorker = 0;   ///< Tasks of the step on a worker; 0 = any.
--- a/src/core/cell/JobRequest.cpp
+++ b/src/core/cell/JobRequest.cpp
@@ -10,7 +10,7 @@
   { RefusalCause::NoSuchQueue, "no-such-queue" },
   { RefusalCause::BadRequest, "bad-request" },
   { RefusalCause::NotReady, "not-ready" },
-  { RefusalCause::StoreAway, "store-away" },
+  { RefusalCause::StoreUnavailable, "store-away" },
   { RefusalCause::Unsupported, "unsupported" },
   { RefusalCause::Unknown, "fate-unknown" },
 });
--- a/src/core/cell/JobRequest.h
+++ b/src/core/cell/JobRequest.h
@@ -64,10 +64,10 @@
 {
   NoSuchQueue,
   BadRequest,
-  NotReady,    ///< No configuration yet, or the process ends.
-  StoreAway,   ///< The store refused or was not reached.
-  Unsupported, ///< The queue's workers are chosen by another service.
-  Unknown,     ///< The store did not say whether it did it.
+  NotReady,         ///< No configuration yet, or the process ends.
+  StoreUnavailable, ///< The store refused or was not reached.
+  Unsupported,      ///< The queue's workers are chosen by another service.
+  Unknown,          ///< The store did not say whether it did it.
 };
 
 std::string_view ToString(RefusalCause aCause);
--- a/src/core/cell/LeaseGrant.cpp
+++ b/src/core/cell/LeaseGrant.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// A worker's clock may be 2 % slow: it counts so much less than true time.
-constexpr double kSlowestClock = 0.98;
+constexpr double kMinClockRate = 0.98;
 
 } // namespace
 
@@ -32,7 +32,7 @@
     mEnd - mSample->mReceivedAt);
   mSentEnd = std::max(mSentEnd, mEnd);
   return mSample->mClock + static_cast<WorkerTimeMs>(
-                             static_cast<double>(left.count()) * kSlowestClock);
+                             static_cast<double>(left.count()) * kMinClockRate);
 }
 
 Duration LeaseGrant::LeaseLeft(Instant aNow) const
@@ -40,7 +40,7 @@
   return std::max(Duration::zero(), Duration(mSentEnd - aNow));
 }
 
-void LeaseGrant::ForgetWorker()
+void LeaseGrant::ResetWorker()
 {
   mSample.reset();
   mSentEnd = {};
--- a/src/core/cell/LeaseGrant.h
+++ b/src/core/cell/LeaseGrant.h
@@ -25,7 +25,7 @@
   void SampleClock(WorkerTimeMs aClock, Instant aReceivedAt);
 
   /// A sample of this worker's clock is there.
-  bool KnowsClock() const { return mSample.has_value(); }
+  bool HasClockSample() const { return mSample.has_value(); }
 
   /// Notes the worker's lease end to be sent now, or nullopt when there is no
   /// grant or no sample of the worker's clock.
@@ -35,7 +35,7 @@
   Duration LeaseLeft(Instant aNow) const;
 
   /// A worker of another incarnation has another clock and holds nothing.
-  void ForgetWorker();
+  void ResetWorker();
 
 private:
   struct Sample
--- a/src/core/cell/LoadTrack.cpp
+++ b/src/core/cell/LoadFilter.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/LoadTrack.h"
+#include "src/core/cell/LoadFilter.h"
 
 #include <algorithm>
 #include <chrono>
@@ -14,10 +14,10 @@
 
 } // namespace
 
-LoadTrack::LoadTrack(double aLevel,
-                     double aVariance,
-                     Instant aNow,
-                     LoadTrackSettings aSettings)
+LoadFilter::LoadFilter(double aLevel,
+                       double aVariance,
+                       Instant aNow,
+                       LoadFilterSettings aSettings)
   : mSettings(aSettings)
   , mLevel(aLevel)
   , mLevelVariance(aVariance)
@@ -26,13 +26,13 @@
 {
 }
 
-void LoadTrack::MoveOn(Instant aNow)
+void LoadFilter::Predict(Instant aNow)
 {
   const double passed = Seconds(aNow - mAt);
   if (passed <= 0) {
     return;
   }
-  const double bend = mSettings.mBend;
+  const double bend = mSettings.mRateNoiseDensity;
   mLevel = LevelAt(aNow);
   mLevelVariance += passed * (2 * mCovariance + passed * mRateVariance) +
                     bend * passed * passed * passed / 3;
@@ -41,7 +41,7 @@
   mAt = aNow;
 }
 
-void LoadTrack::Correct(double aError, double aNoise)
+void LoadFilter::Correct(double aError, double aNoise)
 {
   const double total = mLevelVariance + aNoise;
   const double levelGain = mLevelVariance / total;
@@ -53,11 +53,11 @@
   mLevelVariance *= 1 - levelGain;
 }
 
-double LoadTrack::LevelAt(Instant aTime) const
+double LoadFilter::LevelAt(Instant aTime) const
 {
   const double change = mRate * Seconds(aTime - mAt);
   return mLevel +
-         std::clamp(change, -mSettings.mMostChange, mSettings.mMostChange);
+         std::clamp(change, -mSettings.mMaxChange, mSettings.mMaxChange);
 }
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/RepeatedFindings.cpp
+++ b/src/core/cell/LogRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/RepeatedFindings.h"
+#include "src/core/cell/LogRateLimiter.h"
 
 namespace foxtailbarrow::cell {
 
@@ -12,8 +12,8 @@
 
 } // namespace
 
-std::optional<std::int64_t> RepeatedFindings::Note(std::string_view aSender,
-                                                   std::string_view aReason)
+std::optional<std::int64_t> LogRateLimiter::Note(std::string_view aSender,
+                                                 std::string_view aReason)
 {
   std::pair<std::string, std::string> key(aSender.substr(0, kMostBytes),
                                           aReason);
--- a/src/core/cell/RepeatedFindings.h
+++ b/src/core/cell/LogRateLimiter.h
@@ -12,7 +12,7 @@
 
 /// Bounds the log lines about findings that repeat: the first of a sender and
 /// reason is told, and then each tenth, hundredth and so on. Pure.
-class RepeatedFindings
+class LogRateLimiter
 {
 public:
   /// How often it was found, when that is to be told now.
--- a/src/core/cell/OutageAnswers.cpp
+++ b/src/core/cell/OutagePolicy.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/OutageAnswers.h"
+#include "src/core/cell/OutagePolicy.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,7 +23,7 @@
 
 } // namespace
 
-Duration ReturnAfter(Duration aOutageAge, double aRandom)
+Duration RetryDelay(Duration aOutageAge, double aRandom)
 {
   const std::chrono::duration<double> age = aOutageAge;
   const double mean =
@@ -33,7 +33,7 @@
     std::max<std::int64_t>(1, std::llround(std::max(wait, kLeastSeconds))));
 }
 
-void OutageAnswers::NoteInDoubt(const JobId& aJob, Instant aNow)
+void OutagePolicy::MarkInDoubt(const JobId& aJob, Instant aNow)
 {
   std::erase_if(mInDoubt, [aNow](const auto& aEntry) {
     return aNow - aEntry.second > kInDoubtFor;
@@ -43,7 +43,7 @@
   }
 }
 
-bool OutageAnswers::InDoubt(const JobId& aJob, Instant aNow) const
+bool OutagePolicy::InDoubt(const JobId& aJob, Instant aNow) const
 {
   const auto found = mInDoubt.find(aJob);
   return found != mInDoubt.end() && aNow - found->second <= kInDoubtFor;
--- a/src/core/cell/OutageAnswers.h
+++ b/src/core/cell/OutagePolicy.h
@@ -13,10 +13,10 @@
 /// it stays within what a caller may still wait, since the store may be back
 /// at any moment. Whole seconds, as the answer's header has them.
 /// `aRandom` is drawn from [0, 1).
-Duration ReturnAfter(Duration aOutageAge, double aRandom);
+Duration RetryDelay(Duration aOutageAge, double aRandom);
 
 /// Answers to submissions while the store is away. Pure.
-class OutageAnswers
+class OutagePolicy
 {
 public:
   /// Other schedulers that refused a moment ago are not asked again at once:
@@ -28,15 +28,15 @@
   /// True when another scheduler may be able to do more than this one.
   bool MayForward(Instant aNow) const { return aNow >= mPeersRefuseUntil; }
   /// Every other scheduler that could be asked has refused.
-  void NotePeersRefused(Instant aNow)
+  void OnPeersRefused(Instant aNow)
   {
     mPeersRefuseUntil = aNow + kPeersRefusedFor;
   }
 
   /// A write of the job's submission got no answer.
-  void NoteInDoubt(const JobId& aJob, Instant aNow);
+  void MarkInDoubt(const JobId& aJob, Instant aNow);
   /// Its fate is known.
-  void NoteSettled(const JobId& aJob) { mInDoubt.erase(aJob); }
+  void OnSettled(const JobId& aJob) { mInDoubt.erase(aJob); }
   /// True while the job may be stored although nobody was told: a repeated
   /// submission of it can't be refused as not run.
   bool InDoubt(const JobId& aJob, Instant aNow) const;
--- a/src/core/cell/OverTarget.h
+++ b/src/core/cell/OverTarget.h
@@ -14,7 +14,7 @@
   Duration mOver{};         ///< For so long.
   double mLatencyShare = 0; ///< Tail latency over the target, smoothed.
   /// Leftover images beside it, each with the pace of its task in percent.
-  std::vector<std::string> mBeside;
+  std::vector<std::string> mColocated;
 };
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/OverTargetTimer.cpp
+++ b/src/core/cell/OverTargetTimer.cpp
@@ -17,8 +17,8 @@
 
 } // namespace
 
-void OverTargetTimer::TakeFigure(double aFigure,
-                                 const OverTargetSettings& aSettings)
+void OverTargetTimer::AddFigure(double aFigure,
+                                const OverTargetSettings& aSettings)
 {
   // Steps toward the median: a change of the load, however large, counts as one
   // difference.
@@ -26,8 +26,8 @@
                         ? aSettings.mNoiseStep
                         : 1 / aSettings.mNoiseStep;
   mDifference = std::clamp(mDifference * step,
-                           aSettings.mLeastNoise * kMedianDifference,
-                           aSettings.mMostNoise * kMedianDifference);
+                           aSettings.mMinNoise * kMedianDifference,
+                           aSettings.mMaxNoise * kMedianDifference);
   mFigure = aFigure;
   const double noise = mDifference / kMedianDifference;
   const double under = std::log(aSettings.mUnderShare);
@@ -36,21 +36,21 @@
   mUnderOdds = std::max(0.0, mUnderOdds + odds);
 }
 
-void OverTargetTimer::Take(double aShare,
-                           const OverTargetSettings& aSettings,
-                           Instant aNow)
+void OverTargetTimer::Update(double aShare,
+                             const OverTargetSettings& aSettings,
+                             Instant aNow)
 {
-  const Instant lastLook = mLastLook.value_or(aNow);
+  const Instant lastLook = mLastPoll.value_or(aNow);
   const double figure = std::log(aShare);
-  mMean = mLastLook
-            ? aSettings.mNewest * figure + (1 - aSettings.mNewest) * mMean
-            : figure;
-  if (!mLastLook || figure != mFigure ||
+  mMean = mLastPoll ? aSettings.mNewestWeight * figure +
+                        (1 - aSettings.mNewestWeight) * mMean
+                    : figure;
+  if (!mLastPoll || figure != mFigure ||
       aNow - mFigureAt >= aSettings.mFigureSpan) {
-    TakeFigure(figure, aSettings);
+    AddFigure(figure, aSettings);
     mFigureAt = aNow;
   }
-  mLastLook = aNow;
+  mLastPoll = aNow;
   const double under = std::log(aSettings.mUnderShare);
   if (!mSince && aShare > aSettings.mMaybeOverShare) {
     mSince = lastLook;
--- a/src/core/cell/OverTargetTimer.h
+++ b/src/core/cell/OverTargetTimer.h
@@ -14,13 +14,13 @@
   double mMaybeOverShare = 0.92;
   double mUnderShare = 0.8;
   /// Weight of the newest look in the mean that must be low, too.
-  double mNewest = 0.6;
+  double mNewestWeight = 0.6;
   /// Figures say that an image is under its target when they are so many times
   /// likelier at mUnderShare than at the target.
   double mSureOdds = 4;
   /// Bounds of the deviation of a figure's logarithm.
-  double mLeastNoise = 0.08;
-  double mMostNoise = 0.3;
+  double mMinNoise = 0.08;
+  double mMaxNoise = 0.3;
   /// Step by which the estimate of that deviation follows each figure.
   double mNoiseStep = 1.1;
   /// A figure that does not change for so long is taken for a new one.
@@ -35,7 +35,7 @@
 {
 public:
   /// The image's worst tail latency in a look at `aNow`, over the target.
-  void Take(double aShare, const OverTargetSettings& aSettings, Instant aNow);
+  void Update(double aShare, const OverTargetSettings& aSettings, Instant aNow);
 
   bool IsOver() const { return mSince.has_value(); }
   /// Since the last look that showed the image under its target; zero while it
@@ -44,10 +44,10 @@
 
 private:
   /// A figure that has not been taken yet; several looks may show the same one.
-  void TakeFigure(double aFigure, const OverTargetSettings& aSettings);
+  void AddFigure(double aFigure, const OverTargetSettings& aSettings);
 
   std::optional<Instant> mSince;
-  std::optional<Instant> mLastLook;
+  std::optional<Instant> mLastPoll;
   double mMean = 0;   ///< Of the logarithms of the shares, by look.
   double mFigure = 0; ///< Logarithm of the newest figure.
   Instant mFigureAt{};
--- a/src/core/cell/OwnerLoad.cpp
+++ b/src/core/cell/OwnerLoad.cpp
@@ -84,8 +84,8 @@
   return text;
 }
 
-std::optional<OwnerLoadSummary> OwnerLoad::Take(Instant aNow,
-                                                Duration aProcessor)
+std::optional<OwnerLoadSummary> OwnerLoad::TakeSummary(Instant aNow,
+                                                       Duration aProcessor)
 {
   if (aNow - mSince < kInterval) {
     return std::nullopt;
--- a/src/core/cell/OwnerLoad.h
+++ b/src/core/cell/OwnerLoad.h
@@ -48,7 +48,7 @@
   std::int64_t mRounds = 0;
   Duration mLongestRound{};
   /// Wishes for a round that came before one was allowed.
-  std::int64_t mRoundsPutOff = 0;
+  std::int64_t mRoundsDeferred = 0;
 
   Duration Spent(OwnerWork aWork) const
   {
@@ -71,27 +71,28 @@
 class OwnerLoad
 {
 public:
-  void NoteWork(OwnerWork aWork, Duration aSpent)
+  void RecordWork(OwnerWork aWork, Duration aSpent)
   {
     mSummary.mSpent[static_cast<std::size_t>(aWork)] += aSpent;
   }
-  void NoteWait(OwnerWait aWait, Duration aWaited)
+  void RecordWait(OwnerWait aWait, Duration aWaited)
   {
     Duration& longest = mSummary.mLongest[static_cast<std::size_t>(aWait)];
     longest = std::max(longest, aWaited);
   }
-  void NoteReport() { ++mSummary.mReports; }
-  void NoteRound(Duration aSpent)
+  void RecordReport() { ++mSummary.mReports; }
+  void RecordRound(Duration aSpent)
   {
     ++mSummary.mRounds;
     mSummary.mLongestRound = std::max(mSummary.mLongestRound, aSpent);
-    NoteWork(OwnerWork::Rounds, aSpent);
+    RecordWork(OwnerWork::Rounds, aSpent);
   }
-  void NoteRoundPutOff() { ++mSummary.mRoundsPutOff; }
+  void RecordDeferredRound() { ++mSummary.mRoundsDeferred; }
 
   /// The work since the last summary, once kInterval has passed.
   /// `aProcessor` is the processor time of the process so far.
-  std::optional<OwnerLoadSummary> Take(Instant aNow, Duration aProcessor);
+  std::optional<OwnerLoadSummary> TakeSummary(Instant aNow,
+                                              Duration aProcessor);
 
   static constexpr Duration kInterval = std::chrono::seconds(1);
 
--- a/src/core/cell/OwnerSurvey.h
+++ b/src/core/cell/OwnerSurvey.h
@@ -19,7 +19,7 @@
   }
 
   /// One of them answered; 0 = it has seen no owner since it started.
-  void NoteAnswer(Generation aKnown)
+  void OnAnswer(Generation aKnown)
   {
     mSilent -= mSilent > 0 ? 1 : 0;
     mOldest = std::min(mOldest, aKnown);
@@ -29,7 +29,7 @@
   /// Nobody has owned the cell after `aOwn`, so that nobody has told a caller
   /// what that owner does not know. Of one that does not answer, or that has
   /// seen no owner, nothing is known: it may have been the owner and died.
-  bool NobodyAfter(Generation aOwn) const
+  bool HasNoLaterOwner(Generation aOwn) const
   {
     return mSilent == 0 && mOldest > 0 && mNewest <= aOwn;
   }
--- a/src/core/cell/OwnerTerm.h
+++ b/src/core/cell/OwnerTerm.h
@@ -13,8 +13,8 @@
 ///
 /// A confirmation is a call that the store answered in a way that shows this
 /// owner's record unchanged. It is dated by its sending, so that a taker's
-/// transaction came later than that. Leases end within mAuthority of it, which
-/// is what a taker waits for where an agent does not answer.
+/// transaction came later than that. Leases end within mOwnershipTimeout of it,
+/// which is what a taker waits for where an agent does not answer.
 class OwnerTerm
 {
 public:
@@ -40,7 +40,7 @@
   }
 
   /// The owner's key was written or renewed for `aTtl` by a call sent then.
-  void KeepKey(Instant aSentAt, Duration aTtl)
+  void ExtendKey(Instant aSentAt, Duration aTtl)
   {
     mKeyUntil = std::max(mKeyUntil, aSentAt + aTtl);
   }
@@ -54,8 +54,8 @@
   /// too long.
   Duration GrantAt(Instant aNow) const
   {
-    const Duration left = mConfirmedAt + mSettings.mAuthority - aNow;
-    return std::clamp(left, Duration::zero(), mSettings.mHold);
+    const Duration left = mConfirmedAt + mSettings.mOwnershipTimeout - aNow;
+    return std::clamp(left, Duration::zero(), mSettings.mMaxTaskLease);
   }
 
 private:
--- a/src/core/cell/PeerReach.h
+++ b/src/core/cell/PeerAvailability.h
@@ -13,33 +13,33 @@
 /// that asks a dead one waits for its time-out, and what was sent to a frozen
 /// one can't be refused as not run. One request at a time finds out whether it
 /// is back. Pure.
-class PeerReach
+class PeerAvailability
 {
 public:
   /// Longer than the timeout of a connection, shorter than a restart takes
   /// with its first look at the store.
-  static constexpr Duration kLeftOutFor = std::chrono::milliseconds(2000);
+  static constexpr Duration kSkippedFor = std::chrono::milliseconds(2000);
   /// Of an answer by a scheduler that the store serves.
-  static constexpr Duration kUsualAnswer = std::chrono::milliseconds(100);
+  static constexpr Duration kUsualAnswerTime = std::chrono::milliseconds(100);
 
   /// True when the scheduler may be asked; where it has not answered before,
   /// by this request alone.
   bool MayAsk(const Endpoint& aPeer, Instant aNow);
 
   /// It is asked now.
-  void NoteAsked(const Endpoint& aPeer, Instant aNow);
+  void OnAsked(const Endpoint& aPeer, Instant aNow);
   /// What was asked then is answered.
-  void NoteAnswered(const Endpoint& aPeer, Instant aAskedAt);
+  void OnAnswered(const Endpoint& aPeer, Instant aAskedAt);
   /// It has not answered in time.
-  void NoteSilent(const Endpoint& aPeer, Instant aAskedAt, Instant aNow);
+  void OnSilent(const Endpoint& aPeer, Instant aAskedAt, Instant aNow);
   /// It could not be asked, and said so at once.
-  void NoteRefused(const Endpoint& aPeer, Instant aAskedAt);
+  void OnRefused(const Endpoint& aPeer, Instant aAskedAt);
 
 private:
   struct Peer
   {
     std::multiset<Instant> mAsked; ///< Without an answer yet.
-    Instant mLeftOutUntil{};
+    Instant mSkippedUntil{};
     bool mSilent = false; ///< It did not answer the last time.
   };
 
--- a/src/core/cell/PlacementAdvice.h
+++ b/src/core/cell/PlacementAdvice.h
@@ -16,9 +16,10 @@
 /// What the operator says of the service's answers for one queue.
 struct AdvicePolicy
 {
-  Duration mDecide{}; ///< An answer takes so long,
-  Duration mEach{};   ///< and so much longer for each worker asked about.
-  Duration mValid{};  ///< A ticket may be used for so long.
+  Duration mDecisionTime{}; ///< An answer takes so long,
+  Duration
+    mTimePerWorker{}; ///< and so much longer for each worker asked about.
+  Duration mTicketLifetime{}; ///< A ticket may be used for so long.
 
   bool operator==(const AdvicePolicy&) const = default;
 };
@@ -39,7 +40,7 @@
 struct AdviceReply
 {
   std::vector<AdviceGrant> mGranted; ///< Others may not run the step.
-  Duration mValid{};
+  Duration mTicketLifetime{};
 };
 
 /// The service that chooses workers. Suspends the calling fiber.
--- a/src/core/cell/PlacementRefusal.cpp
+++ b/src/core/cell/PlacementRefusal.cpp
@@ -7,7 +7,7 @@
   switch (aRefusal) {
     case PlacementRefusal::Unfit:
       return "unfit";
-    case PlacementRefusal::NoRoom:
+    case PlacementRefusal::NoFreeCapacity:
       return "no-room";
     case PlacementRefusal::StalledHere:
       return "stalled-here";
@@ -15,7 +15,7 @@
       return "on-trial";
     case PlacementRefusal::Full:
       return "full";
-    case PlacementRefusal::Pressed:
+    case PlacementRefusal::Interferes:
       return "pressed";
     case PlacementRefusal::Crowded:
       return "crowded";
--- a/src/core/cell/LookGap.cpp
+++ b/src/core/cell/PollIntervalEstimator.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/LookGap.h"
+#include "src/core/cell/PollIntervalEstimator.h"
 
 #include <chrono>
 
@@ -11,16 +11,16 @@
 
 } // namespace
 
-void LookGap::Take(Instant aNow)
+void PollIntervalEstimator::Update(Instant aNow)
 {
-  if (mLastLook) {
-    const Duration gap = aNow - *mLastLook;
+  if (mLastPoll) {
+    const Duration gap = aNow - *mLastPoll;
     if (gap >= mLongest || aNow - mLongestAt > kRemembered) {
       mLongest = gap;
       mLongestAt = aNow;
     }
   }
-  mLastLook = aNow;
+  mLastPoll = aNow;
 }
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/LookGap.h
+++ b/src/core/cell/PollIntervalEstimator.h
@@ -8,16 +8,16 @@
 
 /// Foresees when the next look at a worker comes: as late as the latest one of
 /// the last few seconds. Pure.
-class LookGap
+class PollIntervalEstimator
 {
 public:
-  void Take(Instant aNow);
+  void Update(Instant aNow);
 
   /// Between two looks; zero before the second one.
   Duration Expected() const { return mLongest; }
 
 private:
-  std::optional<Instant> mLastLook;
+  std::optional<Instant> mLastPoll;
   Duration mLongest{};
   Instant mLongestAt{};
 };
--- a/src/core/cell/FullFor.h
+++ b/src/core/cell/RefusedDemands.h
@@ -11,13 +11,13 @@
 /// Leftover tasks that no worker takes in the present round of placing. Within
 /// a round workers only get fuller, so that what asks for as much is not tried
 /// again. Pure.
-class FullFor
+class RefusedDemands
 {
 public:
   /// Only tasks that differ in nothing but image and demand are compared.
   static bool Covers(const JobEntry& aJob, const StepSpec& aSpec)
   {
-    return aSpec.mLeftover && !aSpec.mGang && aSpec.mRequiredLabel.empty() &&
+    return aSpec.mBestEffort && !aSpec.mGang && aSpec.mRequiredLabel.empty() &&
            aSpec.mMaxPerWorker == 0 && !aJob.mPolicy.mAdvice;
   }
 
@@ -27,7 +27,7 @@
     return found != mRefused.end() && found->second.FitsIn(aSpec.mDemand);
   }
 
-  void NoteRefused(const JobEntry& aJob, const StepSpec& aSpec)
+  void RecordRefusal(const JobEntry& aJob, const StepSpec& aSpec)
   {
     mRefused.insert_or_assign(KeyOf(aJob, aSpec), aSpec.mDemand);
   }
--- a/src/core/cell/ReportBase.h
+++ b/src/core/cell/ReportEncoder.h
@@ -8,7 +8,7 @@
 
 /// An agent's side of reports that tell only what changed: remembers what the
 /// owner has taken in the present session. Pure.
-class ReportBase
+class ReportEncoder
 {
 public:
   /// Puts the state into the report, or what changed of it since the last
@@ -16,28 +16,28 @@
   void Fill(WorkerState aState, Instant aNow, ReportRequest& aReport);
 
   /// The owner took this report.
-  void NoteTaken(const ReportRequest& aReport);
+  void OnAccepted(const ReportRequest& aReport);
 
   /// It is not known what the owner holds: the next report tells all.
-  void Forget() { mTaken.reset(); }
+  void Forget() { mAccepted.reset(); }
 
   /// Of the worker in the newest report.
   const WorkerIncarnation& Incarnation() const { return mIncarnation; }
 
   /// Between two reports of figures. They cover half a second; reports that
   /// come because a task ended leave them out.
-  static constexpr Duration kFiguresEvery = std::chrono::milliseconds(460);
+  static constexpr Duration kFiguresInterval = std::chrono::milliseconds(460);
 
 private:
-  struct Taken
+  struct Accepted
   {
     std::int64_t mSequence = 0;
     WorkerState mState;
   };
 
-  bool MayTellChange(const WorkerState& aState) const;
+  bool CanSendChange(const WorkerState& aState) const;
 
-  std::optional<Taken> mTaken;
+  std::optional<Accepted> mAccepted;
   WorkerIncarnation mIncarnation;
   Instant mFiguresAt{};
 };
--- a/src/core/cell/StepAdvice.cpp
+++ b/src/core/cell/StepAdvice.cpp
@@ -8,7 +8,7 @@
 
 /// Kept of a ticket's time for the order's way to the worker. Of a short-lived
 /// ticket, half of its time.
-constexpr Duration kOrderTime = std::chrono::milliseconds(400);
+constexpr Duration kOrderTransitTime = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -26,7 +26,8 @@
                       Instant aReceivedAt)
 {
   const Duration usable =
-    aReply.mValid - std::min<Duration>(kOrderTime, aReply.mValid / 2);
+    aReply.mTicketLifetime -
+    std::min<Duration>(kOrderTransitTime, aReply.mTicketLifetime / 2);
   for (const AdviceGrant& grant : aReply.mGranted) {
     mTickets[grant.mWorker] = { grant.mTicket, aReceivedAt + usable };
   }
--- a/src/core/cell/StorePulse.h
+++ b/src/core/cell/StoreHealth.h
@@ -10,30 +10,30 @@
 /// Tells whether the store answers, from the calls under way. A write that is
 /// sent into a silent store leaves its request in doubt; one that is not sent
 /// can be refused as not run.
-class StorePulse
+class StoreHealth
 {
 public:
   /// Calls unanswered for so long, with no other answer meanwhile, mean that
   /// the store is silent. Above the time that a slow store takes.
   static constexpr Duration kSilentAfter = std::chrono::milliseconds(450);
 
-  void NoteSent(Instant aNow) { mSent.insert(aNow); }
+  void OnSent(Instant aNow) { mSent.insert(aNow); }
 
   /// Something was heard of the store besides the ends of calls: a watch's
   /// answer.
-  void NoteHeard(Instant aNow)
+  void OnAnswer(Instant aNow)
   {
     mAnsweredAt = aNow;
     mSilentSince = {};
   }
 
-  void NoteEnded(Instant aSentAt, bool aAnswered, Instant aNow)
+  void OnEnded(Instant aSentAt, bool aAnswered, Instant aNow)
   {
     if (const auto found = mSent.find(aSentAt); found != mSent.end()) {
       mSent.erase(found);
     }
     if (aAnswered) {
-      NoteHeard(aNow);
+      OnAnswer(aNow);
     } else if (mSilentSince == Instant{}) {
       mSilentSince = aSentAt;
     }
--- a/src/core/cell/TaskEntry.h
+++ b/src/core/cell/TaskEntry.h
@@ -34,7 +34,7 @@
   bool mSent = false; ///< The order has left: it may have run.
   Instant mRunningSince{};
   /// It was alive for so long at least, by its agent's clock.
-  Duration mLived{};
+  Duration mUptime{};
   std::int32_t mPercent = 0;
   Instant mPercentChangedAt{};
   Instant mStopOrderedAt{};
@@ -69,9 +69,9 @@
   AgentId mStalledOn;      ///< Not placed there again
   Instant mStalledUntil{}; ///< before this.
   /// Runs of earlier owners whose leases this owner has waited out.
-  std::vector<RunNumber> mWrittenOff;
+  std::vector<RunNumber> mExpiredRuns;
   CrashHistory mCrashes;
-  bool mProven = false; ///< A run of it has lived for kProvenLife.
+  bool mProven = false; ///< A run of it has lived for kProvenUptime.
   /// Version of the job's progress that must be recorded before a start.
   std::uint64_t mCrashVersion = 0;
   Instant mCrashedAt{}; ///< The newest crash was noted.
--- a/src/core/cell/TraitsBook.cpp
+++ b/src/core/cell/TaskMetadataTable.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/TraitsBook.h"
+#include "src/core/cell/TaskMetadataTable.h"
 
 namespace foxtailbarrow::cell {
 
@@ -10,38 +10,40 @@
 
 } // namespace
 
-TraitsBook::Entry& TraitsBook::Note(const TaskTraits& aTraits)
+TaskMetadataTable::Entry& TaskMetadataTable::Set(const TaskMetadata& aTraits)
 {
   Entry& entry = mEntries[aTraits.mTask];
-  entry.mTraits = aTraits;
+  entry.mMetadata = aTraits;
   entry.mMissed = 0;
   return entry;
 }
 
-void TraitsBook::NoteStart(const TaskTraits& aTraits, RunNumber aRun)
+void TaskMetadataTable::OnStart(const TaskMetadata& aTraits, RunNumber aRun)
 {
-  Note(aTraits).mStarted = aRun;
+  Set(aTraits).mStarted = aRun;
 }
 
-const TraitsBook::Entry* TraitsBook::Find(const TaskRef& aTask) const
+const TaskMetadataTable::Entry* TaskMetadataTable::Find(
+  const TaskRef& aTask) const
 {
   const auto found = mEntries.find(aTask);
   return found == mEntries.end() ? nullptr : &found->second;
 }
 
-const std::string& TraitsBook::ImageOf(const TaskRef& aTask) const
+const std::string& TaskMetadataTable::ImageOf(const TaskRef& aTask) const
 {
-  return mEntries.at(aTask).mTraits.mImage;
+  return mEntries.at(aTask).mMetadata.mImage;
 }
 
-void TraitsBook::BeginLook()
+void TaskMetadataTable::BeginPoll()
 {
   for (auto& [task, entry] : mEntries) {
     ++entry.mMissed;
   }
 }
 
-const TraitsBook::Entry* TraitsBook::See(const TaskRef& aTask)
+const TaskMetadataTable::Entry* TaskMetadataTable::OnObserved(
+  const TaskRef& aTask)
 {
   const auto found = mEntries.find(aTask);
   if (found == mEntries.end()) {
@@ -51,7 +53,7 @@
   return &found->second;
 }
 
-void TraitsBook::EndLook()
+void TaskMetadataTable::EndPoll()
 {
   std::erase_if(mEntries, [](const auto& aEntry) {
     return aEntry.second.mMissed > kMissedLooks;
--- a/src/core/cell/TraitsBook.h
+++ b/src/core/cell/TaskMetadataTable.h
@@ -8,18 +8,18 @@
 
 /// What an agent knows of the tasks that its worker runs or may run: what they
 /// are, and which runs of them it has started itself. Pure.
-class TraitsBook
+class TaskMetadataTable
 {
 public:
   struct Entry
   {
-    TaskTraits mTraits;
+    TaskMetadata mMetadata;
     RunNumber mStarted = 0; ///< The run that this agent started; 0 = none.
     int mMissed = 0;        ///< Looks in a row that did not show it.
   };
 
-  Entry& Note(const TaskTraits& aTraits);
-  void NoteStart(const TaskTraits& aTraits, RunNumber aRun);
+  Entry& Set(const TaskMetadata& aTraits);
+  void OnStart(const TaskMetadata& aTraits, RunNumber aRun);
 
   /// Null when nothing is known of the task.
   const Entry* Find(const TaskRef& aTask) const;
@@ -27,11 +27,11 @@
   const std::string& ImageOf(const TaskRef& aTask) const;
 
   /// Before the tasks of a look are seen.
-  void BeginLook();
+  void BeginPoll();
   /// The look shows the task. Null when nothing is known of it.
-  const Entry* See(const TaskRef& aTask);
+  const Entry* OnObserved(const TaskRef& aTask);
   /// Forgets tasks that looks have not shown for long.
-  void EndLook();
+  void EndPoll();
 
 private:
   std::map<TaskRef, Entry> mEntries;
--- a/src/core/cell/TaskWorker.h
+++ b/src/core/cell/TaskWorker.h
@@ -40,7 +40,7 @@
 };
 
 /// Slows a task down to a share of full speed.
-struct PaceCall
+struct ThrottleCall
 {
   TaskRef mTask;
   RunNumber mRun = 0;
@@ -49,7 +49,7 @@
 };
 
 /// Asks what runs, and extends the leases of all that does.
-struct LookCall
+struct PollCall
 {
   Fence mFence = 0;
   std::int64_t mAcknowledged = 0; ///< Ends up to it may be forgotten.
@@ -57,7 +57,7 @@
   Duration mWait{}; ///< The answer waits so long for an end.
 };
 
-struct LookReply
+struct PollReply
 {
   WorkerTimeMs mClock = 0; ///< When the worker answered.
   std::vector<RunningTask> mRunning;
@@ -84,15 +84,16 @@
 
   /// Whether this incarnation answers at the worker's address now, whatever
   /// Expect() named. Changes nothing there but the highest fence seen.
-  virtual absl::StatusOr<bool> IsThere(const WorkerIncarnation& aIncarnation,
-                                       Fence aFence,
-                                       Duration aTimeout) = 0;
+  virtual absl::StatusOr<bool> IsPresent(const WorkerIncarnation& aIncarnation,
+                                         Fence aFence,
+                                         Duration aTimeout) = 0;
 
   virtual absl::StatusOr<StartReply> Start(const StartCall& aCall,
                                            Duration aTimeout) = 0;
   virtual absl::Status Stop(const StopCall& aCall, Duration aTimeout) = 0;
-  virtual absl::Status Pace(const PaceCall& aCall, Duration aTimeout) = 0;
-  virtual absl::StatusOr<LookReply> Look(const LookCall& aCall,
+  virtual absl::Status Throttle(const ThrottleCall& aCall,
+                                Duration aTimeout) = 0;
+  virtual absl::StatusOr<PollReply> Poll(const PollCall& aCall,
                                          Duration aTimeout) = 0;
 };
 
--- a/src/core/cell/Prospect.cpp
+++ b/src/core/cell/Timeliness.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/Prospect.h"
+#include "src/core/cell/Timeliness.h"
 
 #include <chrono>
 
@@ -15,21 +15,21 @@
 
 } // namespace
 
-Prospect ProspectOf(const JobEntry& aJob,
-                    const OccurrenceEntry& aOccurrence,
-                    bool aBegun,
-                    Instant aNow)
+Timeliness TimelinessOf(const JobEntry& aJob,
+                        const OccurrenceEntry& aOccurrence,
+                        bool aBegun,
+                        Instant aNow)
 {
-  const Duration chain = RemainingChain(aJob.Graph(), aOccurrence);
+  const Duration chain = RemainingCriticalPath(aJob.Graph(), aOccurrence);
   const double share = aBegun ? kBegunShare : 1.0;
   const auto left = std::chrono::duration_cast<Duration>(chain * share);
   if (aNow + left <= aJob.mDeadline) {
-    return Prospect::OnTime;
+    return Timeliness::OnTime;
   }
   const Duration allowed = aJob.mDeadline - aJob.mAcceptedAt;
   return aNow + left < aJob.mAcceptedAt + kHopelessFactor * allowed
-           ? Prospect::Late
-           : Prospect::Hopeless;
+           ? Timeliness::Late
+           : Timeliness::Hopeless;
 }
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/Prospect.h
+++ b/src/core/cell/Timeliness.h
@@ -7,7 +7,7 @@
 namespace foxtailbarrow::cell {
 
 /// How much a job can still earn, best first.
-enum class Prospect : std::uint8_t
+enum class Timeliness : std::uint8_t
 {
   OnTime,
   Late,
@@ -17,12 +17,12 @@
 /// Of standing tasks, at any age: they earn by the time that they run, and the
 /// oldest job is served first. Batch work that can be on time comes before
 /// them, as it soon frees its room.
-inline constexpr Prospect kStandingProspect = Prospect::Late;
+inline constexpr Timeliness kStandingTimeliness = Timeliness::Late;
 
 /// What a job can still earn by one occurrence, by declared run times. Pure.
-Prospect ProspectOf(const JobEntry& aJob,
-                    const OccurrenceEntry& aOccurrence,
-                    bool aBegun,
-                    Instant aNow);
+Timeliness TimelinessOf(const JobEntry& aJob,
+                        const OccurrenceEntry& aOccurrence,
+                        bool aBegun,
+                        Instant aNow);
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/UnrecordedProgress.h
+++ b/src/core/cell/UnsavedProgress.h
@@ -9,7 +9,7 @@
 namespace foxtailbarrow::cell {
 
 /// A change of a job's progress that the store does not have yet.
-struct UnrecordedProgress
+struct UnsavedProgress
 {
   JobId mJob;
   std::uint64_t mVersion = 0;
--- a/src/core/cell/WorkerRoom.cpp
+++ b/src/core/cell/WorkerCapacity.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/WorkerRoom.h"
+#include "src/core/cell/WorkerCapacity.h"
 
 namespace foxtailbarrow::cell {
 
@@ -15,7 +15,7 @@
 Resources Reservation(const StepSpec& aSpec)
 {
   Resources reserved = aSpec.mDemand;
-  if (aSpec.mLeftover) {
+  if (aSpec.mBestEffort) {
     reserved.mMillicores = 0;
   }
   return reserved;
@@ -32,10 +32,10 @@
     aUse.mReserved -= Reservation(aSpec);
   }
   const std::int64_t millicores = aSign * aSpec.mDemand.mMillicores;
-  if (aSpec.mLeftover) {
-    aUse.mLeftover += millicores;
-    if ((aUse.mLeftoverOf[aSpec.mImage] += millicores) == 0) {
-      aUse.mLeftoverOf.erase(aSpec.mImage);
+  if (aSpec.mBestEffort) {
+    aUse.mBestEffort += millicores;
+    if ((aUse.mBestEffortByImage[aSpec.mImage] += millicores) == 0) {
+      aUse.mBestEffortByImage.erase(aSpec.mImage);
     }
   }
   if (aSpec.mStanding) {
@@ -50,12 +50,12 @@
   }
 }
 
-double LeftoverMillicores(const WorkerEntry& aWorker,
-                          const CellSettings& aSettings)
+double BestEffortMillicores(const WorkerEntry& aWorker,
+                            const CellSettings& aSettings)
 {
   const auto standing = static_cast<double>(aWorker.mUse.mStanding);
   const auto reserved = static_cast<double>(aWorker.mUse.mReserved.mMillicores);
-  const double used = reserved - standing * (1.0 - aSettings.mStandingUse);
+  const double used = reserved - standing * (1.0 - aSettings.mStandingUseShare);
   return static_cast<double>(aWorker.mInfo.mCapacity.mMillicores) - used;
 }
 
--- a/src/core/cell/WorkerRoom.h
+++ b/src/core/cell/WorkerCapacity.h
@@ -22,8 +22,8 @@
               int aSign);
 
 /// Millicores that the worker is expected to leave to leftover tasks.
-double LeftoverMillicores(const WorkerEntry& aWorker,
-                          const CellSettings& aSettings);
+double BestEffortMillicores(const WorkerEntry& aWorker,
+                            const CellSettings& aSettings);
 
 /// Reserved share of the worker's processors.
 double ReservedShare(const WorkerEntry& aWorker);
--- a/src/core/cell/WorkerChoice.cpp
+++ b/src/core/cell/WorkerChoice.cpp
@@ -12,18 +12,18 @@
 
 /// Scores are about 0 to 2; a worker with one of these is a last resort.
 constexpr double kFailedHerePenalty = 10.0;
-constexpr double kCrashedLatelyPenalty = 5.0;
+constexpr double kRecentCrashPenalty = 5.0;
 /// Workers that go down and up by turns do so every few seconds.
-constexpr Duration kCrashedLately = std::chrono::seconds(20);
+constexpr Duration kRecentCrashWindow = std::chrono::seconds(20);
 constexpr double kFarFromDataPenalty = 0.5;
 /// Of each other serving image on a worker: the fewer images, the more leftover
 /// images get along with all of them.
 constexpr double kOtherImagePenalty = 0.3;
 /// Of each unit by which the pressure on a serving task would pass its budget:
 /// the task would be slowed down about as much.
-constexpr double kPressurePenalty = 1.5;
+constexpr double kInterferencePenalty = 1.5;
 /// Least leftover that a ratio is taken of, to keep it finite.
-constexpr double kLeastLeftover = 1000.0;
+constexpr double kMinBestEffort = 1000.0;
 constexpr double kMillicores = 1000.0;
 
 bool HasLabel(const WorkerInfo& aInfo, const std::string& aLabel)
@@ -32,7 +32,7 @@
          std::ranges::find(aInfo.mLabels, aLabel) != aInfo.mLabels.end();
 }
 
-bool HasRoom(const WorkerEntry& aWorker, const StepSpec& aSpec)
+bool HasFreeCapacity(const WorkerEntry& aWorker, const StepSpec& aSpec)
 {
   return (aWorker.mUse.mReserved + Reservation(aSpec))
     .FitsIn(aWorker.mInfo.mCapacity);
@@ -49,18 +49,19 @@
   return count;
 }
 
-bool MayTake(const WorkerEntry& aWorker,
-             JobEntry& aJob,
-             const TaskRef& aTask,
-             Instant aNow)
+bool CanAccept(const WorkerEntry& aWorker,
+               JobEntry& aJob,
+               const TaskRef& aTask,
+               Instant aNow)
 {
   const StepSpec& spec = aJob.Spec(aTask);
   if (aWorker.mLink != WorkerLink::Attached || !aWorker.mAnswers ||
-      aWorker.mAwaitsReport || aWorker.Unwell() || !aWorker.mForeign.empty() ||
-      aWorker.mAvoidUntil > aNow || aWorker.mGrantedUntil <= aNow) {
+      aWorker.mAwaitsReport || aWorker.Unhealthy() ||
+      !aWorker.mForeign.empty() || aWorker.mAvoidUntil > aNow ||
+      aWorker.mGrantedUntil <= aNow) {
     return false;
   }
-  if (!CouldRun(aWorker, aJob, aTask) || !HasRoom(aWorker, spec)) {
+  if (!CouldRun(aWorker, aJob, aTask) || !HasFreeCapacity(aWorker, spec)) {
     return false;
   }
   if (aJob.mPolicy.mAdvice && aJob.StepOf(aTask).mAdvice.Ticket(
@@ -83,31 +84,31 @@
   });
 }
 
-double LeftoverRatio(const WorkerEntry& aWorker,
-                     std::int64_t aMore,
-                     const CellSettings& aSettings)
+double BestEffortRatio(const WorkerEntry& aWorker,
+                       std::int64_t aMore,
+                       const CellSettings& aSettings)
 {
   const double left =
-    std::max(kLeastLeftover, LeftoverMillicores(aWorker, aSettings));
-  return static_cast<double>(aWorker.mUse.mLeftover + aMore) / left;
+    std::max(kMinBestEffort, BestEffortMillicores(aWorker, aSettings));
+  return static_cast<double>(aWorker.mUse.mBestEffort + aMore) / left;
 }
 
 /// Which of the leftover tasks that a worker has are taken to press.
-enum class Pressing : std::uint8_t
+enum class CountedTasks : std::uint8_t
 {
   None,
-  AtWork,
+  NotStalled,
   All,
 };
 
 /// Millicores of the image's leftover tasks that are taken to press.
-std::int64_t PressingMillicores(const WorkerUse& aUse,
-                                const std::string& aImage,
-                                std::int64_t aAll,
-                                Pressing aPressing)
+std::int64_t CountedMillicores(const WorkerUse& aUse,
+                               const std::string& aImage,
+                               std::int64_t aAll,
+                               CountedTasks aPressing)
 {
-  const auto stalled = aUse.mStalledOf.find(aImage);
-  if (aPressing == Pressing::All || stalled == aUse.mStalledOf.end()) {
+  const auto stalled = aUse.mStalledByImage.find(aImage);
+  if (aPressing == CountedTasks::All || stalled == aUse.mStalledByImage.end()) {
     return aAll;
   }
   return std::max<std::int64_t>(0, aAll - stalled->second);
@@ -115,21 +116,21 @@
 
 /// Pressure on the serving tasks of a job beyond its budget, with `aMore`
 /// millicores of one more leftover image.
-double PressureOver(const WorkerEntry& aWorker,
-                    const JobId& aServingJob,
-                    const std::string& aServing,
-                    const std::string& aLeftover,
-                    std::int64_t aMore,
-                    const PlacementView& aView,
-                    Pressing aPressing = Pressing::All)
+double ExcessInterference(const WorkerEntry& aWorker,
+                          const JobId& aServingJob,
+                          const std::string& aServing,
+                          const std::string& aBestEffort,
+                          std::int64_t aMore,
+                          const PlacementView& aView,
+                          CountedTasks aPressing = CountedTasks::All)
 {
-  const Interference& interference = aView.mInterference;
-  double pressure = interference.PerCore(aServing, aLeftover) *
+  const InterferenceEstimator& interference = aView.mInterference;
+  double pressure = interference.PerCore(aServing, aBestEffort) *
                     static_cast<double>(aMore) / kMillicores;
-  if (aPressing != Pressing::None) {
-    for (const auto& [image, all] : aWorker.mUse.mLeftoverOf) {
+  if (aPressing != CountedTasks::None) {
+    for (const auto& [image, all] : aWorker.mUse.mBestEffortByImage) {
       const std::int64_t pressing =
-        PressingMillicores(aWorker.mUse, image, all, aPressing);
+        CountedMillicores(aWorker.mUse, image, all, aPressing);
       pressure += interference.PerCore(aServing, image) *
                   static_cast<double>(pressing) / kMillicores;
     }
@@ -141,62 +142,65 @@
 }
 
 /// Over all serving images of the worker; at least 0.
-double WorstPressureOver(const WorkerEntry& aWorker,
-                         const StepSpec& aSpec,
-                         const PlacementView& aView,
-                         Pressing aPressing)
+double WorstExcessInterference(const WorkerEntry& aWorker,
+                               const StepSpec& aSpec,
+                               const PlacementView& aView,
+                               CountedTasks aPressing)
 {
   double worst = 0;
   for (const auto& [job, serving] : aWorker.mUse.mServing) {
     worst = std::max(worst,
-                     PressureOver(aWorker,
-                                  job,
-                                  serving.mImage,
-                                  aSpec.mImage,
-                                  aSpec.mDemand.mMillicores,
-                                  aView,
-                                  aPressing));
+                     ExcessInterference(aWorker,
+                                        job,
+                                        serving.mImage,
+                                        aSpec.mImage,
+                                        aSpec.mDemand.mMillicores,
+                                        aView,
+                                        aPressing));
   }
   return worst;
 }
 
 /// Of a worker whose serving tasks could not bear one more.
-PlacementRefusal WhyPressed(const PlacementView& aView,
-                            const WorkerEntry& aWorker,
-                            const StepSpec& aSpec)
+PlacementRefusal RefineInterferenceRefusal(const PlacementView& aView,
+                                           const WorkerEntry& aWorker,
+                                           const StepSpec& aSpec)
 {
-  const double most = aView.mSettings.mMaxPressureOver;
-  if (WorstPressureOver(aWorker, aSpec, aView, Pressing::None) > most) {
-    return PlacementRefusal::Pressed;
+  const double most = aView.mSettings.mMaxExcessInterference;
+  if (WorstExcessInterference(aWorker, aSpec, aView, CountedTasks::None) >
+      most) {
+    return PlacementRefusal::Interferes;
   }
-  if (WorstPressureOver(aWorker, aSpec, aView, Pressing::AtWork) > most) {
+  if (WorstExcessInterference(aWorker, aSpec, aView, CountedTasks::NotStalled) >
+      most) {
     return PlacementRefusal::Crowded;
   }
   return PlacementRefusal::HeldByStalled;
 }
 
 /// Lower is better. Choosing does not need to know more of a pressed worker;
-/// WhyPressed() tells it for the log.
+/// RefineInterferenceRefusal() tells it for the log.
 using ScoreOrRefusal = std::variant<double, PlacementRefusal>;
 
-ScoreOrRefusal LeftoverScore(const PlacementView& aView,
-                             const WorkerEntry& aWorker,
-                             const StepSpec& aSpec,
-                             PressureWeights& aWeights)
+ScoreOrRefusal BestEffortScore(const PlacementView& aView,
+                               const WorkerEntry& aWorker,
+                               const StepSpec& aSpec,
+                               InterferenceWeightCache& aWeights)
 {
   const double ratio =
-    LeftoverRatio(aWorker, aSpec.mDemand.mMillicores, aView.mSettings);
+    BestEffortRatio(aWorker, aSpec.mDemand.mMillicores, aView.mSettings);
   const double over =
-    aWorker.mPressure.IsKnown()
-      ? aWorker.mPressure.WorstOver(aWeights, aSpec.mDemand.mMillicores)
-      : WorstPressureOver(aWorker, aSpec, aView, Pressing::All);
+    aWorker.mWorkerInterference.IsKnown()
+      ? aWorker.mWorkerInterference.WorstExcess(aWeights,
+                                                aSpec.mDemand.mMillicores)
+      : WorstExcessInterference(aWorker, aSpec, aView, CountedTasks::All);
   const bool full =
-    ratio > aView.mSettings.mMaxLeftoverRatio && aWorker.mUse.mLeftover > 0;
-  const bool pressed = over > aView.mSettings.mMaxPressureOver;
+    ratio > aView.mSettings.mMaxBestEffortRatio && aWorker.mUse.mBestEffort > 0;
+  const bool pressed = over > aView.mSettings.mMaxExcessInterference;
   if ((full || pressed) && !aView.mStarving) {
-    return full ? PlacementRefusal::Full : PlacementRefusal::Pressed;
+    return full ? PlacementRefusal::Full : PlacementRefusal::Interferes;
   }
-  return ratio + kPressurePenalty * over;
+  return ratio + kInterferencePenalty * over;
 }
 
 double StandingScore(const PlacementView& aView,
@@ -206,28 +210,29 @@
 {
   // Fullest first, but away from leftover tasks that run already.
   double score =
-    LeftoverRatio(aWorker, 0, aView.mSettings) - ReservedShare(aWorker);
+    BestEffortRatio(aWorker, 0, aView.mSettings) - ReservedShare(aWorker);
   std::set<std::string_view> others = ServingImages(aWorker.mUse);
   others.erase(aSpec.mImage);
   score += kOtherImagePenalty * static_cast<double>(others.size());
-  const double over = PressureOver(aWorker, aJob, aSpec.mImage, {}, 0, aView);
-  return score + kPressurePenalty * std::max(0.0, over);
+  const double over =
+    ExcessInterference(aWorker, aJob, aSpec.mImage, {}, 0, aView);
+  return score + kInterferencePenalty * std::max(0.0, over);
 }
 
 ScoreOrRefusal ScoreOfUse(const PlacementView& aView,
                           const WorkerEntry& aWorker,
                           const JobId& aJob,
                           const StepSpec& aSpec,
-                          PressureWeights& aWeights)
+                          InterferenceWeightCache& aWeights)
 {
-  if (aSpec.mLeftover) {
-    return LeftoverScore(aView, aWorker, aSpec, aWeights);
+  if (aSpec.mBestEffort) {
+    return BestEffortScore(aView, aWorker, aSpec, aWeights);
   }
   if (aSpec.mStanding) {
     return StandingScore(aView, aWorker, aJob, aSpec);
   }
   return ReservedShare(aWorker) +
-         LeftoverRatio(aWorker, 0, aView.mSettings) / 2;
+         BestEffortRatio(aWorker, 0, aView.mSettings) / 2;
 }
 
 /// Of a task that may crash the worker: what would be lost with it. A worker
@@ -237,32 +242,32 @@
   const auto capacity = static_cast<double>(
     std::max<std::int64_t>(1, aWorker.mInfo.mCapacity.mMillicores));
   const bool lately = aWorker.mCrashedAt != Instant{} &&
-                      aView.mNow - aWorker.mCrashedAt < kCrashedLately;
+                      aView.mNow - aWorker.mCrashedAt < kRecentCrashWindow;
   return ReservedShare(aWorker) +
-         static_cast<double>(aWorker.mUse.mLeftover) / capacity +
-         (lately ? kCrashedLatelyPenalty : 0.0);
+         static_cast<double>(aWorker.mUse.mBestEffort) / capacity +
+         (lately ? kRecentCrashPenalty : 0.0);
 }
 
 ScoreOrRefusal Score(const PlacementView& aView,
                      const WorkerEntry& aWorker,
                      JobEntry& aJob,
                      const TaskRef& aTask,
-                     PressureWeights& aWeights)
+                     InterferenceWeightCache& aWeights)
 {
   const StepSpec& spec = aJob.Spec(aTask);
   const TaskEntry& task = *aJob.Find(aTask);
   if (task.mStalledOn == aWorker.mId && aView.mNow < task.mStalledUntil) {
     return PlacementRefusal::StalledHere;
   }
-  if (!aView.mTrials.Takes(
+  if (!aView.mTrials.AllowsStart(
         aWorker.mId, aTask, task.mCrashes.Suspected(), aView.mNow) ||
-      (aView.mQuietOnly && !aWorker.Quiet())) {
+      (aView.mNoRecentStartOnly && !aWorker.HasNoRecentStart())) {
     return PlacementRefusal::OnTrial;
   }
   const bool runsHere = !task.mRuns.empty() && aWorker.mRuns.contains(aTask);
-  if (runsHere || !MayTake(aWorker, aJob, aTask, aView.mNow)) {
-    return HasRoom(aWorker, spec) ? PlacementRefusal::Unfit
-                                  : PlacementRefusal::NoRoom;
+  if (runsHere || !CanAccept(aWorker, aJob, aTask, aView.mNow)) {
+    return HasFreeCapacity(aWorker, spec) ? PlacementRefusal::Unfit
+                                          : PlacementRefusal::NoFreeCapacity;
   }
   const ScoreOrRefusal byUse =
     ScoreOfUse(aView, aWorker, aTask.mJob, spec, aWeights);
@@ -301,7 +306,7 @@
 {
   std::optional<AgentId> best;
   double bestScore = std::numeric_limits<double>::max();
-  PressureWeights weights(aView.mInterference, aJob.Spec(aTask).mImage);
+  InterferenceWeightCache weights(aView.mInterference, aJob.Spec(aTask).mImage);
   for (const auto& [id, worker] : aView.mWorkers) {
     const ScoreOrRefusal score = Score(aView, worker, aJob, aTask, weights);
     if (const double* found = std::get_if<double>(&score);
@@ -318,15 +323,15 @@
                             const TaskRef& aTask)
 {
   RefusalCounts counts;
-  PressureWeights weights(aView.mInterference, aJob.Spec(aTask).mImage);
+  InterferenceWeightCache weights(aView.mInterference, aJob.Spec(aTask).mImage);
   for (const auto& [id, worker] : aView.mWorkers) {
     const ScoreOrRefusal score = Score(aView, worker, aJob, aTask, weights);
     const auto* refusal = std::get_if<PlacementRefusal>(&score);
     if (refusal == nullptr) {
       continue;
     }
-    ++counts[*refusal == PlacementRefusal::Pressed
-               ? WhyPressed(aView, worker, aJob.Spec(aTask))
+    ++counts[*refusal == PlacementRefusal::Interferes
+               ? RefineInterferenceRefusal(aView, worker, aJob.Spec(aTask))
                : *refusal];
   }
   return counts;
--- a/src/core/cell/WorkerChoice.h
+++ b/src/core/cell/WorkerChoice.h
@@ -5,10 +5,10 @@
 #include "foxtailbarrow/Time.h"
 #include "src/core/cell/CellSettings.h"
 #include "src/core/cell/CrashTrials.h"
-#include "src/core/cell/Interference.h"
+#include "src/core/cell/InterferenceEstimator.h"
 #include "src/core/cell/JobEntry.h"
 #include "src/core/cell/PlacementRefusal.h"
-#include "src/core/cell/WorkerRoom.h"
+#include "src/core/cell/WorkerCapacity.h"
 
 namespace foxtailbarrow::cell {
 
@@ -22,7 +22,7 @@
 struct PlacementView
 {
   const WorkerTable& mWorkers;
-  const Interference& mInterference;
+  const InterferenceEstimator& mInterference;
   const CellSettings& mSettings;
   const CrashTrials& mTrials;
   Instant mNow{};
@@ -30,7 +30,7 @@
   /// than none, however loaded.
   bool mStarving = false;
   /// Only workers where nothing has just started.
-  bool mQuietOnly = false;
+  bool mNoRecentStartOnly = false;
 };
 
 /// Picks the worker for one more run of a task, or none when no worker may take
--- a/src/core/cell/WorkerEntry.h
+++ b/src/core/cell/WorkerEntry.h
@@ -12,8 +12,8 @@
 #include "foxtailbarrow/Time.h"
 #include "src/core/cell/CellMessages.h"
 #include "src/core/cell/CrashBlame.h"
-#include "src/core/cell/EndLedger.h"
-#include "src/core/cell/WorkerPressure.h"
+#include "src/core/cell/EndAcknowledger.h"
+#include "src/core/cell/WorkerInterference.h"
 #include "src/core/cell/WorkerUse.h"
 
 namespace foxtailbarrow::cell {
@@ -34,33 +34,33 @@
   Session mSession = 0;
   std::int64_t mLastSequence = 0;
   WorkerState mReported;       ///< As of that report.
-  bool mSendWhole = false;     ///< The last report built on another one.
+  bool mSendFullState = false; ///< The last report built on another one.
   std::int64_t mLastOrder = 0; ///< Number of the newest orders of the session.
   WorkerInfo mInfo;
   WorkerUse mUse;
-  WorkerPressure mPressure; ///< Of that use.
+  WorkerInterference mWorkerInterference; ///< Of that use.
   std::map<TaskRef, RunNumber> mRuns;
   /// Runs that are there and that no job of ours accounts for; they are being
   /// stopped, and nothing is started while there is any.
   std::map<TaskRef, RunNumber> mForeign;
-  EndLedger mEnds;
+  EndAcknowledger mEnds;
   /// Runs lost while it was silent; whether it crashed is not known yet.
   std::vector<CrashedRun> mUnexplained;
   Instant mGrantedUntil{}; ///< End of the newest grant of this owner.
   /// Latest end of a lease that this or an earlier owner may have granted.
-  Instant mHeldUntil{};
-  Instant mCrashedAt{};  ///< It was heard of its newest crash.
-  Instant mMovedAt{};    ///< A stalled task was stopped last.
-  Instant mLeavesAt{};   ///< While it drains.
-  Instant mObservedAt{}; ///< Figures were last learned from.
-  bool mAnswers = true;  ///< To its agent.
+  Instant mLeasedUntil{};
+  Instant mCrashedAt{};     ///< It was heard of its newest crash.
+  Instant mStalledStopAt{}; ///< A stalled task was stopped last.
+  Instant mLeavesAt{};      ///< While it drains.
+  Instant mObservedAt{};    ///< Figures were last learned from.
+  bool mAnswers = true;     ///< To its agent.
   /// The newest report shows all that may run there to have lived for
-  /// kFreshLife.
-  bool mAllLived = false;
+  /// kFreshUptime.
+  bool mAllPastFreshUptime = false;
   /// Its newest answer that its agent told of, by the agent's clock.
   Duration mAnsweredAt{};
   /// That, when it last refused a start as unwell.
-  std::optional<Duration> mUnwellAfter{};
+  std::optional<Duration> mUnhealthyAfter{};
   /// Its agent knows of a smaller capacity than the last report told.
   bool mAwaitsReport = false;
   Instant mSilentLeaseEnd{}; ///< While it does not answer.
@@ -72,11 +72,14 @@
 
   /// It has refused a start and not answered since, as one that is gone does
   /// before its agent knows. Each start that is refused leaves its room free.
-  bool Unwell() const { return mUnwellAfter && mAnsweredAt <= *mUnwellAfter; }
+  bool Unhealthy() const
+  {
+    return mUnhealthyAfter && mAnsweredAt <= *mUnhealthyAfter;
+  }
 
   /// Nothing of what runs there has started lately: a crash would speak against
   /// a next start alone.
-  bool Quiet() const { return mRuns.empty() || mAllLived; }
+  bool HasNoRecentStart() const { return mRuns.empty() || mAllPastFreshUptime; }
 };
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/WorkerPressure.cpp
+++ b/src/core/cell/WorkerInterference.cpp
@@ -1,4 +1,4 @@
-#include "src/core/cell/WorkerPressure.h"
+#include "src/core/cell/WorkerInterference.h"
 
 #include <algorithm>
 
@@ -10,24 +10,24 @@
 
 } // namespace
 
-double PressureWeights::On(const std::string& aServing)
+double InterferenceWeightCache::On(const std::string& aServing)
 {
   const auto known = std::ranges::find(
     mKnown, aServing, [](const auto& aEntry) { return aEntry.first; });
   if (known != mKnown.end()) {
     return known->second;
   }
-  const double weight = mInterference->PerCore(aServing, mLeftover);
+  const double weight = mInterference->PerCore(aServing, mBestEffort);
   mKnown.emplace_back(aServing, weight);
   return weight;
 }
 
-void WorkerPressure::Refresh(const WorkerUse& aUse,
-                             const Interference& aInterference,
-                             double aPlannedShare,
-                             Instant aNow)
+void WorkerInterference::Refresh(const WorkerUse& aUse,
+                                 const InterferenceEstimator& aInterference,
+                                 double aPlannedShare,
+                                 Instant aNow)
 {
-  if (IsKnown() && aNow - mAt < kKeptFor) {
+  if (IsKnown() && aNow - mAt < kMaxAge) {
     return;
   }
   mAt = aNow;
@@ -35,7 +35,7 @@
   for (const auto& [job, serving] : aUse.mServing) {
     double over =
       -aInterference.Budget(job, serving.mImage, aPlannedShare, aNow);
-    for (const auto& [image, millicores] : aUse.mLeftoverOf) {
+    for (const auto& [image, millicores] : aUse.mBestEffortByImage) {
       over += aInterference.PerCore(serving.mImage, image) *
               static_cast<double>(millicores) / kMillicores;
     }
@@ -43,13 +43,13 @@
   }
 }
 
-double WorkerPressure::WorstOver(PressureWeights& aWeights,
-                                 std::int64_t aMillicores) const
+double WorkerInterference::WorstExcess(InterferenceWeightCache& aWeights,
+                                       std::int64_t aMillicores) const
 {
   const double cores = static_cast<double>(aMillicores) / kMillicores;
   double worst = 0;
   for (const Row& row : mRows) {
-    worst = std::max(worst, row.mOver + aWeights.On(row.mServing) * cores);
+    worst = std::max(worst, row.mExcess + aWeights.On(row.mServing) * cores);
   }
   return worst;
 }
--- a/src/core/cell/WorkerLiveness.cpp
+++ b/src/core/cell/WorkerLiveness.cpp
@@ -7,34 +7,34 @@
 void WorkerLiveness::Begin(Instant aNow)
 {
   mAnsweredAt = aNow;
-  mAliveAt = aNow;
+  mLastAnswerAt = aNow;
   mAnswers = true;
   mEnded = false;
   mRefusals = 0;
 }
 
-bool WorkerLiveness::NoteLook(Instant aNow)
+bool WorkerLiveness::OnPoll(Instant aNow)
 {
   mAnsweredAt = aNow;
-  mAliveAt = aNow;
+  mLastAnswerAt = aNow;
   mEnded = false;
   mRefusals = 0;
   return std::exchange(mAnswers, true);
 }
 
-LivenessNews WorkerLiveness::NoteFailedLook(bool aRefused, Instant aNow)
+LivenessChange WorkerLiveness::OnPollFailed(bool aRefused, Instant aNow)
 {
   mRefusals = aRefused ? mRefusals + 1 : 0;
-  if (mRefusals >= kRefusalsOfEnded) {
+  if (mRefusals >= kRefusalsToEnd) {
     mAnswers = false;
-    return std::exchange(mEnded, true) ? LivenessNews::None
-                                       : LivenessNews::Ended;
+    return std::exchange(mEnded, true) ? LivenessChange::None
+                                       : LivenessChange::Ended;
   }
   if (!mAnswers || aNow - mAnsweredAt <= kSilentAfter) {
-    return LivenessNews::None;
+    return LivenessChange::None;
   }
   mAnswers = false;
-  return LivenessNews::Silent;
+  return LivenessChange::Silent;
 }
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/WorkerLiveness.h
+++ b/src/core/cell/WorkerLiveness.h
@@ -8,7 +8,7 @@
 namespace foxtailbarrow::cell {
 
 /// What an agent learns from a look at its worker that failed.
-enum class LivenessNews : std::uint8_t
+enum class LivenessChange : std::uint8_t
 {
   None,
   Silent, ///< It may run on.
@@ -24,25 +24,25 @@
   /// A worker whose machine refuses so many connections in a row has ended: no
   /// other process listens there, and a worker that is cut off, hangs or is
   /// overloaded does not answer at all.
-  static constexpr int kRefusalsOfEnded = 2;
+  static constexpr int kRefusalsToEnd = 2;
 
   /// An incarnation begins.
   void Begin(Instant aNow);
 
   /// False when it did not answer before.
-  bool NoteLook(Instant aNow);
+  bool OnPoll(Instant aNow);
   /// It answered a call that is no look.
-  void NoteCall(Instant aNow) { mAliveAt = aNow; }
-  LivenessNews NoteFailedLook(bool aRefused, Instant aNow);
+  void OnCallAnswered(Instant aNow) { mLastAnswerAt = aNow; }
+  LivenessChange OnPollFailed(bool aRefused, Instant aNow);
 
   bool Answers() const { return mAnswers; }
   bool Ended() const { return mEnded; }
   /// The newest answer to any call.
-  Instant AliveAt() const { return mAliveAt; }
+  Instant LastAnswerAt() const { return mLastAnswerAt; }
 
 private:
   Instant mAnsweredAt{}; ///< The newest answer to a look.
-  Instant mAliveAt{};
+  Instant mLastAnswerAt{};
   bool mAnswers = false;
   bool mEnded = false;
   int mRefusals = 0; ///< Of connections, in a row.
--- a/src/core/cell/WorkerState.h
+++ b/src/core/cell/WorkerState.h
@@ -54,11 +54,11 @@
 enum class RunEnd : std::uint8_t
 {
   Done,
-  Failed,  ///< By its own fault or the worker's.
-  Stopped, ///< On request.
-  Lapsed,  ///< Its lease ran out.
-  Broken,  ///< Another member of its gang ended.
-  Alone,   ///< Waited in vain for the other members of its gang.
+  Failed,         ///< By its own fault or the worker's.
+  Stopped,        ///< On request.
+  LeaseExpired,   ///< Its lease ran out.
+  GangBroken,     ///< Another member of its gang ended.
+  GangIncomplete, ///< Waited in vain for the other members of its gang.
 };
 
 std::string_view ToString(RunEnd aEnd);
--- a/src/core/cell/WorkerBook.cpp
+++ b/src/core/cell/WorkerStateTracker.cpp
@@ -1,27 +1,27 @@
-#include "src/core/cell/WorkerBook.h"
+#include "src/core/cell/WorkerStateTracker.h"
 
 #include <algorithm>
 
 namespace foxtailbarrow::cell {
 
-void WorkerBook::Reset()
+void WorkerStateTracker::Reset()
 {
-  *this = WorkerBook();
+  *this = WorkerStateTracker();
 }
 
-void WorkerBook::NoteSent(const TaskRef& aTask, RunNumber aRun)
+void WorkerStateTracker::OnSent(const TaskRef& aTask, RunNumber aRun)
 {
   mSent.insert({ aTask, aRun });
 }
 
-void WorkerBook::NoteNotStarted(const TaskRef& aTask, RunNumber aRun)
+void WorkerStateTracker::OnNotStarted(const TaskRef& aTask, RunNumber aRun)
 {
   mSent.erase({ aTask, aRun });
 }
 
-void WorkerBook::TakeStart(const TaskRef& aTask,
-                           RunNumber aRun,
-                           Instant aAnsweredAt)
+void WorkerStateTracker::OnStarted(const TaskRef& aTask,
+                                   RunNumber aRun,
+                                   Instant aAnsweredAt)
 {
   mSent.erase({ aTask, aRun });
   if (!Knows(aTask, aRun)) {
@@ -30,26 +30,26 @@
   }
 }
 
-bool WorkerBook::TakeLook(const LookReply& aReply,
-                          Instant aSentAt,
-                          Instant aAnsweredAt)
+bool WorkerStateTracker::OnPoll(const PollReply& aReply,
+                                Instant aSentAt,
+                                Instant aAnsweredAt)
 {
-  mLooked = aReply.mRunning;
-  for (const RunningTask& task : mLooked) {
+  mPolled = aReply.mRunning;
+  for (const RunningTask& task : mPolled) {
     mSince.try_emplace({ task.mTask, task.mRun }, aAnsweredAt);
   }
-  std::int64_t newest = mSeen;
+  std::int64_t newest = mNewestEnd;
   for (const EndedTask& ended : aReply.mEnded) {
-    if (ended.mNumber > mSeen) {
+    if (ended.mNumber > mNewestEnd) {
       mEnded.push_back(ended);
       newest = std::max(newest, ended.mNumber);
     }
   }
-  const bool fresh = newest > mSeen;
-  mSeen = newest;
+  const bool fresh = newest > mNewestEnd;
+  mNewestEnd = newest;
   std::erase_if(mStarted, [&](const auto& aStarted) {
     return aStarted.second <= aSentAt ||
-           std::ranges::any_of(mLooked,
+           std::ranges::any_of(mPolled,
                                [&](const RunningTask& aTask) {
                                  return aTask.mTask == aStarted.first.first;
                                }) ||
@@ -60,14 +60,14 @@
   std::erase_if(mSince, [&](const auto& aSince) {
     const RunKey& key = aSince.first;
     return !mStarted.contains(key) &&
-           std::ranges::none_of(mLooked, [&key](const RunningTask& aTask) {
+           std::ranges::none_of(mPolled, [&key](const RunningTask& aTask) {
              return RunKey(aTask.mTask, aTask.mRun) == key;
            });
   });
   return fresh;
 }
 
-void WorkerBook::Acknowledge(std::int64_t aNumber)
+void WorkerStateTracker::Acknowledge(std::int64_t aNumber)
 {
   mAcknowledged = std::max(mAcknowledged, aNumber);
   std::erase_if(mEnded, [this](const EndedTask& aTask) {
@@ -75,17 +75,17 @@
   });
 }
 
-bool WorkerBook::Knows(const TaskRef& aTask, RunNumber aRun) const
+bool WorkerStateTracker::Knows(const TaskRef& aTask, RunNumber aRun) const
 {
   const auto same = [&](const auto& aEntry) {
     return aEntry.mTask == aTask && aEntry.mRun == aRun;
   };
-  return std::ranges::any_of(mLooked, same) ||
+  return std::ranges::any_of(mPolled, same) ||
          std::ranges::any_of(mEnded, same) ||
          mStarted.contains({ aTask, aRun });
 }
 
-CrashedWorker WorkerBook::CrashAfter(Instant aAnsweredAt) const
+CrashedWorker WorkerStateTracker::CrashAfter(Instant aAnsweredAt) const
 {
   CrashedWorker crash;
   for (const auto& [task, run] : mSent) {
@@ -93,17 +93,17 @@
   }
   for (const auto& [key, since] : mSince) {
     const Duration lived = std::max(Duration::zero(), aAnsweredAt - since);
-    if (lived < kProvenLife) {
+    if (lived < kProvenUptime) {
       crash.mRuns.push_back({ key.first, key.second, lived, true });
     }
   }
   return crash;
 }
 
-std::vector<TaskRef> WorkerBook::MayBeThere() const
+std::vector<TaskRef> WorkerStateTracker::MayBeRunning() const
 {
   std::vector<TaskRef> there;
-  for (const RunningTask& task : mLooked) {
+  for (const RunningTask& task : mPolled) {
     there.push_back(task.mTask);
   }
   for (const auto& [key, at] : mStarted) {
@@ -115,9 +115,9 @@
   return there;
 }
 
-std::vector<RunningTask> WorkerBook::Running() const
+std::vector<RunningTask> WorkerStateTracker::Running() const
 {
-  std::vector<RunningTask> running = mLooked;
+  std::vector<RunningTask> running = mPolled;
   for (const auto& [key, at] : mStarted) {
     RunningTask task;
     task.mTask = key.first;
--- a/src/core/cell/WorkerUse.h
+++ b/src/core/cell/WorkerUse.h
@@ -21,15 +21,15 @@
 /// What runs on a worker, by kind of use.
 struct WorkerUse
 {
-  Resources mReserved;        ///< Counted against the capacity.
-  std::int64_t mStanding = 0; ///< Millicores of standing tasks.
-  std::int64_t mLeftover = 0; ///< Millicores that leftover tasks want.
+  Resources mReserved;          ///< Counted against the capacity.
+  std::int64_t mStanding = 0;   ///< Millicores of standing tasks.
+  std::int64_t mBestEffort = 0; ///< Millicores that leftover tasks want.
   std::map<JobId, ServingUse> mServing; ///< By standing job.
   /// Millicores that leftover tasks want, by image.
-  std::map<std::string, std::int64_t> mLeftoverOf;
+  std::map<std::string, std::int64_t> mBestEffortByImage;
   /// The part of it whose tasks were stalled at the last look.
-  std::map<std::string, std::int64_t> mStalledOf;
-  std::int64_t mLeftoverUsed = 0; ///< Millicores, by the last look's figures.
+  std::map<std::string, std::int64_t> mStalledByImage;
+  std::int64_t mBestEffortUsed = 0; ///< Millicores, by the last look's figures.
 };
 
 /// Images of the serving tasks.
--- a/src/core/message/detail/CellFields.h
+++ b/src/core/message/detail/CellFields.h
@@ -17,7 +17,7 @@
   aVisitor.Optional("checkpoint", aMessage.mCheckpoint);
   aVisitor.Optional("ticket", aMessage.mTicket);
   aVisitor.Optional("latencyTargetUs", aMessage.mLatencyTarget);
-  aVisitor.Optional("leftover", aMessage.mLeftover);
+  aVisitor.Optional("leftover", aMessage.mBestEffort);
   aVisitor.Optional("image", aMessage.mImage);
   aVisitor.Optional("reserved", aMessage.mReserved);
 }
@@ -29,12 +29,12 @@
   aVisitor.Required("run", aMessage.mRun);
 }
 
-template<typename Visitor, Is<cell::TaskTraits> Message>
+template<typename Visitor, Is<cell::TaskMetadata> Message>
 void Fields(Visitor& aVisitor, Message& aMessage)
 {
   aVisitor.Required("task", aMessage.mTask);
   aVisitor.Optional("latencyTargetUs", aMessage.mLatencyTarget);
-  aVisitor.Optional("leftover", aMessage.mLeftover);
+  aVisitor.Optional("leftover", aMessage.mBestEffort);
   aVisitor.Optional("image", aMessage.mImage);
   aVisitor.Optional("reserved", aMessage.mReserved);
 }
@@ -71,7 +71,7 @@
   aVisitor.Optional("incarnation", aMessage.mIncarnation);
   aVisitor.Optional("starts", aMessage.mStarts);
   aVisitor.Optional("stops", aMessage.mStops);
-  aVisitor.Optional("traits", aMessage.mTraits);
+  aVisitor.Optional("traits", aMessage.mMetadata);
 }
 
 template<typename Visitor, Is<cell::OrderReply> Message>
@@ -99,15 +99,15 @@
   aVisitor.Optional("replyTookUs", aMessage.mReplyTook);
 }
 
-template<typename Visitor, Is<cell::Pressure> Message>
+template<typename Visitor, Is<cell::InterferenceWeight> Message>
 void Fields(Visitor& aVisitor, Message& aMessage)
 {
   aVisitor.Required("serving", aMessage.mServing);
-  aVisitor.Required("leftover", aMessage.mLeftover);
+  aVisitor.Required("leftover", aMessage.mBestEffort);
   aVisitor.Required("perCore", aMessage.mPerCore);
 }
 
-template<typename Visitor, Is<cell::CalmLatency> Message>
+template<typename Visitor, Is<cell::BaselineLatency> Message>
 void Fields(Visitor& aVisitor, Message& aMessage)
 {
   aVisitor.Required("serving", aMessage.mServing);
@@ -117,7 +117,7 @@
 template<typename Visitor, Is<cell::LearnedInterference> Message>
 void Fields(Visitor& aVisitor, Message& aMessage)
 {
-  aVisitor.Optional("calm", aMessage.mCalm);
+  aVisitor.Optional("calm", aMessage.mBaseline);
   aVisitor.Optional("pairs", aMessage.mPairs);
 }
 
@@ -130,7 +130,7 @@
   aVisitor.Optional("ownerAt", aMessage.mOwnerAt);
   aVisitor.Optional("grantUs", aMessage.mGrant);
   aVisitor.Optional("acknowledged", aMessage.mAcknowledged);
-  aVisitor.Optional("sendWhole", aMessage.mSendWhole);
+  aVisitor.Optional("sendWhole", aMessage.mSendFullState);
   aVisitor.Optional("pressures", aMessage.mPressures);
 }
 
--- a/src/core/message/detail/CellRecordFields.h
+++ b/src/core/message/detail/CellRecordFields.h
@@ -23,7 +23,7 @@
   aVisitor.Optional("sameRack", aMessage.mSameRack);
   aVisitor.Optional("speculative", aMessage.mSpeculative);
   aVisitor.Optional("standing", aMessage.mStanding);
-  aVisitor.Optional("leftover", aMessage.mLeftover);
+  aVisitor.Optional("leftover", aMessage.mBestEffort);
   aVisitor.Optional("requiredLabel", aMessage.mRequiredLabel);
   aVisitor.Optional("dataRack", aMessage.mDataRack);
   aVisitor.Optional("maxPerWorker", aMessage.mMaxPerWorker);
@@ -75,9 +75,9 @@
 template<typename Visitor, Is<cell::CrashHistory::Runs> Message>
 void Fields(Visitor& aVisitor, Message& aMessage)
 {
-  aVisitor.Optional("alone", aMessage.mAlone);
+  aVisitor.Optional("alone", aMessage.mSole);
   aVisitor.Optional("likely", aMessage.mLikely);
-  aVisitor.Optional("beside", aMessage.mBeside);
+  aVisitor.Optional("beside", aMessage.mPossible);
   aVisitor.Optional("unconfirmed", aMessage.mUnconfirmed);
 }
 
@@ -87,7 +87,7 @@
   aVisitor.Required("index", aMessage.mIndex);
   aVisitor.Optional("runs", aMessage.mRuns);
   aVisitor.Optional("clearedTo", aMessage.mClearedTo);
-  aVisitor.Optional("announced", aMessage.mAnnounced);
+  aVisitor.Optional("announced", aMessage.mUnsettledStart);
 }
 
 template<typename Visitor, Is<cell::StoredStep> Message>
--- a/src/core/message/detail/CellWorkerFields.h
+++ b/src/core/message/detail/CellWorkerFields.h
@@ -53,7 +53,7 @@
 {
   aVisitor.Required(aMessage.mTask);
   aVisitor.Required(aMessage.mRun);
-  aVisitor.Optional(aMessage.mLived);
+  aVisitor.Optional(aMessage.mUptime);
   aVisitor.Optional(aMessage.mConfirmed);
 }
 
--- a/src/core/ownership/EntryRoster.h
+++ b/src/core/ownership/EntryRoster.h
@@ -48,7 +48,7 @@
   bool Joined(Instant aNow) const;
 
   /// When the last good round began; nullopt when there is none.
-  std::optional<Instant> ConfirmedFrom() const { return mStarted; }
+  std::optional<Instant> LastConfirmedRound() const { return mStarted; }
 
   /// Place of this entry in the order of ids, from 0; nullopt when not listed.
   std::optional<std::size_t> Rank() const;
--- a/src/core/ownership/OwnershipEvents.h
+++ b/src/core/ownership/OwnershipEvents.h
@@ -38,7 +38,7 @@
 
 /// No task lease is left that an owner before this entry may have granted:
 /// MayReassign() turned true for the shard.
-struct EarlierLeasesOver
+struct EarlierLeasesExpired
 {
   ShardId mShard = 0;
 };
@@ -68,7 +68,7 @@
 using OwnershipAction = std::variant<StoreRequest,
                                      ShardGained,
                                      ShardGivenUp,
-                                     EarlierLeasesOver,
+                                     EarlierLeasesExpired,
                                      SendAttest,
                                      SendPromise,
                                      Superseded,
--- a/src/core/ownership/OwnershipSettings.cpp
+++ b/src/core/ownership/OwnershipSettings.cpp
@@ -2,7 +2,7 @@
 
 namespace foxtailbarrow {
 
-Duration OwnershipSettings::WaitFor(Duration aSpan)
+Duration OwnershipSettings::WithClockError(Duration aSpan)
 {
   constexpr double kFactor = (1.0 + kClockRateError) / (1.0 - kClockRateError);
   return std::chrono::ceil<Duration>(aSpan * kFactor);
@@ -10,18 +10,19 @@
 
 Duration OwnershipSettings::TenureWait() const
 {
-  return WaitFor(mAttestationValidity + mTaskLease) + mMargin;
+  return WithClockError(mAttestationValidity + mTaskLease) + mMargin;
 }
 
 bool OwnershipSettings::Check() const
 {
-  const bool confirmedWithinLease = WaitFor(mValidity) < mStoreLease;
-  const bool joinSeenByAll = mJoinWait >= WaitFor(mValidity);
+  const bool confirmedWithinLease = WithClockError(mValidity) < mStoreLease;
+  const bool joinSeenByAll = mJoinWait >= WithClockError(mValidity);
   const bool oneBound = mValidity <= mAttestationValidity;
   const bool silenceOutlastsPromise =
-    mRestartSilence >= WaitFor(mPromiseWindow + mAttestationValidity);
+    mRestartSilence >= WithClockError(mPromiseWindow + mAttestationValidity);
   const bool holdOutlastsStretch =
-    mHold >= WaitFor(mStretchLimit + mAttestationValidity + mTaskLease);
+    mTenureTimeout >=
+    WithClockError(mMaxExtension + mAttestationValidity + mTaskLease);
   return mShards > 0 && mShardsPerCommit > 0 && confirmedWithinLease &&
          joinSeenByAll && oneBound && silenceOutlastsPromise &&
          holdOutlastsStretch;
--- a/src/core/ownership/OwnershipSettings.h
+++ b/src/core/ownership/OwnershipSettings.h
@@ -39,7 +39,7 @@
   Duration mReleaseInterval = std::chrono::seconds(1);
 
   /// Listing of the shards while nothing is to be done.
-  Duration mIdleListing = std::chrono::seconds(10);
+  Duration mIdleListInterval = std::chrono::seconds(10);
 
   /// Shards written in one transaction. Each needs two compares and a write,
   /// and the store allows 128 compares.
@@ -62,20 +62,20 @@
   Duration mRestartSilence = std::chrono::seconds(10);
 
   /// No tenure is stretched longer than this after its last confirmation.
-  Duration mStretchLimit = std::chrono::minutes(105);
+  Duration mMaxExtension = std::chrono::minutes(105);
 
   /// Without a majority of promises, a tenure counts as over after this.
-  Duration mHold = std::chrono::hours(2);
+  Duration mTenureTimeout = std::chrono::hours(2);
 
   /// The voters of a tenure follow the roster once it is stable for this long.
-  Duration mVotersDelay = std::chrono::seconds(5);
+  Duration mVoterUpdateDelay = std::chrono::seconds(5);
 
   /// Tenures that nobody names are looked for this often, by one entry.
   Duration mSweepInterval = std::chrono::minutes(1);
 
   /// `aSpan` as another process must wait it out on a clock that runs fast
   /// while the first one's runs slow.
-  static Duration WaitFor(Duration aSpan);
+  static Duration WithClockError(Duration aSpan);
 
   /// From the majority's promises (or the owner's own word) until no task
   /// lease of that tenure is left.
--- a/src/core/ownership/ShardKeeper.cpp
+++ b/src/core/ownership/ShardKeeper.cpp
@@ -9,11 +9,11 @@
 ShardKeeper::ShardKeeper(const OwnershipSettings& aSettings,
                          const StoreSession& aSession,
                          TenureCloser& aCloser,
-                         CallNumbers& aNumbers)
+                         CallIdGenerator& aCallIds)
   : mSettings(aSettings)
   , mSession(aSession)
   , mCloser(aCloser)
-  , mNumbers(aNumbers)
+  , mCallIds(aCallIds)
   , mPlan(aSettings)
   , mTable(aSettings.mShards)
 {
@@ -23,7 +23,7 @@
 {
   mPlan.OnRegistered(aNow);
   mReleasing.clear();
-  mFresh = false;
+  mTableCurrent = false;
 }
 
 void ShardKeeper::OnRound(Instant aNow)
@@ -37,12 +37,12 @@
   while (!mHeld.empty()) {
     Lose(mHeld.begin()->first, aOut);
   }
-  mFresh = false;
+  mTableCurrent = false;
 }
 
 bool ShardKeeper::Empty() const
 {
-  return mFresh && mHeld.empty() && mReleasing.empty() && !mWork;
+  return mTableCurrent && mHeld.empty() && mReleasing.empty() && !mWork;
 }
 
 void ShardKeeper::Advance(Instant aNow, OwnershipActions& aOut)
@@ -50,7 +50,7 @@
   if (mWork || !mSession.Tenure() || !mSession.Roster().Confirmed(aNow)) {
     return;
   }
-  AskListing(aNow, aOut) || AskRelease(aNow, aOut) || AskTake(aNow, aOut);
+  StartListing(aNow, aOut) || StartRelease(aNow, aOut) || StartTake(aNow, aOut);
 }
 
 void ShardKeeper::OnReply(const StoreReply& aReply,
@@ -67,29 +67,32 @@
     work);
 }
 
-void ShardKeeper::Ask(Work aWork, StoreCommand aCall, OwnershipActions& aOut)
+void ShardKeeper::SendCall(Work aWork,
+                           StoreCommand aCall,
+                           OwnershipActions& aOut)
 {
   mWork = std::move(aWork);
-  mCall = mNumbers.Next();
+  mCall = mCallIds.Next();
   aOut.push_back(StoreRequest{ mCall, std::move(aCall) });
 }
 
-bool ShardKeeper::AskListing(Instant aNow, OwnershipActions& aOut)
+bool ShardKeeper::StartListing(Instant aNow, OwnershipActions& aOut)
 {
-  const bool hurried = !mFresh || mPlan.Unsettled(mTable, mSession.Roster());
+  const bool hurried =
+    !mTableCurrent || mPlan.AwaitsShard(mTable, mSession.Roster());
   const Duration pause =
-    hurried ? mSettings.mRoundInterval : mSettings.mIdleListing;
-  if (aNow < mListed + pause) {
+    hurried ? mSettings.mRoundInterval : mSettings.mIdleListInterval;
+  if (aNow < mListedAt + pause) {
     return false;
   }
-  mListed = aNow;
-  Ask(Listing{}, ListCall{ std::string(kShardsPrefix) }, aOut);
+  mListedAt = aNow;
+  SendCall(Listing{}, ListCall{ std::string(kShardsPrefix) }, aOut);
   return true;
 }
 
-bool ShardKeeper::AskRelease(Instant aNow, OwnershipActions& aOut)
+bool ShardKeeper::StartRelease(Instant aNow, OwnershipActions& aOut)
 {
-  if (!mFresh) {
+  if (!mTableCurrent) {
     return false;
   }
   Releasing work;
@@ -105,13 +108,13 @@
     Lose(shard, aOut);
   }
   StoreTransaction transaction = ReleaseTransaction(work.mShards);
-  Ask(std::move(work), CommitCall{ std::move(transaction) }, aOut);
+  SendCall(std::move(work), CommitCall{ std::move(transaction) }, aOut);
   return true;
 }
 
-bool ShardKeeper::AskTake(Instant aNow, OwnershipActions& aOut)
+bool ShardKeeper::StartTake(Instant aNow, OwnershipActions& aOut)
 {
-  if (!mFresh || mDraining) {
+  if (!mTableCurrent || mDraining) {
     return false;
   }
   std::vector<ShardId> shards = mPlan.ToTake(mTable, mSession.Roster(), aNow);
@@ -124,7 +127,7 @@
     work.mShards.emplace_back(shard, RecordToTake(shard, aNow));
   }
   StoreTransaction transaction = TakeTransaction(work.mShards);
-  Ask(std::move(work), CommitCall{ std::move(transaction) }, aOut);
+  SendCall(std::move(work), CommitCall{ std::move(transaction) }, aOut);
   return true;
 }
 
@@ -144,7 +147,7 @@
     return shards;
   }
   for (const auto& [shard, held] : mHeld) {
-    if (mPlan.BelongsElsewhere(shard, mSession.Roster(), aNow)) {
+    if (mPlan.BelongsToOther(shard, mSession.Roster(), aNow)) {
       return { shard };
     }
   }
@@ -237,7 +240,7 @@
   }
   mTable.OnListing(*listing);
   mTable.OnRoster(mSession.Roster(), aNow);
-  mFresh = true;
+  mTableCurrent = true;
   Reconcile(aNow, aOut);
 }
 
@@ -248,7 +251,7 @@
 {
   const auto* const result = std::get_if<StoreTransactionResult>(&aResult);
   if (result == nullptr || !result->mApplied) {
-    mFresh = false;
+    mTableCurrent = false;
     return;
   }
   for (const auto& [shard, record] : aWork.mShards) {
@@ -267,7 +270,7 @@
 {
   const auto* const result = std::get_if<StoreTransactionResult>(&aResult);
   if (result == nullptr || !result->mApplied) {
-    mFresh = false;
+    mTableCurrent = false;
     return;
   }
   for (const auto& [shard, record] : aWork.mShards) {
@@ -310,7 +313,7 @@
                        OwnershipActions& aOut)
 {
   for (const StoreLease tenure : aRecord.mPredecessors) {
-    mCloser.Open(tenure, aNow);
+    mCloser.OnTenureEnded(tenure, aNow);
   }
   mHeld[aShard] = { aRevision,
                     aRecord.mPredecessors,
--- a/src/core/ownership/ShardKeeper.h
+++ b/src/core/ownership/ShardKeeper.h
@@ -47,7 +47,7 @@
   ShardKeeper(const OwnershipSettings& aSettings,
               const StoreSession& aSession,
               TenureCloser& aCloser,
-              CallNumbers& aNumbers);
+              CallIdGenerator& aCallIds);
 
   void OnRegistered(Instant aNow);
   void OnRound(Instant aNow);
@@ -84,10 +84,10 @@
   };
   using Work = std::variant<Listing, Taking, Releasing>;
 
-  void Ask(Work aWork, StoreCommand aCall, OwnershipActions& aOut);
-  bool AskListing(Instant aNow, OwnershipActions& aOut);
-  bool AskRelease(Instant aNow, OwnershipActions& aOut);
-  bool AskTake(Instant aNow, OwnershipActions& aOut);
+  void SendCall(Work aWork, StoreCommand aCall, OwnershipActions& aOut);
+  bool StartListing(Instant aNow, OwnershipActions& aOut);
+  bool StartRelease(Instant aNow, OwnershipActions& aOut);
+  bool StartTake(Instant aNow, OwnershipActions& aOut);
 
   std::vector<ShardId> ToRelease(Instant aNow) const;
   ShardRecord RecordToTake(ShardId aShard, Instant aNow);
@@ -123,7 +123,7 @@
   OwnershipSettings mSettings;
   const StoreSession& mSession;
   TenureCloser& mCloser;
-  CallNumbers& mNumbers;
+  CallIdGenerator& mCallIds;
   ShardPlan mPlan;
   ShardTable mTable;
   std::map<ShardId, HeldShard> mHeld;
@@ -131,8 +131,8 @@
   std::optional<Work> mWork;
   CallId mCall = 0;
   bool mDraining = false;
-  bool mFresh = false; ///< The table is as listed or written by us.
-  Instant mListed{};
+  bool mTableCurrent = false; ///< The table is as listed or written by us.
+  Instant mListedAt{};
   Instant mLastRelease{};
   std::uint64_t mTokens = 0;
 };
--- a/src/core/ownership/ShardOwnership.cpp
+++ b/src/core/ownership/ShardOwnership.cpp
@@ -10,57 +10,58 @@
                                const EntryRecord& aSelf,
                                Instant aNow)
   : mSettings(aSettings)
-  , mSession(aSettings, aSelf, mNumbers)
-  , mWitness(aSettings, aSelf.mEntry, aNow)
-  , mStretch(aSettings, aSelf.mEntry)
+  , mSession(aSettings, aSelf, mCallIds)
+  , mVoter(aSettings, aSelf.mEntry, aNow)
+  , mTenureValidity(aSettings, aSelf.mEntry)
   , mCloser(aSettings, aSelf.mEntry)
-  , mKeeper(aSettings, mSession, mCloser, mNumbers)
-  , mChores(aSettings, mSession, mStretch, mCloser, mNumbers)
+  , mKeeper(aSettings, mSession, mCloser, mCallIds)
+  , mMaintenance(aSettings, mSession, mTenureValidity, mCloser, mCallIds)
 {
 }
 
 OwnershipActions ShardOwnership::On(const OwnershipEvent& aEvent, Instant aNow)
 {
   OwnershipActions out;
-  if (mStretch.Lapsed(aNow)) {
+  if (mTenureValidity.CheckLapsed(aNow)) {
     mKeeper.LoseAll(out);
   }
   std::visit([&](const auto& aAny) { Handle(aAny, aNow, out); }, aEvent);
   mSession.Advance(aNow, out);
-  mStretch.Advance(mSession.Roster(), aNow, out);
+  mTenureValidity.Advance(mSession.Roster(), aNow, out);
   mCloser.Advance(mSession.Roster(), aNow, out);
   mKeeper.Advance(aNow, out);
-  mChores.Advance(aNow, out);
+  mMaintenance.Advance(aNow, out);
   if (mDraining && !mLeaving && mSession.Tenure() && mKeeper.Empty()) {
     Leave(out);
   }
-  ReportCleared(aNow, out);
+  ReportExpiredLeases(aNow, out);
   return out;
 }
 
 AttestReply ShardOwnership::OnAttest(const AttestRequest& aRequest,
                                      Instant aNow) const
 {
-  return mWitness.OnAttest(aRequest, aNow);
+  return mVoter.OnAttest(aRequest, aNow);
 }
 
 PromiseReply ShardOwnership::OnPromise(const PromiseRequest& aRequest)
 {
-  if (mActed && std::ranges::count(aRequest.mTenures, *mActed) != 0) {
-    mStretch.Forbid();
+  if (mActingTenure &&
+      std::ranges::count(aRequest.mTenures, *mActingTenure) != 0) {
+    mTenureValidity.OnOwnPromise();
   }
-  return mWitness.OnPromise(aRequest);
+  return mVoter.OnPromise(aRequest);
 }
 
 bool ShardOwnership::MayExtend(ShardId aShard, Instant aNow) const
 {
-  return mKeeper.Held().contains(aShard) && mStretch.Holds(aNow);
+  return mKeeper.Held().contains(aShard) && mTenureValidity.Holds(aNow);
 }
 
 bool ShardOwnership::MayReassign(ShardId aShard, Instant aNow) const
 {
   const auto held = mKeeper.Held().find(aShard);
-  if (held == mKeeper.Held().end() || !mStretch.Holds(aNow) ||
+  if (held == mKeeper.Held().end() || !mTenureValidity.Holds(aNow) ||
       aNow < held->second.mReassignFrom) {
     return false;
   }
@@ -115,14 +116,14 @@
   }
   OnChange(mSession.OnReply(aEvent, aNow, aOut), aNow, aOut);
   mKeeper.OnReply(aEvent, aNow, aOut);
-  mChores.OnReply(aEvent, aNow);
+  mMaintenance.OnReply(aEvent, aNow);
 }
 
 void ShardOwnership::Handle(const AttestReply& aEvent,
                             Instant,
                             OwnershipActions&)
 {
-  mStretch.OnReply(aEvent);
+  mTenureValidity.OnReply(aEvent);
 }
 
 void ShardOwnership::Handle(const PromiseReply& aEvent,
@@ -140,16 +141,16 @@
     case StoreSession::Change::None:
       return;
     case StoreSession::Change::Registered:
-      mActed = mSession.Tenure();
-      mStretch.Begin(*mActed, mSession.FirstVoters());
+      mActingTenure = mSession.Tenure();
+      mTenureValidity.Begin(*mActingTenure, mSession.FirstVoters());
       mKeeper.OnRegistered(aNow);
-      mChores.OnRegistered(aNow);
+      mMaintenance.OnRegistered(aNow);
       return;
     case StoreSession::Change::Confirmed:
-      mStretch.Confirm(*mSession.Roster().ConfirmedFrom());
-      mWitness.OnRound(mSession.Roster());
+      mTenureValidity.Confirm(*mSession.Roster().LastConfirmedRound());
+      mVoter.OnRound(mSession.Roster());
       mKeeper.OnRound(aNow);
-      mChores.OnRound(aNow);
+      mMaintenance.OnRound(aNow);
       return;
     case StoreSession::Change::Ended:
       EndTenure(aNow, aOut);
@@ -161,26 +162,26 @@
   }
 }
 
-void ShardOwnership::ReportCleared(Instant aNow, OwnershipActions& aOut)
+void ShardOwnership::ReportExpiredLeases(Instant aNow, OwnershipActions& aOut)
 {
-  std::erase_if(mCleared, [this](const auto& aCleared) {
-    return HeldGeneration(aCleared.first) != aCleared.second;
+  std::erase_if(mReportedExpired, [this](const auto& aReported) {
+    return HeldGeneration(aReported.first) != aReported.second;
   });
   for (const auto& [shard, held] : mKeeper.Held()) {
-    if (!mCleared.contains(shard) && MayReassign(shard, aNow)) {
-      mCleared[shard] = held.mGeneration;
-      aOut.push_back(EarlierLeasesOver{ shard });
+    if (!mReportedExpired.contains(shard) && MayReassign(shard, aNow)) {
+      mReportedExpired[shard] = held.mGeneration;
+      aOut.push_back(EarlierLeasesExpired{ shard });
     }
   }
 }
 
 void ShardOwnership::EndTenure(Instant aNow, OwnershipActions& aOut)
 {
-  mStretch.End();
+  mTenureValidity.End();
   mKeeper.LoseAll(aOut);
-  if (mActed) {
-    mCloser.OwnWord(*mActed, aNow);
-    mActed.reset();
+  if (mActingTenure) {
+    mCloser.OnOwnTenureEnded(*mActingTenure, aNow);
+    mActingTenure.reset();
   }
 }
 
@@ -195,7 +196,7 @@
   };
   transaction.mCompares = { { EntryKey(mSession.Self().mEntry),
                               mSession.RecordRevision() } };
-  mLeaving = mNumbers.Next();
+  mLeaving = mCallIds.Next();
   aOut.push_back(StoreRequest{ *mLeaving, CommitCall{ transaction } });
 }
 
--- a/src/core/ownership/ShardOwnership.h
+++ b/src/core/ownership/ShardOwnership.h
@@ -8,10 +8,10 @@
 #include "src/core/ownership/OwnershipSettings.h"
 #include "src/core/ownership/ShardKeeper.h"
 #include "src/core/ownership/StoreSession.h"
-#include "src/core/ownership/TenureChores.h"
 #include "src/core/ownership/TenureCloser.h"
-#include "src/core/ownership/TenureStretch.h"
-#include "src/core/ownership/Witness.h"
+#include "src/core/ownership/TenureMaintenance.h"
+#include "src/core/ownership/TenureValidity.h"
+#include "src/core/ownership/TenureVoter.h"
 
 namespace foxtailbarrow {
 
@@ -72,7 +72,10 @@
   std::optional<StoreLease> Tenure() const { return mSession.Tenure(); }
 
   /// True while only attestations carry the tenure.
-  bool Stretched(Instant aNow) const { return mStretch.Stretched(aNow); }
+  bool ExtendedByVoters(Instant aNow) const
+  {
+    return mTenureValidity.ExtendedByVoters(aNow);
+  }
 
   /// Ended tenures that are not closed yet, as far as known here.
   std::size_t OpenTenures() const { return mCloser.OpenCount(); }
@@ -90,20 +93,21 @@
   void OnChange(StoreSession::Change aChange,
                 Instant aNow,
                 OwnershipActions& aOut);
-  void ReportCleared(Instant aNow, OwnershipActions& aOut);
+  void ReportExpiredLeases(Instant aNow, OwnershipActions& aOut);
   void EndTenure(Instant aNow, OwnershipActions& aOut);
   void Leave(OwnershipActions& aOut);
 
   OwnershipSettings mSettings;
-  CallNumbers mNumbers;
+  CallIdGenerator mCallIds;
   StoreSession mSession;
-  Witness mWitness;
-  TenureStretch mStretch;
+  TenureVoter mVoter;
+  TenureValidity mTenureValidity;
   TenureCloser mCloser;
   ShardKeeper mKeeper;
-  TenureChores mChores;
-  std::optional<StoreLease> mActed;       ///< Tenure acted under.
-  std::map<ShardId, Generation> mCleared; ///< Reported, by generation held.
+  TenureMaintenance mMaintenance;
+  std::optional<StoreLease> mActingTenure; ///< Tenure acted under.
+  std::map<ShardId, Generation>
+    mReportedExpired; ///< Reported, by generation held.
   bool mDraining = false;
   std::optional<CallId> mLeaving;
 };
--- a/src/core/ownership/ShardPlan.cpp
+++ b/src/core/ownership/ShardPlan.cpp
@@ -49,8 +49,8 @@
   return shards;
 }
 
-bool ShardPlan::Unsettled(const ShardTable& aTable,
-                          const EntryRoster& aRoster) const
+bool ShardPlan::AwaitsShard(const ShardTable& aTable,
+                            const EntryRoster& aRoster) const
 {
   for (ShardId shard = 0; shard < aTable.Size(); ++shard) {
     const LiveEntry* const owner = aTable.Owner(shard, aRoster);
@@ -63,9 +63,9 @@
   return false;
 }
 
-bool ShardPlan::BelongsElsewhere(ShardId aShard,
-                                 const EntryRoster& aRoster,
-                                 Instant aNow) const
+bool ShardPlan::BelongsToOther(ShardId aShard,
+                               const EntryRoster& aRoster,
+                               Instant aNow) const
 {
   if (aShard >= mTargets.size() || TargetIsSelf(aShard, aRoster)) {
     return false;
--- a/src/core/ownership/ShardPlan.h
+++ b/src/core/ownership/ShardPlan.h
@@ -29,12 +29,12 @@
 
   /// True when this entry waits for a shard: one without a live owner, or one
   /// whose target it is.
-  bool Unsettled(const ShardTable& aTable, const EntryRoster& aRoster) const;
+  bool AwaitsShard(const ShardTable& aTable, const EntryRoster& aRoster) const;
 
   /// True when the shard's target is another entry, seen long enough.
-  bool BelongsElsewhere(ShardId aShard,
-                        const EntryRoster& aRoster,
-                        Instant aNow) const;
+  bool BelongsToOther(ShardId aShard,
+                      const EntryRoster& aRoster,
+                      Instant aNow) const;
 
 private:
   bool TargetIsSelf(ShardId aShard, const EntryRoster& aRoster) const;
--- a/src/core/ownership/ShardTarget.cpp
+++ b/src/core/ownership/ShardTarget.cpp
@@ -25,7 +25,7 @@
 }
 
 /// A quarter above the even part, rounded up.
-std::size_t MostShards(std::size_t aEntries, std::size_t aShards)
+std::size_t MaxShards(std::size_t aEntries, std::size_t aShards)
 {
   return (5 * aShards + 4 * aEntries - 1) / (4 * aEntries);
 }
@@ -56,7 +56,7 @@
   if (aEntries.empty()) {
     return targets;
   }
-  const std::size_t most = MostShards(aEntries.size(), aShards);
+  const std::size_t most = MaxShards(aEntries.size(), aShards);
   std::vector<std::size_t> held(aEntries.size(), 0);
   targets.reserve(aShards);
   for (ShardId shard = 0; shard < aShards; ++shard) {
--- a/src/core/ownership/StoreCommand.h
+++ b/src/core/ownership/StoreCommand.h
@@ -49,7 +49,7 @@
 {};
 
 /// The lease is unknown to the store: it lapsed or was revoked.
-struct LeaseGone
+struct LeaseNotFound
 {};
 
 struct LeaseRevoked
@@ -63,7 +63,7 @@
 using StoreResult = std::variant<CallFailed,
                                  LeaseGranted,
                                  LeaseKept,
-                                 LeaseGone,
+                                 LeaseNotFound,
                                  LeaseRevoked,
                                  StoreListing,
                                  StoreTransactionResult>;
@@ -84,7 +84,7 @@
 };
 
 /// Gives each request a number that no other of this process has.
-class CallNumbers
+class CallIdGenerator
 {
 public:
   CallId Next() { return ++mLast; }
--- a/src/core/ownership/StoreSession.cpp
+++ b/src/core/ownership/StoreSession.cpp
@@ -37,10 +37,10 @@
 
 StoreSession::StoreSession(const OwnershipSettings& aSettings,
                            EntryRecord aSelf,
-                           CallNumbers& aNumbers)
+                           CallIdGenerator& aCallIds)
   : mSettings(aSettings)
   , mSelf(std::move(aSelf))
-  , mNumbers(aNumbers)
+  , mCallIds(aCallIds)
   , mRoster(mSelf.mEntry, aSettings.mValidity, aSettings.mJoinWait)
 {
 }
@@ -59,16 +59,16 @@
   if (mStep == Step::Idle || aReply.mId != mCall) {
     return Change::None;
   }
-  if (std::holds_alternative<LeaseGone>(aReply.mResult)) {
+  if (std::holds_alternative<LeaseNotFound>(aReply.mResult)) {
     return End();
   }
   if (const auto* const granted = std::get_if<LeaseGranted>(&aReply.mResult)) {
     mSelf.mTenure = granted->mLease;
-    Ask(Step::ListingFirst, ListCall{ std::string(kEntriesPrefix) }, aOut);
+    SendCall(Step::ListingFirst, ListCall{ std::string(kEntriesPrefix) }, aOut);
     return Change::None;
   }
   if (std::holds_alternative<LeaseKept>(aReply.mResult)) {
-    Ask(Step::Listing, ListCall{ std::string(kEntriesPrefix) }, aOut);
+    SendCall(Step::Listing, ListCall{ std::string(kEntriesPrefix) }, aOut);
     return Change::None;
   }
   if (const auto* const listing = std::get_if<StoreListing>(&aReply.mResult)) {
@@ -89,10 +89,12 @@
   mRoster.Leave();
 }
 
-void StoreSession::Ask(Step aStep, StoreCommand aCall, OwnershipActions& aOut)
+void StoreSession::SendCall(Step aStep,
+                            StoreCommand aCall,
+                            OwnershipActions& aOut)
 {
   mStep = aStep;
-  mCall = mNumbers.Next();
+  mCall = mCallIds.Next();
   aOut.push_back(StoreRequest{ mCall, std::move(aCall) });
 }
 
@@ -101,9 +103,9 @@
   mRoundStarted = aNow;
   mNextRound = aNow + mSettings.mRoundInterval;
   if (mTenure) {
-    Ask(Step::Renewing, KeepAliveCall{ *mTenure }, aOut);
+    SendCall(Step::Renewing, KeepAliveCall{ *mTenure }, aOut);
   } else {
-    Ask(Step::Granting, GrantLeaseCall{ mSettings.mStoreLease }, aOut);
+    SendCall(Step::Granting, GrantLeaseCall{ mSettings.mStoreLease }, aOut);
   }
 }
 
@@ -131,7 +133,7 @@
     { EntryKey(mSelf.mEntry), Encode(mSelf), mSelf.mTenure },
     { TenureKey(mSelf.mTenure), Encode(tenure), 0 },
   };
-  Ask(Step::Registering, CommitCall{ std::move(transaction) }, aOut);
+  SendCall(Step::Registering, CommitCall{ std::move(transaction) }, aOut);
 }
 
 StoreSession::Change StoreSession::OnListing(const StoreListing& aListing,
@@ -209,7 +211,7 @@
 {
   if (mStep == Step::Registering) {
     // Never repeated: it may have taken effect.
-    Ask(Step::ReadingBack, ListCall{ std::string(kEntriesPrefix) }, aOut);
+    SendCall(Step::ReadingBack, ListCall{ std::string(kEntriesPrefix) }, aOut);
     return Change::None;
   }
   mStep = Step::Idle;
--- a/src/core/ownership/StoreSession.h
+++ b/src/core/ownership/StoreSession.h
@@ -32,7 +32,7 @@
   /// @param aSelf record to register; its tenure is filled in here.
   StoreSession(const OwnershipSettings& aSettings,
                EntryRecord aSelf,
-               CallNumbers& aNumbers);
+               CallIdGenerator& aCallIds);
 
   /// Starts the next round when it is due.
   void Advance(Instant aNow, OwnershipActions& aOut);
@@ -67,7 +67,7 @@
     Listing,
   };
 
-  void Ask(Step aStep, StoreCommand aCall, OwnershipActions& aOut);
+  void SendCall(Step aStep, StoreCommand aCall, OwnershipActions& aOut);
   void StartRound(Instant aNow, OwnershipActions& aOut);
   void Register(const StoreListing& aListing, OwnershipActions& aOut);
   Change OnRegistered(Revision aRevision, Instant aNow, OwnershipActions& aOut);
@@ -86,7 +86,7 @@
 
   OwnershipSettings mSettings;
   EntryRecord mSelf;
-  CallNumbers& mNumbers;
+  CallIdGenerator& mCallIds;
   EntryRoster mRoster;
   Step mStep = Step::Idle;
   CallId mCall = 0;
--- a/src/core/ownership/TenureCloser.cpp
+++ b/src/core/ownership/TenureCloser.cpp
@@ -13,21 +13,21 @@
 {
 }
 
-void TenureCloser::Open(StoreLease aTenure, Instant aNow)
+void TenureCloser::OnTenureEnded(StoreLease aTenure, Instant aNow)
 {
-  if (mGone.contains(aTenure)) {
+  if (mDeleted.contains(aTenure)) {
     return;
   }
   if (const auto [ended, added] = mOpen.try_emplace(aTenure); added) {
-    ended->second.mHoldEnds = aNow + mSettings.mHold;
+    ended->second.mTimeoutAt = aNow + mSettings.mTenureTimeout;
   }
 }
 
-void TenureCloser::OwnWord(StoreLease aTenure, Instant aNow)
+void TenureCloser::OnOwnTenureEnded(StoreLease aTenure, Instant aNow)
 {
-  Open(aTenure, aNow);
+  OnTenureEnded(aTenure, aNow);
   if (const auto found = mOpen.find(aTenure); found != mOpen.end()) {
-    Settle(found->second, aNow);
+    ScheduleClose(found->second, aNow);
   }
 }
 
@@ -44,14 +44,14 @@
   }
   // A process is started under an id only once its predecessor is dead.
   if (aRecord.mEntry == mSelf) {
-    Settle(found->second, aNow);
+    ScheduleClose(found->second, aNow);
   }
 }
 
-void TenureCloser::OnRecordGone(StoreLease aTenure)
+void TenureCloser::OnRecordDeleted(StoreLease aTenure)
 {
   if (mOpen.erase(aTenure) != 0) {
-    mGone.insert(aTenure);
+    mDeleted.insert(aTenure);
   }
 }
 
@@ -59,7 +59,7 @@
                            Instant aNow,
                            OwnershipActions& aOut)
 {
-  const std::vector<StoreLease> tenures = Unpromised();
+  const std::vector<StoreLease> tenures = AwaitingPromises();
   if (tenures.empty() || aNow < mLastSent + mSettings.mPromiseInterval) {
     return;
   }
@@ -82,21 +82,21 @@
   }
   for (const StoreLease tenure : aReply.mTenures) {
     const auto found = mOpen.find(tenure);
-    if (found == mOpen.end() || found->second.mCloses) {
+    if (found == mOpen.end() || found->second.mClosesAt) {
       continue;
     }
     Ended& ended = found->second;
     Instant& date = ended.mPromised[aReply.mVoter];
     date = std::max(date, sent->second);
     if (HasMajority(ended, aNow)) {
-      Settle(ended, aNow);
+      ScheduleClose(ended, aNow);
     }
   }
 }
 
 bool TenureCloser::Closed(StoreLease aTenure, Instant aNow) const
 {
-  if (mGone.contains(aTenure)) {
+  if (mDeleted.contains(aTenure)) {
     return true;
   }
   const auto found = mOpen.find(aTenure);
@@ -104,7 +104,8 @@
     return false;
   }
   const Ended& ended = found->second;
-  return aNow >= ended.mHoldEnds || (ended.mCloses && aNow >= *ended.mCloses);
+  return aNow >= ended.mTimeoutAt ||
+         (ended.mClosesAt && aNow >= *ended.mClosesAt);
 }
 
 std::vector<StoreLease> TenureCloser::WithoutRecords() const
@@ -133,7 +134,7 @@
 void TenureCloser::OnDeleted(std::span<const StoreLease> aTenures)
 {
   for (const StoreLease tenure : aTenures) {
-    OnRecordGone(tenure);
+    OnRecordDeleted(tenure);
   }
 }
 
@@ -148,10 +149,10 @@
   return static_cast<std::size_t>(fresh) >= MajorityOf(*aEnded.mVoters);
 }
 
-void TenureCloser::Settle(Ended& aEnded, Instant aNow) const
+void TenureCloser::ScheduleClose(Ended& aEnded, Instant aNow) const
 {
-  if (!aEnded.mCloses) {
-    aEnded.mCloses = aNow + mSettings.TenureWait();
+  if (!aEnded.mClosesAt) {
+    aEnded.mClosesAt = aNow + mSettings.TenureWait();
   }
 }
 
@@ -164,11 +165,11 @@
   return Union(lists);
 }
 
-std::vector<StoreLease> TenureCloser::Unpromised() const
+std::vector<StoreLease> TenureCloser::AwaitingPromises() const
 {
   std::vector<StoreLease> tenures;
   for (const auto& [tenure, ended] : mOpen) {
-    if (ended.mVoters && !ended.mCloses) {
+    if (ended.mVoters && !ended.mClosesAt) {
       tenures.push_back(tenure);
     }
   }
--- a/src/core/ownership/TenureCloser.h
+++ b/src/core/ownership/TenureCloser.h
@@ -30,16 +30,16 @@
   TenureCloser(const OwnershipSettings& aSettings, EntryId aSelf);
 
   /// The store showed `aTenure` ended before `aNow`. Idempotent.
-  void Open(StoreLease aTenure, Instant aNow);
+  void OnTenureEnded(StoreLease aTenure, Instant aNow);
 
   /// This process held `aTenure` and ceased to act under it before `aNow`.
-  void OwnWord(StoreLease aTenure, Instant aNow);
+  void OnOwnTenureEnded(StoreLease aTenure, Instant aNow);
 
   /// Record of an open tenure, read after it had ended.
   void OnRecord(StoreLease aTenure, const TenureRecord& aRecord, Instant aNow);
 
   /// The store has no record of this open tenure any more.
-  void OnRecordGone(StoreLease aTenure);
+  void OnRecordDeleted(StoreLease aTenure);
 
   void Advance(const EntryRoster& aRoster,
                Instant aNow,
@@ -49,7 +49,7 @@
   /// True when no lease of the tenure is left. Tenures never opened are not.
   bool Closed(StoreLease aTenure, Instant aNow) const;
 
-  /// Open tenures whose records were not read yet.
+  /// OnTenureEnded tenures whose records were not read yet.
   std::vector<StoreLease> WithoutRecords() const;
 
   /// Closed tenures whose records are to be deleted.
@@ -61,21 +61,21 @@
 private:
   struct Ended
   {
-    Instant mHoldEnds{};
+    Instant mTimeoutAt{};
     std::optional<Voters> mVoters;
-    std::optional<Instant> mCloses;
+    std::optional<Instant> mClosesAt;
     absl::flat_hash_map<EntryId, Instant> mPromised; ///< By sending.
   };
 
-  void Settle(Ended& aOpen, Instant aNow) const;
-  std::vector<StoreLease> Unpromised() const;
+  void ScheduleClose(Ended& aOpen, Instant aNow) const;
+  std::vector<StoreLease> AwaitingPromises() const;
   Voters VotersOf(std::span<const StoreLease> aTenures) const;
   bool HasMajority(const Ended& aEnded, Instant aNow) const;
 
   OwnershipSettings mSettings;
   EntryId mSelf;
   absl::flat_hash_map<StoreLease, Ended> mOpen;
-  absl::flat_hash_set<StoreLease> mGone;
+  absl::flat_hash_set<StoreLease> mDeleted;
   std::uint64_t mSequence = 0;
   Instant mLastSent{};
   absl::flat_hash_map<std::uint64_t, Instant> mSent;
--- a/src/core/ownership/TenureChores.cpp
+++ b/src/core/ownership/TenureMaintenance.cpp
@@ -1,4 +1,4 @@
-#include "src/core/ownership/TenureChores.h"
+#include "src/core/ownership/TenureMaintenance.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,27 +13,27 @@
 
 } // namespace
 
-TenureChores::TenureChores(const OwnershipSettings& aSettings,
-                           const StoreSession& aSession,
-                           TenureStretch& aStretch,
-                           TenureCloser& aCloser,
-                           CallNumbers& aNumbers)
+TenureMaintenance::TenureMaintenance(const OwnershipSettings& aSettings,
+                                     const StoreSession& aSession,
+                                     TenureValidity& aTenureValidity,
+                                     TenureCloser& aCloser,
+                                     CallIdGenerator& aCallIds)
   : mSettings(aSettings)
   , mSession(aSession)
-  , mStretch(aStretch)
+  , mTenureValidity(aTenureValidity)
   , mCloser(aCloser)
-  , mNumbers(aNumbers)
+  , mCallIds(aCallIds)
 {
 }
 
-void TenureChores::OnRegistered(Instant aNow)
+void TenureMaintenance::OnRegistered(Instant aNow)
 {
   mVoters = mSession.FirstVoters();
   mRevision = mSession.RecordRevision();
   mNextSweep = aNow + mSettings.mSweepInterval;
 }
 
-void TenureChores::OnRound(Instant aNow)
+void TenureMaintenance::OnRound(Instant aNow)
 {
   if (Voters roster = mSession.Roster().AsVoters(); roster != mLastRoster) {
     mLastRoster = std::move(roster);
@@ -41,15 +41,16 @@
   }
 }
 
-void TenureChores::Advance(Instant aNow, OwnershipActions& aOut)
+void TenureMaintenance::Advance(Instant aNow, OwnershipActions& aOut)
 {
   if (mWork || !mSession.Tenure() || !mSession.Roster().Confirmed(aNow)) {
     return;
   }
-  AskEnded(aNow, aOut) || AskVoters(aNow, aOut) || AskDelete(aNow, aOut);
+  StartReadingEnded(aNow, aOut) || StartVoterUpdate(aNow, aOut) ||
+    StartDelete(aNow, aOut);
 }
 
-void TenureChores::OnReply(const StoreReply& aReply, Instant aNow)
+void TenureMaintenance::OnReply(const StoreReply& aReply, Instant aNow)
 {
   if (!mWork || aReply.mId != mCall) {
     return;
@@ -60,14 +61,16 @@
              work);
 }
 
-void TenureChores::Ask(Work aWork, StoreCommand aCall, OwnershipActions& aOut)
+void TenureMaintenance::SendCall(Work aWork,
+                                 StoreCommand aCall,
+                                 OwnershipActions& aOut)
 {
   mWork = std::move(aWork);
-  mCall = mNumbers.Next();
+  mCall = mCallIds.Next();
   aOut.push_back(StoreRequest{ mCall, std::move(aCall) });
 }
 
-bool TenureChores::AskEnded(Instant aNow, OwnershipActions& aOut)
+bool TenureMaintenance::StartReadingEnded(Instant aNow, OwnershipActions& aOut)
 {
   const std::vector<StoreLease> ended = mCloser.WithoutRecords();
   const bool isSweeper = mSession.Roster().Rank() == std::size_t{ 0 };
@@ -76,11 +79,12 @@
     return false;
   }
   mNextRead = aNow + mSettings.mRoundInterval;
-  Ask(ReadingEnded{ ended }, ListCall{ std::string(kTenuresPrefix) }, aOut);
+  SendCall(
+    ReadingEnded{ ended }, ListCall{ std::string(kTenuresPrefix) }, aOut);
   return true;
 }
 
-bool TenureChores::AskVoters(Instant aNow, OwnershipActions& aOut)
+bool TenureMaintenance::StartVoterUpdate(Instant aNow, OwnershipActions& aOut)
 {
   const StoreLease tenure = *mSession.Tenure();
   if (!mRevision) {
@@ -88,10 +92,10 @@
       return false;
     }
     mNextRead = aNow + mSettings.mRoundInterval;
-    Ask(ReadingOwn{ tenure }, ListCall{ TenureKey(tenure) }, aOut);
+    SendCall(ReadingOwn{ tenure }, ListCall{ TenureKey(tenure) }, aOut);
     return true;
   }
-  const bool stable = aNow >= mRosterSince + mSettings.mVotersDelay;
+  const bool stable = aNow >= mRosterSince + mSettings.mVoterUpdateDelay;
   if (!stable || mLastRoster == mVoters) {
     return false;
   }
@@ -102,14 +106,14 @@
                               mSession.RecordRevision() },
                             { TenureKey(tenure), *mRevision } };
   transaction.mWrites = { { TenureKey(tenure), Encode(record), 0 } };
-  mStretch.VotersPossible(mLastRoster);
-  Ask(WritingVoters{ tenure, mLastRoster },
-      CommitCall{ std::move(transaction) },
-      aOut);
+  mTenureValidity.AddPossibleVoters(mLastRoster);
+  SendCall(WritingVoters{ tenure, mLastRoster },
+           CommitCall{ std::move(transaction) },
+           aOut);
   return true;
 }
 
-bool TenureChores::AskDelete(Instant aNow, OwnershipActions& aOut)
+bool TenureMaintenance::StartDelete(Instant aNow, OwnershipActions& aOut)
 {
   std::vector<StoreLease> tenures = mCloser.Deletable(aNow);
   if (tenures.empty()) {
@@ -120,14 +124,14 @@
   for (const StoreLease tenure : tenures) {
     transaction.mWrites.push_back({ TenureKey(tenure), std::nullopt, 0 });
   }
-  Ask(
+  SendCall(
     Deleting{ std::move(tenures) }, CommitCall{ std::move(transaction) }, aOut);
   return true;
 }
 
-void TenureChores::OnDone(const ReadingEnded& aWork,
-                          const StoreResult& aResult,
-                          Instant aNow)
+void TenureMaintenance::OnDone(const ReadingEnded& aWork,
+                               const StoreResult& aResult,
+                               Instant aNow)
 {
   const auto* const listing = std::get_if<StoreListing>(&aResult);
   if (listing == nullptr) {
@@ -146,12 +150,12 @@
     if (const auto found = records.find(tenure); found != records.end()) {
       mCloser.OnRecord(tenure, found->second, aNow);
     } else {
-      mCloser.OnRecordGone(tenure);
+      mCloser.OnRecordDeleted(tenure);
     }
   }
 }
 
-void TenureChores::Sweep(
+void TenureMaintenance::Sweep(
   const absl::flat_hash_map<StoreLease, TenureRecord>& aRecords,
   Instant aNow)
 {
@@ -168,16 +172,16 @@
     // One that was there a sweep ago and is not in today's newer roster ended
     // before this listing; a new one may only be younger than the roster.
     if (mSuspects.contains(tenure)) {
-      mCloser.Open(tenure, aNow);
+      mCloser.OnTenureEnded(tenure, aNow);
       mCloser.OnRecord(tenure, record, aNow);
     }
   }
   mSuspects = std::move(suspects);
 }
 
-void TenureChores::OnDone(const ReadingOwn& aWork,
-                          const StoreResult& aResult,
-                          Instant)
+void TenureMaintenance::OnDone(const ReadingOwn& aWork,
+                               const StoreResult& aResult,
+                               Instant)
 {
   const auto* const listing = std::get_if<StoreListing>(&aResult);
   if (listing == nullptr || mSession.Tenure() != aWork.mTenure) {
@@ -194,9 +198,9 @@
   }
 }
 
-void TenureChores::OnDone(const WritingVoters& aWork,
-                          const StoreResult& aResult,
-                          Instant)
+void TenureMaintenance::OnDone(const WritingVoters& aWork,
+                               const StoreResult& aResult,
+                               Instant)
 {
   if (mSession.Tenure() != aWork.mTenure) {
     return;
@@ -208,19 +212,19 @@
   }
   mRevision = result->mRevision;
   mVoters = aWork.mVoters;
-  mStretch.VotersKnown(aWork.mVoters);
+  mTenureValidity.SetVoters(aWork.mVoters);
 }
 
-void TenureChores::OnDone(const Deleting& aWork,
-                          const StoreResult& aResult,
-                          Instant)
+void TenureMaintenance::OnDone(const Deleting& aWork,
+                               const StoreResult& aResult,
+                               Instant)
 {
   if (std::holds_alternative<StoreTransactionResult>(aResult)) {
     mCloser.OnDeleted(aWork.mTenures);
   }
 }
 
-bool TenureChores::IsLive(StoreLease aTenure) const
+bool TenureMaintenance::IsLive(StoreLease aTenure) const
 {
   return std::ranges::any_of(mSession.Roster().Live(),
                              [aTenure](const LiveEntry& aEntry) {
--- a/src/core/ownership/TenureChores.h
+++ b/src/core/ownership/TenureMaintenance.h
@@ -12,7 +12,7 @@
 #include "src/core/ownership/OwnershipSettings.h"
 #include "src/core/ownership/StoreSession.h"
 #include "src/core/ownership/TenureCloser.h"
-#include "src/core/ownership/TenureStretch.h"
+#include "src/core/ownership/TenureValidity.h"
 
 namespace foxtailbarrow {
 
@@ -22,15 +22,15 @@
 ///
 /// One call is under way at a time. Survives lost replies: while it is unsure
 /// which voters the record names, majorities of all candidates are needed.
-class TenureChores
+class TenureMaintenance
 {
 public:
   /// All references must outlive this.
-  TenureChores(const OwnershipSettings& aSettings,
-               const StoreSession& aSession,
-               TenureStretch& aStretch,
-               TenureCloser& aCloser,
-               CallNumbers& aNumbers);
+  TenureMaintenance(const OwnershipSettings& aSettings,
+                    const StoreSession& aSession,
+                    TenureValidity& aTenureValidity,
+                    TenureCloser& aCloser,
+                    CallIdGenerator& aCallIds);
 
   void OnRegistered(Instant aNow);
   void OnRound(Instant aNow);
@@ -59,10 +59,10 @@
   };
   using Work = std::variant<ReadingEnded, ReadingOwn, WritingVoters, Deleting>;
 
-  void Ask(Work aWork, StoreCommand aCall, OwnershipActions& aOut);
-  bool AskEnded(Instant aNow, OwnershipActions& aOut);
-  bool AskVoters(Instant aNow, OwnershipActions& aOut);
-  bool AskDelete(Instant aNow, OwnershipActions& aOut);
+  void SendCall(Work aWork, StoreCommand aCall, OwnershipActions& aOut);
+  bool StartReadingEnded(Instant aNow, OwnershipActions& aOut);
+  bool StartVoterUpdate(Instant aNow, OwnershipActions& aOut);
+  bool StartDelete(Instant aNow, OwnershipActions& aOut);
   void Sweep(const absl::flat_hash_map<StoreLease, TenureRecord>& aRecords,
              Instant aNow);
   bool IsLive(StoreLease aTenure) const;
@@ -80,9 +80,9 @@
 
   OwnershipSettings mSettings;
   const StoreSession& mSession;
-  TenureStretch& mStretch;
+  TenureValidity& mTenureValidity;
   TenureCloser& mCloser;
-  CallNumbers& mNumbers;
+  CallIdGenerator& mCallIds;
   std::optional<Work> mWork;
   CallId mCall = 0;
   Instant mNextRead{};
