--- a/src/core/ownership/TenureStretch.cpp
+++ b/src/core/ownership/TenureValidity.cpp
@@ -1,4 +1,4 @@
-#include "src/core/ownership/TenureStretch.h"
+#include "src/core/ownership/TenureValidity.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,61 +7,62 @@
 
 namespace foxtailbarrow {
 
-TenureStretch::TenureStretch(const OwnershipSettings& aSettings, EntryId aSelf)
+TenureValidity::TenureValidity(const OwnershipSettings& aSettings,
+                               EntryId aSelf)
   : mSettings(aSettings)
   , mSelf(std::move(aSelf))
 {
 }
 
-void TenureStretch::Begin(StoreLease aTenure, Voters aVoters)
+void TenureValidity::Begin(StoreLease aTenure, Voters aVoters)
 {
   End();
   mTenure = aTenure;
   mVoterSets = { std::move(aVoters) };
 }
 
-void TenureStretch::End()
+void TenureValidity::End()
 {
   mTenure.reset();
   mVoterSets.clear();
   mConfirmed.reset();
-  mGap = true;
+  mLapsed = true;
   mSent.clear();
   mAttested.clear();
 }
 
-void TenureStretch::Confirm(Instant aStarted)
+void TenureValidity::Confirm(Instant aStarted)
 {
   mConfirmed = aStarted;
-  mGap = false;
+  mLapsed = false;
 }
 
-void TenureStretch::VotersPossible(Voters aVoters)
+void TenureValidity::AddPossibleVoters(Voters aVoters)
 {
   mVoterSets.push_back(std::move(aVoters));
 }
 
-void TenureStretch::VotersKnown(Voters aVoters)
+void TenureValidity::SetVoters(Voters aVoters)
 {
   mVoterSets = { std::move(aVoters) };
 }
 
-void TenureStretch::Advance(const EntryRoster& aRoster,
-                            Instant aNow,
-                            OwnershipActions& aOut)
+void TenureValidity::Advance(const EntryRoster& aRoster,
+                             Instant aNow,
+                             OwnershipActions& aOut)
 {
   // A round that is late by half its interval is the first sign of an outage.
   const Duration late = mSettings.mRoundInterval * 3 / 2;
   const bool doubted =
-    mTenure && mConfirmed && !mGap && aNow >= *mConfirmed + late;
+    mTenure && mConfirmed && !mLapsed && aNow >= *mConfirmed + late;
   if (doubted && aNow >= mLastSent + mSettings.mAttestationInterval) {
     Send(aRoster, aNow, aOut);
   }
 }
 
-void TenureStretch::Send(const EntryRoster& aRoster,
-                         Instant aNow,
-                         OwnershipActions& aOut)
+void TenureValidity::Send(const EntryRoster& aRoster,
+                          Instant aNow,
+                          OwnershipActions& aOut)
 {
   mLastSent = aNow;
   ++mSequence;
@@ -78,7 +79,7 @@
   }
 }
 
-void TenureStretch::OnReply(const AttestReply& aReply)
+void TenureValidity::OnReply(const AttestReply& aReply)
 {
   const auto sent = mSent.find(aReply.mSequence);
   if (!aReply.mAttested || mTenure != aReply.mTenure || sent == mSent.end()) {
@@ -88,36 +89,36 @@
   date = std::max(date, sent->second);
 }
 
-bool TenureStretch::Lapsed(Instant aNow)
+bool TenureValidity::CheckLapsed(Instant aNow)
 {
-  if (!mGap && !Holds(aNow)) {
-    mGap = true;
+  if (!mLapsed && !Holds(aNow)) {
+    mLapsed = true;
   }
-  return mGap;
+  return mLapsed;
 }
 
-bool TenureStretch::Holds(Instant aNow) const
+bool TenureValidity::Holds(Instant aNow) const
 {
-  if (!mTenure || !mConfirmed || mGap) {
+  if (!mTenure || !mConfirmed || mLapsed) {
     return false;
   }
   if (aNow < *mConfirmed + mSettings.mValidity) {
     return true;
   }
-  const auto until = StretchedUntil(aNow);
+  const auto until = ExtendedUntil(aNow);
   return until && aNow < *until;
 }
 
-bool TenureStretch::Stretched(Instant aNow) const
+bool TenureValidity::ExtendedByVoters(Instant aNow) const
 {
   return Holds(aNow) && aNow >= *mConfirmed + mSettings.mValidity;
 }
 
-std::optional<Instant> TenureStretch::StretchedUntil(Instant aNow) const
+std::optional<Instant> TenureValidity::ExtendedUntil(Instant aNow) const
 {
-  Instant until = *mConfirmed + mSettings.mStretchLimit;
+  Instant until = *mConfirmed + mSettings.mMaxExtension;
   for (const Voters& voters : mVoterSets) {
-    const auto date = MajorityDate(voters, aNow);
+    const auto date = MajorityAttestedAt(voters, aNow);
     if (!date) {
       return std::nullopt;
     }
@@ -126,8 +127,8 @@
   return until;
 }
 
-std::optional<Instant> TenureStretch::MajorityDate(const Voters& aVoters,
-                                                   Instant aNow) const
+std::optional<Instant> TenureValidity::MajorityAttestedAt(const Voters& aVoters,
+                                                          Instant aNow) const
 {
   std::vector<Instant> dates;
   for (const Voter& voter : aVoters) {
--- a/src/core/ownership/TenureStretch.h
+++ b/src/core/ownership/TenureValidity.h
@@ -20,10 +20,10 @@
 /// Promise: once there was a gap, only the store can revive the tenure, never
 /// attestations. Nothing is stretched beyond the limit after the last round.
 /// Survives: pauses and late replies (everything is dated by its sending).
-class TenureStretch
+class TenureValidity
 {
 public:
-  TenureStretch(const OwnershipSettings& aSettings, EntryId aSelf);
+  TenureValidity(const OwnershipSettings& aSettings, EntryId aSelf);
 
   /// A tenure began; `aVoters` is what its record in the store says.
   void Begin(StoreLease aTenure, Voters aVoters);
@@ -33,11 +33,11 @@
   void Confirm(Instant aStarted);
 
   /// The record may now say `aVoters`: majorities of all that it may say are
-  /// needed until VotersKnown().
-  void VotersPossible(Voters aVoters);
+  /// needed until SetVoters().
+  void AddPossibleVoters(Voters aVoters);
 
   /// The record certainly says `aVoters` and no older write is under way.
-  void VotersKnown(Voters aVoters);
+  void SetVoters(Voters aVoters);
 
   /// Asks the voters when the store is late. `aRoster` gives the addresses.
   void Advance(const EntryRoster& aRoster,
@@ -47,21 +47,21 @@
   void OnReply(const AttestReply& aReply);
 
   /// This entry itself promised the tenure: only the store can revive it.
-  void Forbid() { mGap = true; }
+  void OnOwnPromise() { mLapsed = true; }
 
   /// Notices a gap. True when the tenure holds no longer.
-  bool Lapsed(Instant aNow);
+  bool CheckLapsed(Instant aNow);
 
   /// True while this entry may act under its tenure.
   bool Holds(Instant aNow) const;
 
   /// True while it holds by attestations only.
-  bool Stretched(Instant aNow) const;
+  bool ExtendedByVoters(Instant aNow) const;
 
 private:
-  std::optional<Instant> MajorityDate(const Voters& aVoters,
-                                      Instant aNow) const;
-  std::optional<Instant> StretchedUntil(Instant aNow) const;
+  std::optional<Instant> MajorityAttestedAt(const Voters& aVoters,
+                                            Instant aNow) const;
+  std::optional<Instant> ExtendedUntil(Instant aNow) const;
   void Send(const EntryRoster& aRoster, Instant aNow, OwnershipActions& aOut);
 
   OwnershipSettings mSettings;
@@ -69,7 +69,7 @@
   std::optional<StoreLease> mTenure;
   std::vector<Voters> mVoterSets;
   std::optional<Instant> mConfirmed;
-  bool mGap = true;
+  bool mLapsed = true;
   std::uint64_t mSequence = 0;
   Instant mLastSent{};
   /// Recent sendings by sequence, and the newest one that each voter attested.
--- a/src/core/ownership/Witness.cpp
+++ b/src/core/ownership/TenureVoter.cpp
@@ -1,19 +1,19 @@
-#include "src/core/ownership/Witness.h"
+#include "src/core/ownership/TenureVoter.h"
 
 #include <utility>
 
 namespace foxtailbarrow {
 
-Witness::Witness(const OwnershipSettings& aSettings,
-                 EntryId aSelf,
-                 Instant aStarted)
+TenureVoter::TenureVoter(const OwnershipSettings& aSettings,
+                         EntryId aSelf,
+                         Instant aStarted)
   : mSettings(aSettings)
   , mSelf(std::move(aSelf))
   , mStarted(aStarted)
 {
 }
 
-void Witness::OnRound(const EntryRoster& aRoster)
+void TenureVoter::OnRound(const EntryRoster& aRoster)
 {
   mHasRoster = true;
   mLive.clear();
@@ -22,25 +22,26 @@
   }
 }
 
-AttestReply Witness::OnAttest(const AttestRequest& aRequest, Instant aNow) const
+AttestReply TenureVoter::OnAttest(const AttestRequest& aRequest,
+                                  Instant aNow) const
 {
   return {
     mSelf, aRequest.mTenure, aRequest.mSequence, Attests(aRequest.mTenure, aNow)
   };
 }
 
-PromiseReply Witness::OnPromise(const PromiseRequest& aRequest)
+PromiseReply TenureVoter::OnPromise(const PromiseRequest& aRequest)
 {
   mPromised.insert(aRequest.mTenures.begin(), aRequest.mTenures.end());
   return { mSelf, aRequest.mTenures, aRequest.mSequence };
 }
 
-bool Witness::Promised(StoreLease aTenure) const
+bool TenureVoter::Promised(StoreLease aTenure) const
 {
   return mPromised.contains(aTenure);
 }
 
-bool Witness::Attests(StoreLease aTenure, Instant aNow) const
+bool TenureVoter::Attests(StoreLease aTenure, Instant aNow) const
 {
   if (Promised(aTenure)) {
     return false;
--- a/src/core/ownership/Witness.h
+++ b/src/core/ownership/TenureVoter.h
@@ -16,10 +16,12 @@
 /// since; without the store it first stays silent for so long that whatever
 /// promise it may have forgotten has taken effect.
 /// Keeps nothing beyond its process.
-class Witness
+class TenureVoter
 {
 public:
-  Witness(const OwnershipSettings& aSettings, EntryId aSelf, Instant aStarted);
+  TenureVoter(const OwnershipSettings& aSettings,
+              EntryId aSelf,
+              Instant aStarted);
 
   /// Takes the roster of a successful round.
   void OnRound(const EntryRoster& aRoster);
--- a/src/platform/store/PulsedStore.h
+++ b/src/platform/store/PulsedStore.h
@@ -2,7 +2,7 @@
 
 #include "foxtailbarrow/Store.h"
 #include "foxtailbarrow/Verdict.h"
-#include "src/core/cell/StorePulse.h"
+#include "src/core/cell/StoreHealth.h"
 
 namespace foxtailbarrow {
 
@@ -26,11 +26,11 @@
   auto Note(Call aCall)
   {
     const Instant sentAt = MonotonicNow();
-    mPulse.NoteSent(sentAt);
+    mHealth.OnSent(sentAt);
     auto result = aCall();
     const absl::Status& status = StatusOf(result);
     const bool answered = status.ok() || VerdictOf(status) == Verdict::NotRun;
-    mPulse.NoteEnded(sentAt, answered, MonotonicNow());
+    mHealth.OnEnded(sentAt, answered, MonotonicNow());
     return result;
   }
 
@@ -40,9 +40,9 @@
   {
   }
 
-  bool Answers() const { return mPulse.Answers(MonotonicNow()); }
-  Duration SinceAnswer() const { return mPulse.SinceAnswer(MonotonicNow()); }
-  Duration SilentFor() const { return mPulse.SilentFor(MonotonicNow()); }
+  bool Answers() const { return mHealth.Answers(MonotonicNow()); }
+  Duration SinceAnswer() const { return mHealth.SinceAnswer(MonotonicNow()); }
+  Duration SilentFor() const { return mHealth.SilentFor(MonotonicNow()); }
 
   absl::StatusOr<StoreEntry> Read(std::string_view aKey) override
   {
@@ -76,14 +76,14 @@
   {
     return mStore.Watch(
       aPrefix, aFrom, [&](const std::vector<StoreEvent>& aEvents) {
-        mPulse.NoteHeard(MonotonicNow());
+        mHealth.OnAnswer(MonotonicNow());
         return aOnEvents(aEvents);
       });
   }
 
 private:
   Store& mStore;
-  cell::StorePulse mPulse;
+  cell::StoreHealth mHealth;
 };
 
 } // namespace foxtailbarrow
--- a/standins/taskworker/TaskWorkerModel.cpp
+++ b/standins/taskworker/TaskWorkerModel.cpp
@@ -95,7 +95,7 @@
 {
   const bool lapsed = Clock(aNow) >= mLeaseEnd;
   if (lapsed && !std::exchange(mLapsed, true)) {
-    mSink({ RunMoment::LeaseLapsed, {}, 0, RunEnd::Lapsed, {}, {} });
+    mSink({ RunMoment::LeaseLapsed, {}, 0, RunEnd::LeaseExpired, {}, {} });
   }
   const auto runs = mRuns;
   for (const auto& [task, before] : runs) {
@@ -103,7 +103,7 @@
     Progress(run, aNow);
     Serve(task, run, aNow);
     if (lapsed) {
-      End(task, RunEnd::Lapsed);
+      End(task, RunEnd::LeaseExpired);
     } else if (aNow >= run.mStopAt) {
       End(task, RunEnd::Stopped);
     } else if (!run.mProgram.mStands && !run.mProgram.mCrashes &&
@@ -145,7 +145,7 @@
   }
   if (const auto over = mOver.find(aCall.mTask);
       over != mOver.end() && aCall.mRun <= over->second) {
-    return StartOutcome::OldRun;
+    return StartOutcome::StaleRun;
   }
   Run run;
   run.mNumber = aCall.mRun;
@@ -183,7 +183,7 @@
   return true;
 }
 
-bool TaskWorkerModel::Pace(const cell::PaceCall& aCall, Instant aNow)
+bool TaskWorkerModel::Throttle(const cell::ThrottleCall& aCall, Instant aNow)
 {
   Advance(aNow);
   if (!Admit(aCall.mFence)) {
@@ -197,7 +197,7 @@
   return true;
 }
 
-bool TaskWorkerModel::Look(const cell::LookCall& aCall, Instant aNow)
+bool TaskWorkerModel::Poll(const cell::PollCall& aCall, Instant aNow)
 {
   Advance(aNow);
   if (!Admit(aCall.mFence)) {
@@ -221,9 +221,9 @@
   return true;
 }
 
-cell::LookReply TaskWorkerModel::View(Instant aNow) const
+cell::PollReply TaskWorkerModel::View(Instant aNow) const
 {
-  cell::LookReply reply;
+  cell::PollReply reply;
   reply.mClock = Clock(aNow);
   reply.mEnded = mEnded;
   for (const auto& [task, run] : mRuns) {
@@ -256,7 +256,7 @@
 void TaskWorkerModel::Crash()
 {
   for (const auto& [task, run] : mRuns) {
-    mSink({ RunMoment::Lost, task, run.mNumber, RunEnd::Lapsed, {}, {} });
+    mSink({ RunMoment::Lost, task, run.mNumber, RunEnd::LeaseExpired, {}, {} });
   }
   mRuns.clear();
 }
--- a/standins/taskworker/TaskWorkerModel.h
+++ b/standins/taskworker/TaskWorkerModel.h
@@ -71,9 +71,9 @@
   cell::StartOutcome Start(const cell::StartCall& aCall, Instant aNow);
   /// False for a fence that is too low; nothing was done then.
   bool Stop(const cell::StopCall& aCall, Instant aNow);
-  bool Pace(const cell::PaceCall& aCall, Instant aNow);
-  bool Look(const cell::LookCall& aCall, Instant aNow);
-  cell::LookReply View(Instant aNow) const;
+  bool Throttle(const cell::ThrottleCall& aCall, Instant aNow);
+  bool Poll(const cell::PollCall& aCall, Instant aNow);
+  cell::PollReply View(Instant aNow) const;
   std::int64_t NewestEnd() const { return mEnds; }
 
   /// A task that takes its worker down has run for long enough.
--- a/standins/taskworker/TaskWorkerService.cpp
+++ b/standins/taskworker/TaskWorkerService.cpp
@@ -46,7 +46,7 @@
 const char* ReasonOf(cell::StartOutcome aOutcome)
 {
   switch (aOutcome) {
-    case cell::StartOutcome::OldRun:
+    case cell::StartOutcome::StaleRun:
       return "old";
     case cell::StartOutcome::NoLease:
       return "late";
@@ -76,7 +76,7 @@
   return text;
 }
 
-Json::Value ViewBody(const cell::LookReply& aView)
+Json::Value ViewBody(const cell::PollReply& aView)
 {
   Json::Value body;
   body["ClockMs"] = Json::Int64{ aView.mClock };
@@ -312,7 +312,7 @@
     return Reply(kBadRequest, Json::objectValue);
   }
   if (aRequest.mTarget == "/hold") {
-    return Look(*body);
+    return Poll(*body);
   }
   const auto task = TaskOf(*body);
   if (!task) {
@@ -337,11 +337,12 @@
   } else if (aRequest.mTarget == "/run-stop") {
     done = mModel->Stop({ *task, run, fence }, now);
   } else {
-    done = mModel->Pace({ *task,
-                          run,
-                          static_cast<std::int32_t>(NumberOf(*body, "Percent")),
-                          fence },
-                        now);
+    done =
+      mModel->Throttle({ *task,
+                         run,
+                         static_cast<std::int32_t>(NumberOf(*body, "Percent")),
+                         fence },
+                       now);
   }
   Json::Value reply;
   reply["ClockMs"] = Json::Int64{ mModel->Clock(now) };
@@ -351,16 +352,16 @@
   return Reply(done ? kOk : kConflict, reply);
 }
 
-net::HttpResponse TaskWorkerService::Look(const Json::Value& aBody)
+net::HttpResponse TaskWorkerService::Poll(const Json::Value& aBody)
 {
   const std::shared_ptr<TaskWorkerModel> model = mModel;
-  cell::LookCall call;
+  cell::PollCall call;
   call.mFence = NumberOf(aBody, "Fence");
   call.mAcknowledged = NumberOf(aBody, "Acked");
   if (aBody.isMember("DeadlineMs")) {
     call.mLeaseEnd = NumberOf(aBody, "DeadlineMs");
   }
-  if (!model->Look(call, MonotonicNow())) {
+  if (!model->Poll(call, MonotonicNow())) {
     Json::Value reply;
     reply["ClockMs"] = Json::Int64{ model->Clock(MonotonicNow()) };
     reply["Reason"] = "fence";
--- a/standins/taskworker/TaskWorkerService.h
+++ b/standins/taskworker/TaskWorkerService.h
@@ -80,7 +80,7 @@
   net::HttpResponse Handle(const net::HttpRequest& aRequest);
   net::HttpResponse CarryOut(const net::HttpRequest& aRequest);
   void SendBeat();
-  net::HttpResponse Look(const Json::Value& aBody);
+  net::HttpResponse Poll(const Json::Value& aBody);
   net::HttpResponse Hang();
   absl::Status Listen();
   void Beat();
--- a/tests/agent/IdempotencyRegisterTest.cpp
+++ b/tests/agent/IdempotencyRegisterTest.cpp
@@ -85,7 +85,7 @@
   if (GetParam().mEnd) {
     keys.Finish(kKey, *GetParam().mEnd, AnswerOf(1), kNow);
   }
-  const KeyPromise first = keys.Revoke(kKey, kNow);
+  const KeyRevocation first = keys.Revoke(kKey, kNow);
   EXPECT_EQ(first.mVerdict, GetParam().mExpected);
   EXPECT_FALSE(first.mPromisedBefore);
   const bool promised = GetParam().mExpected == Verdict::NotRun;
--- a/tests/agent/RequestRegisterTest.cpp
+++ b/tests/agent/RequestRegisterTest.cpp
@@ -33,7 +33,7 @@
   Before mBefore;
   Duration mAge;
   Verdict mVerdict;
-  RequestStanding mThen; ///< When the id comes (again) afterwards.
+  RequestAdmission mThen; ///< When the id comes (again) afterwards.
 };
 
 void Happen(RequestRegister& aRegister, Before aBefore)
@@ -73,42 +73,42 @@
                               Before::Nothing,
                               seconds(1),
                               Verdict::NotRun,
-                              RequestStanding::Revoked },
+                              RequestAdmission::Revoked },
                   RevokeCase{ "sentBeforeTheStart",
                               Before::Nothing,
                               seconds(61),
                               Verdict::MayHaveRun,
-                              RequestStanding::Admitted },
+                              RequestAdmission::Admitted },
                   RevokeCase{ "ageUnknown",
                               Before::Nothing,
                               Duration::max(),
                               Verdict::MayHaveRun,
-                              RequestStanding::Admitted },
+                              RequestAdmission::Admitted },
                   RevokeCase{ "inProgress",
                               Before::Running,
                               seconds(1),
                               Verdict::MayHaveRun,
-                              RequestStanding::InProgress },
+                              RequestAdmission::InProgress },
                   RevokeCase{ "ran",
                               Before::Ran,
                               seconds(1),
                               Verdict::Ran,
-                              RequestStanding::Finished },
+                              RequestAdmission::Finished },
                   RevokeCase{ "mayHaveRun",
                               Before::MayHaveRun,
                               seconds(1),
                               Verdict::MayHaveRun,
-                              RequestStanding::Finished },
+                              RequestAdmission::Finished },
                   RevokeCase{ "refused",
                               Before::Refused,
                               seconds(1),
                               Verdict::NotRun,
-                              RequestStanding::Revoked },
+                              RequestAdmission::Revoked },
                   RevokeCase{ "revokedBefore",
                               Before::Revoked,
                               seconds(1),
                               Verdict::NotRun,
-                              RequestStanding::Revoked }),
+                              RequestAdmission::Revoked }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 /// Whatever was forgotten, by age or for lack of room, an id that ran is never
@@ -118,7 +118,7 @@
   RequestRegisterLimits limits;
   limits.mMaxFinished = 64 * 2;
   limits.mMaxRevoked = 64 * 2;
-  limits.mFinishedFor = seconds(20);
+  limits.mFinishedRetention = seconds(20);
   RequestRegister requests(limits, kStart);
   struct Fate
   {
@@ -144,7 +144,7 @@
       RC_ASSERT(!(fate.mRan && verdict == Verdict::NotRun));
       fate.mToldNotRun |= verdict == Verdict::NotRun;
     } else if (!fate.mRan &&
-               requests.Begin(id, now) == RequestStanding::Admitted) {
+               requests.Begin(id, now) == RequestAdmission::Admitted) {
       RC_ASSERT(!fate.mToldNotRun);
       fate.mRan = true;
       requests.Finish(id, Verdict::Ran, now);
@@ -157,7 +157,7 @@
   RequestRegister requests({}, kStart);
   requests.Begin(kId, kNow);
   requests.Finish(kId, Verdict::NotRun, kNow);
-  EXPECT_EQ(requests.Begin(kId, kNow + seconds(1)), RequestStanding::Admitted);
+  EXPECT_EQ(requests.Begin(kId, kNow + seconds(1)), RequestAdmission::Admitted);
 }
 
 TEST(RequestRegister, StaysWithinItsSize)
--- a/tests/base/ResumeWatchTest.cpp
+++ b/tests/base/ResumeWatchTest.cpp
@@ -32,12 +32,12 @@
   Instant now{ std::chrono::seconds(1000) };
   ResumeWatch::SteadyTime steady{ std::chrono::seconds(7) };
   ResumeWatch watch;
-  EXPECT_FALSE(watch.Look(now, steady));
+  EXPECT_FALSE(watch.Poll(now, steady));
   std::vector<milliseconds> found;
   for (const Step& step : GetParam().mSteps) {
     now += step.mBoot;
     steady += step.mSteady;
-    if (const auto suspended = watch.Look(now, steady)) {
+    if (const auto suspended = watch.Poll(now, steady)) {
       found.push_back(std::chrono::duration_cast<milliseconds>(*suspended));
     }
   }
--- a/tests/cell/AdviceTest.cpp
+++ b/tests/cell/AdviceTest.cpp
@@ -20,20 +20,20 @@
     mScheduler.SetQueues({ policy });
     AttachAndGrant("a");
     AttachAndGrant("b");
-    AddRecorded(Graph("job", { Step(1) }));
+    AddSavedJob(Graph("job", { Step(1) }));
     mScheduler.Schedule(Clock());
   }
 
   AdviceQuery Ask()
   {
-    const auto query = mScheduler.NextAdvice(Clock());
+    const auto query = mScheduler.NextAdviceQuery(Clock());
     EXPECT_TRUE(query.has_value());
     return query.value_or(AdviceQuery());
   }
 
   void Answer(std::vector<AdviceGrant> aGranted)
   {
-    mScheduler.TakeAdvice(
+    mScheduler.OnAdvice(
       Ask(), AdviceReply{ std::move(aGranted), seconds(3) }, Clock());
   }
 };
@@ -65,16 +65,16 @@
 TEST_F(AdviceTest, ADeniedWorkerIsNotAskedAboutAgain)
 {
   Answer({});
-  EXPECT_FALSE(mScheduler.NextAdvice(Clock()));
-  Pass(seconds(10));
-  EXPECT_FALSE(mScheduler.NextAdvice(Clock()));
+  EXPECT_FALSE(mScheduler.NextAdviceQuery(Clock()));
+  AdvanceClock(seconds(10));
+  EXPECT_FALSE(mScheduler.NextAdviceQuery(Clock()));
 }
 
 TEST_F(AdviceTest, ATicketThatRanOutIsAskedForAgain)
 {
   mScheduler.DetachWorker(AgentId("b"), Clock());
   Answer({ { kWorkerA, "first" } });
-  Pass(seconds(3));
+  AdvanceClock(seconds(3));
   Grant("a");
   EXPECT_TRUE(Orders("a").mStarts.empty());
   Answer({ { kWorkerA, "second" } });
@@ -89,7 +89,7 @@
   Answer({ { kWorkerA, "first" } });
   const OrderRequest orders = Orders("a");
   ASSERT_EQ(orders.mStarts.size(), 1U);
-  mScheduler.TakeStartResults(
+  mScheduler.OnStartResults(
     AgentId("a"),
     orders.mSession,
     { { kFirst, orders.mStarts[0].mRun, StartOutcome::NoTicket } },
@@ -99,10 +99,10 @@
 
 TEST_F(AdviceTest, AServiceWithoutAnAnswerIsAskedLater)
 {
-  mScheduler.TakeAdvice(Ask(), std::nullopt, Clock());
-  EXPECT_FALSE(mScheduler.NextAdvice(Clock()));
-  Pass(milliseconds(200));
-  EXPECT_TRUE(mScheduler.NextAdvice(Clock()));
+  mScheduler.OnAdvice(Ask(), std::nullopt, Clock());
+  EXPECT_FALSE(mScheduler.NextAdviceQuery(Clock()));
+  AdvanceClock(milliseconds(200));
+  EXPECT_TRUE(mScheduler.NextAdviceQuery(Clock()));
 }
 
 } // namespace
--- a/tests/cell/CandidacyTest.cpp
+++ b/tests/cell/CandidacyTest.cpp
@@ -44,7 +44,7 @@
   const Instant start{ std::chrono::seconds(10) };
   Candidacy candidacy(0.12);
   EXPECT_FALSE(candidacy.MayTake(start));
-  candidacy.SeeOwner();
+  candidacy.OnOwnerSeen();
   EXPECT_FALSE(candidacy.MayTake(start + std::chrono::seconds(9)));
 }
 
--- a/tests/cell/CapacityGateTest.cpp
+++ b/tests/cell/CapacityGateTest.cpp
@@ -30,8 +30,8 @@
 {
   const Resources each{ 1000, 100, 0 };
   CapacityGate gate;
-  gate.NoteTask(Task(0), each);
-  gate.NoteTask(Task(1), each);
+  gate.SetReservation(Task(0), each);
+  gate.SetReservation(Task(1), each);
   EXPECT_EQ(gate.Admits(GetParam().mCapacity, GetParam().mThere, Task(2), each),
             GetParam().mAdmits);
 }
--- a/tests/cell/CellFixture.h
+++ b/tests/cell/CellFixture.h
@@ -62,17 +62,17 @@
 
   CellClock Clock() const { return { mNow, mUnixMs }; }
 
-  void Pass(Duration aTime)
+  void AdvanceClock(Duration aTime)
   {
     mNow += aTime;
     mUnixMs += std::chrono::duration_cast<milliseconds>(aTime).count();
   }
 
   /// A new job whose progress record is written.
-  void AddRecorded(const JobGraph& aGraph)
+  void AddSavedJob(const JobGraph& aGraph)
   {
     mScheduler.AddJob({ aGraph, mUnixMs, false }, {}, 0, Clock());
-    Record();
+    SaveProgress();
   }
 
   /// A job of which an earlier owner may have started tasks.
@@ -82,10 +82,10 @@
     mScheduler.AddJob({ aGraph, mUnixMs, false }, aProgress, 7, Clock());
   }
 
-  void Record()
+  void SaveProgress()
   {
-    for (const UnrecordedProgress& job : mScheduler.Unrecorded(100)) {
-      mScheduler.NoteRecorded(job.mJob, job.mVersion, ++mRevision);
+    for (const UnsavedProgress& job : mScheduler.UnsavedJobs(100)) {
+      mScheduler.OnProgressSaved(job.mJob, job.mVersion, ++mRevision);
     }
   }
 
@@ -112,7 +112,7 @@
 
   void Grant(const std::string& aAgent)
   {
-    mScheduler.NoteGrant(AgentId(aAgent), mNow + mSettings.mHold);
+    mScheduler.OnGrant(AgentId(aAgent), mNow + mSettings.mMaxTaskLease);
   }
 
   void AttachAndGrant(const std::string& aAgent)
@@ -144,8 +144,8 @@
               const WorkerState& aState,
               std::int64_t aOrdersDone = kManyOrders)
   {
-    return mScheduler.TakeReport(ReportOf(aAgent, aState, aOrdersDone),
-                                 Clock());
+    return mScheduler.HandleReport(ReportOf(aAgent, aState, aOrdersDone),
+                                   Clock());
   }
 
   /// All orders of an agent after a round of placing, its starts answered.
@@ -162,7 +162,7 @@
       results.push_back({ order.mTask, order.mRun, StartOutcome::Started });
       Since(aAgent, order.mTask, order.mRun);
     }
-    mScheduler.TakeStartResults(
+    mScheduler.OnStartResults(
       AgentId(aAgent), aOrders.mSession, results, Clock());
   }
 
@@ -191,7 +191,7 @@
       .first->second;
   }
 
-  bool Happened(const std::string& aEvent) const
+  bool WasLogged(const std::string& aEvent) const
   {
     return std::ranges::find(mEvents, aEvent) != mEvents.end();
   }
--- a/tests/cell/CellRecordsTest.cpp
+++ b/tests/cell/CellRecordsTest.cpp
@@ -26,7 +26,7 @@
   if (GetParam().mRecorded) {
     progress.emplace().mPhase = *GetParam().mRecorded;
   }
-  EXPECT_EQ(RecordedPhase(progress), GetParam().mShown);
+  EXPECT_EQ(SavedPhase(progress), GetParam().mShown);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/cell/CellSchedulerTest.cpp
+++ b/tests/cell/CellSchedulerTest.cpp
@@ -15,7 +15,7 @@
   mScheduler.AddJob(
     { Graph("job", { Step(1) }), mUnixMs, false }, {}, 0, Clock());
   EXPECT_TRUE(Orders("a").mStarts.empty());
-  Record();
+  SaveProgress();
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
@@ -24,7 +24,7 @@
   StepSpec second = Step(1);
   second.mAfter = { 0 };
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(2), second }));
+  AddSavedJob(Graph("job", { Step(2), second }));
   const OrderRequest first = Orders("a");
   ASSERT_EQ(first.mStarts.size(), 2U);
   Started("a", first);
@@ -49,24 +49,24 @@
 TEST_F(CellSchedulerTest, ReservationsNeverPassTheCapacity)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(20, 1500) }));
+  AddSavedJob(Graph("job", { Step(20, 1500) }));
   EXPECT_EQ(Orders("a").mStarts.size(), 5U); // 5 x 1500 of 8000 millicores
 }
 
 TEST_F(CellSchedulerTest, LeftoverTasksReserveMemoryAlone)
 {
   StepSpec step = Step(30, 4000);
-  step.mLeftover = true;
+  step.mBestEffort = true;
   step.mDemand.mMemoryMb = 32'000;
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { step }));
+  AddSavedJob(Graph("job", { step }));
   EXPECT_EQ(Orders("a").mStarts.size(), 2U); // 2 x 32000 of 64000 MB
 }
 
 TEST_F(CellSchedulerTest, AnEndIsAcknowledgedAfterItsRecord)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(2) }));
+  AddSavedJob(Graph("job", { Step(2) }));
   const OrderRequest orders = Orders("a");
   Started("a", orders);
   Report("a",
@@ -74,7 +74,7 @@
                { Running(orders.mStarts[1].mTask, orders.mStarts[1].mRun) },
                { Ended(1, kFirst, orders.mStarts[0].mRun, RunEnd::Done) }));
   EXPECT_EQ(mScheduler.Acknowledged(AgentId("a")), 0);
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.Acknowledged(AgentId("a")), 1);
 }
 
@@ -82,7 +82,7 @@
 {
   mScheduler.SetQueues({ Policy(2) });
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   std::vector<EndedTask> ended;
   for (int attempt = 1; attempt <= 2; ++attempt) {
     const OrderRequest orders = Orders("a");
@@ -92,7 +92,7 @@
       Ended(attempt, kFirst, orders.mStarts[0].mRun, RunEnd::Failed));
     Report("a", State("a-life", {}, ended));
   }
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Failed);
   EXPECT_TRUE(Orders("a").mStarts.empty());
 }
@@ -106,7 +106,7 @@
   Attach(
     "a",
     State("a-life", {}, { Ended(1, kFirst, kEarlierRun, RunEnd::Failed) }));
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Queued);
 }
 
@@ -122,18 +122,18 @@
                  {},
                  { Ended(1, kFirst, kEarlierRun + run, RunEnd::Failed) }));
   }
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Failed);
 }
 
 TEST_F(CellSchedulerTest, ACancelledJobsTasksAreStopped)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(2) }));
+  AddSavedJob(Graph("job", { Step(2) }));
   Started("a", Orders("a"));
   mScheduler.CancelJob(JobId("job"), Clock());
   EXPECT_EQ(Orders("a").mStops.size(), 2U);
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Cancelled);
 }
 
@@ -144,7 +144,7 @@
   AttachAndGrant("b");
   const OrderRequest orders = Orders("a");
   EXPECT_TRUE(orders.mStarts.empty());
-  EXPECT_EQ(orders.mTraits.size(), 1U);
+  EXPECT_EQ(orders.mMetadata.size(), 1U);
   EXPECT_TRUE(Orders("b").mStarts.empty());
 }
 
@@ -154,22 +154,22 @@
 {
   AttachAndGrant("a");
   StepSpec leftover = Step(2);
-  leftover.mLeftover = true;
+  leftover.mBestEffort = true;
   leftover.mImage = "image";
-  AddRecorded(Graph("job", { leftover }));
+  AddSavedJob(Graph("job", { leftover }));
   const OrderRequest first = Orders("a");
   Started("a", first);
   ASSERT_EQ(first.mStarts.size(), 2U);
-  EXPECT_TRUE(Orders("a").mTraits.empty());
+  EXPECT_TRUE(Orders("a").mMetadata.empty());
   Attach("a",
          State("a-life",
                { Running(first.mStarts[0].mTask, first.mStarts[0].mRun),
                  Running(first.mStarts[1].mTask, first.mStarts[1].mRun) }));
   const OrderRequest next = Orders("a");
-  ASSERT_EQ(next.mTraits.size(), 2U);
-  EXPECT_TRUE(next.mTraits[0].mLeftover);
-  EXPECT_EQ(next.mTraits[0].mImage, "image");
-  EXPECT_EQ(next.mTraits[0].mReserved, Resources({ 0, 1000, 0 }));
+  ASSERT_EQ(next.mMetadata.size(), 2U);
+  EXPECT_TRUE(next.mMetadata[0].mBestEffort);
+  EXPECT_EQ(next.mMetadata[0].mImage, "image");
+  EXPECT_EQ(next.mMetadata[0].mReserved, Resources({ 0, 1000, 0 }));
 }
 
 TEST_F(CellSchedulerTest, AnAdoptedRunOutlivesItsSessionByTheEarlierGrant)
@@ -180,10 +180,10 @@
   // It breaks before this owner has granted anything.
   mScheduler.DetachWorker(AgentId("a"), Clock());
   EXPECT_TRUE(Orders("b").mStarts.empty());
-  Pass(mSettings.mHold - milliseconds(10));
+  AdvanceClock(mSettings.mMaxTaskLease - milliseconds(10));
   Grant("b");
   EXPECT_TRUE(Orders("b").mStarts.empty());
-  Pass(mSettings.mLeaseMargin + milliseconds(20));
+  AdvanceClock(mSettings.mLeaseMargin + milliseconds(20));
   EXPECT_EQ(Orders("b").mStarts.size(), 1U);
 }
 
@@ -191,16 +191,16 @@
 {
   AddInherited(Graph("job", { Step(1) }));
   mScheduler.ExpectAgents({ AgentId("a"), AgentId("b") },
-                          mNow + mSettings.mAuthority);
+                          mNow + mSettings.mOwnershipTimeout);
   AttachAndGrant("b");
   EXPECT_TRUE(Orders("b").mStarts.empty());
   // A job that no earlier owner can have started does not wait.
-  AddRecorded(Graph("new", { Step(1) }));
+  AddSavedJob(Graph("new", { Step(1) }));
   const OrderRequest orders = Orders("b");
   ASSERT_EQ(orders.mStarts.size(), 1U);
   EXPECT_EQ(orders.mStarts[0].mTask.mJob, JobId("new"));
   Started("b", orders);
-  Pass(mSettings.mAuthority);
+  AdvanceClock(mSettings.mOwnershipTimeout);
   Grant("b");
   EXPECT_EQ(Orders("b").mStarts.size(), 1U);
 }
@@ -214,19 +214,19 @@
     const std::string life = job + "-life";
     Attach("a", State(life));
     Grant("a");
-    AddRecorded(Graph(job, { Step(1) }));
+    AddSavedJob(Graph(job, { Step(1) }));
     const OrderRequest orders = Orders("a");
     ASSERT_EQ(orders.mStarts.size(), 1U);
     Started("a", orders);
     if (!fresh) {
-      Pass(seconds(2));
+      AdvanceClock(seconds(2));
       Grant("a");
       const StartOrder& order = orders.mStarts[0];
       Report("a", State(life, { Running(order.mTask, order.mRun) }));
     }
     Report("a", State(job + "-second-life"));
     if (fresh) {
-      Record();
+      SaveProgress();
     }
     const OrderRequest again = Orders("a");
     ASSERT_EQ(again.mStarts.size(), 1U);
@@ -238,26 +238,27 @@
         {},
         { Ended(
           1, again.mStarts[0].mTask, again.mStarts[0].mRun, RunEnd::Done) }));
-    Record();
+    SaveProgress();
   }
 }
 
 TEST_F(CellSchedulerTest, AnEndThatCameAfterTheLeaseIsIgnored)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const OrderRequest orders = Orders("a");
   Started("a", orders);
   mScheduler.DetachWorker(AgentId("a"), Clock());
-  Pass(mSettings.mHold + mSettings.mLeaseMargin + milliseconds(1));
+  AdvanceClock(mSettings.mMaxTaskLease + mSettings.mLeaseMargin +
+               milliseconds(1));
   AttachAndGrant("b");
   ASSERT_EQ(Orders("b").mStarts.size(), 1U);
   Attach("a",
          State("a-life",
                {},
                { Ended(1, kFirst, orders.mStarts[0].mRun, RunEnd::Done) }));
-  Record();
-  EXPECT_TRUE(Happened("task-end-ignored"));
+  SaveProgress();
+  EXPECT_TRUE(WasLogged("task-end-ignored"));
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Running);
 }
 
@@ -267,7 +268,7 @@
   std::vector<EndedTask> ended;
   for (int number = 1; number <= 2; ++number) {
     const std::string id = "job-" + std::to_string(number);
-    AddRecorded(Graph(id, { Step(1) }));
+    AddSavedJob(Graph(id, { Step(1) }));
     const OrderRequest orders = Orders("a");
     ASSERT_FALSE(orders.mStarts.empty());
     Started("a", orders);
@@ -279,7 +280,7 @@
     }
     Report("a", State("a-life", {}, ended));
   }
-  EXPECT_TRUE(Happened("worker-avoided"));
+  EXPECT_TRUE(WasLogged("worker-avoided"));
   EXPECT_TRUE(Orders("a").mStarts.empty());
 }
 
@@ -288,11 +289,11 @@
   JobGraph graph = Graph("job", { Step(1) });
   graph.mRecurrence = { 2, mUnixMs + 500, 1000 };
   AttachAndGrant("a");
-  AddRecorded(graph);
+  AddSavedJob(graph);
   EXPECT_TRUE(Orders("a").mStarts.empty());
-  Pass(milliseconds(500));
+  AdvanceClock(milliseconds(500));
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
-  Pass(milliseconds(1000));
+  AdvanceClock(milliseconds(1000));
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
@@ -300,7 +301,7 @@
 {
   Attach("a", State("a-life", { Running({ JobId("old"), 0, 0, 0 }, 5) }));
   Grant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const OrderRequest orders = Orders("a");
   EXPECT_EQ(orders.mStops.size(), 1U);
   EXPECT_TRUE(orders.mStarts.empty());
@@ -314,14 +315,14 @@
   step.mSpeculative = true;
   AttachAndGrant("a");
   AttachAndGrant("b");
-  AddRecorded(Graph("job", { step }));
+  AddSavedJob(Graph("job", { step }));
   const OrderRequest first = Orders("a");
   ASSERT_EQ(first.mStarts.size(), 1U);
   Started("a", first);
   EXPECT_TRUE(Orders("b").mStarts.empty());
-  Pass(std::max(mSettings.mCopyAfter, kProvenLife) + milliseconds(1));
+  AdvanceClock(std::max(mSettings.mCopyAfter, kProvenUptime) + milliseconds(1));
   EXPECT_TRUE(Orders("b").mStarts.empty());
-  Pass(mSettings.mJudgeRunsEvery);
+  AdvanceClock(mSettings.mRunReviewInterval);
   Report("a", State("a-life", { Running(kFirst, first.mStarts[0].mRun) }));
   const OrderRequest copy = Orders("b");
   ASSERT_EQ(copy.mStarts.size(), 1U);
@@ -332,7 +333,7 @@
                {},
                { Ended(1, kFirst, copy.mStarts[0].mRun, RunEnd::Done) }));
   EXPECT_EQ(Orders("a").mStops.size(), 1U);
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Completed);
 }
 
@@ -340,9 +341,9 @@
 {
   AttachAndGrant("a");
   AttachAndGrant("b");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   Started("a", Orders("a"));
-  Pass(seconds(3));
+  AdvanceClock(seconds(3));
   EXPECT_TRUE(Orders("b").mStarts.empty());
 }
 
@@ -365,7 +366,7 @@
   step.mMaxPerWorker = GetParam().mMaxPerWorker;
   step.mRequiredLabel = GetParam().mLabel;
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { step }));
+  AddSavedJob(Graph("job", { step }));
   EXPECT_EQ(Orders("a").mStarts.size(), GetParam().mStarts);
 }
 
--- a/tests/cell/CopyTest.cpp
+++ b/tests/cell/CopyTest.cpp
@@ -35,7 +35,7 @@
     StepSpec step = Step(1);
     step.mSpeculative = true;
     AttachAndGrant("a");
-    AddRecorded(Graph("job", { step }));
+    AddSavedJob(Graph("job", { step }));
     if (aLivedMs < 0) {
       mRunning["a"].clear();
       ASSERT_EQ(Orders("a").mStarts.size(), 1U);
@@ -47,12 +47,13 @@
 
   void Suffer(Fate aFate)
   {
-    ReportRequest report = ReportOf("a", State(mLife, mRunning["a"]), 0);
-    Pass(mSettings.mCopyAfter + milliseconds(1));
+    ReportRequest report =
+      ReportOf("a", State(mWorkerIncarnation, mRunning["a"]), 0);
+    AdvanceClock(mSettings.mCopyAfter + milliseconds(1));
     if (aFate == Fate::Silent) {
       report.mWorkerAnswers = false;
       report.mLeaseLeft = seconds(3);
-      mScheduler.TakeReport(report, Clock());
+      mScheduler.HandleReport(report, Clock());
     } else if (aFate == Fate::Away) {
       mScheduler.DetachWorker(AgentId("a"), Clock());
     }
--- a/tests/cell/CrashCaseTest.cpp
+++ b/tests/cell/CrashCaseTest.cpp
@@ -53,7 +53,7 @@
   {
     const OrderRequest orders = Answer(StartOutcome::Started);
     for (int report = 0; report < 4; ++report) {
-      Pass(milliseconds(400));
+      AdvanceClock(milliseconds(400));
       Report("a", Runs(orders));
     }
   }
@@ -72,12 +72,12 @@
     Started("a", Take("a"));
     const OrderRequest other = Take("b");
     ASSERT_EQ(other.mStarts.size(), 1U);
-    mScheduler.TakeStartResults(AgentId("b"),
-                                other.mSession,
-                                { { other.mStarts[0].mTask,
-                                    other.mStarts[0].mRun,
-                                    StartOutcome::Unwell } },
-                                Clock());
+    mScheduler.OnStartResults(AgentId("b"),
+                              other.mSession,
+                              { { other.mStarts[0].mTask,
+                                  other.mStarts[0].mRun,
+                                  StartOutcome::Unhealthy } },
+                              Clock());
     EXPECT_EQ(Take("a").mStops.size(), 1U);
   }
 
@@ -104,7 +104,7 @@
   {
     OrderRequest orders = Take("a");
     EXPECT_EQ(orders.mStarts.size(), 1U);
-    mScheduler.TakeStartResults(
+    mScheduler.OnStartResults(
       AgentId("a"),
       orders.mSession,
       { { kFirst, orders.mStarts.at(0).mRun, aOutcome } },
@@ -137,20 +137,20 @@
   AttachAndGrant("a");
   StepSpec step = crash.mStep;
   JobGraph graph = Graph("job", { step });
-  AddRecorded(graph);
+  AddSavedJob(graph);
   if (!step.mGang) {
     mScheduler.Schedule(Clock());
   }
   (this->*crash.mBefore)();
-  Pass(milliseconds(50));
+  AdvanceClock(milliseconds(50));
   WorkerState next = State("a-next");
   next.mInfo.mService = ServiceId(mService);
   Report("a", next);
   const CrashHistory::Runs& counted =
     mScheduler.Jobs().at(kJob).Find(kFirst)->mCrashes.Crashes();
-  EXPECT_EQ(FromOne(counted.mAlone), crash.mCounts.mAlone);
+  EXPECT_EQ(FromOne(counted.mSole), crash.mCounts.mSole);
   EXPECT_EQ(FromOne(counted.mLikely), crash.mCounts.mLikely);
-  EXPECT_EQ(FromOne(counted.mBeside), crash.mCounts.mBeside);
+  EXPECT_EQ(FromOne(counted.mPossible), crash.mCounts.mPossible);
   EXPECT_EQ(FromOne(counted.mUnconfirmed), crash.mCounts.mUnconfirmed);
 }
 
@@ -182,7 +182,7 @@
                &CrashCaseTest::Start,
                { .mLikely = { 1 } } },
     CrashCase{ "Leftover",
-               Spec([](StepSpec& aStep) { aStep.mLeftover = true; }),
+               Spec([](StepSpec& aStep) { aStep.mBestEffort = true; }),
                &CrashCaseTest::Start,
                { .mLikely = { 1 } } },
     CrashCase{ "Copied",
--- a/tests/cell/CrashEvidenceTest.cpp
+++ b/tests/cell/CrashEvidenceTest.cpp
@@ -3,7 +3,7 @@
 #include "src/core/cell/CrashBlame.h"
 #include "src/core/cell/CrashHistory.h"
 #include "src/core/cell/CrashTrials.h"
-#include "src/core/cell/WorkerBook.h"
+#include "src/core/cell/WorkerStateTracker.h"
 
 namespace foxtailbarrow::cell::test {
 
@@ -20,7 +20,7 @@
 struct BlameCase
 {
   const char* mName;
-  std::vector<CrashWitness> mWitnesses;
+  std::vector<RunAtCrash> mWitnesses;
   std::vector<CrashBlame> mBlames;
 };
 
@@ -29,7 +29,7 @@
 
 TEST_P(CrashBlameTest, FallsOnTheLikeliest)
 {
-  EXPECT_EQ(JudgeCrash(GetParam().mWitnesses), GetParam().mBlames);
+  EXPECT_EQ(AssignBlame(GetParam().mWitnesses), GetParam().mBlames);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -45,10 +45,10 @@
                { Likely, Likely } },
     BlameCase{ "BesideASuspect",
                { { milliseconds(0), false }, { milliseconds(40), true } },
-               { Beside, Likely } },
+               { Possible, Likely } },
     BlameCase{ "ASuspectBesideOlderOnes",
                { { milliseconds(0), true }, { milliseconds(900), false } },
-               { Alone, Beside } },
+               { Sole, Possible } },
     BlameCase{ "TwoSuspects",
                { { milliseconds(0), true }, { milliseconds(40), true } },
                { Likely, Likely } },
@@ -57,13 +57,13 @@
                { Likely } },
     BlameCase{ "ASuspectThatIsNotFresh",
                { { milliseconds(0), false }, { milliseconds(900), true } },
-               { Likely, Beside } },
+               { Likely, Possible } },
     BlameCase{ "FreshBeforeOlder",
                { { milliseconds(400), false }, { milliseconds(900), false } },
-               { Likely, Beside } },
+               { Likely, Possible } },
     BlameCase{ "NoneFresh",
                { { milliseconds(600), false }, { milliseconds(900), true } },
-               { Beside, Beside } },
+               { Possible, Possible } },
     BlameCase{ "AllProven",
                { { seconds(2), true }, { seconds(60), false } },
                { None, None } }),
@@ -72,9 +72,9 @@
 TEST(CrashHistoryTest, ACrashCountsOnceHoweverOftenItIsTold)
 {
   CrashHistory history;
-  EXPECT_TRUE(history.NoteCrash(5, Likely));
-  EXPECT_FALSE(history.NoteCrash(5, Likely));
-  EXPECT_FALSE(history.NoteCrash(5, Beside));
+  EXPECT_TRUE(history.RecordCrash(5, Likely));
+  EXPECT_FALSE(history.RecordCrash(5, Likely));
+  EXPECT_FALSE(history.RecordCrash(5, Possible));
   EXPECT_EQ(history.Count(), 1U);
 }
 
@@ -94,7 +94,7 @@
   CrashHistory history;
   RunNumber run = 0;
   for (const CrashBlame blame : GetParam().mCrashes) {
-    history.NoteCrash(++run, blame);
+    history.RecordCrash(++run, blame);
   }
   EXPECT_EQ(history.Suspected(), GetParam().mSuspicion);
   EXPECT_EQ(history.GivenUp(), GetParam().mGivenUp);
@@ -108,24 +108,24 @@
     HistoryCase{ "OneLikely", { Likely }, Suspicion::Weak, false },
     HistoryCase{ "TwoLikely", { Likely, Likely }, Suspicion::Strong, false },
     HistoryCase{ "Three", { Likely, Likely, Likely }, Suspicion::Strong, true },
-    HistoryCase{ "OnceBeside", { Beside }, Suspicion::None, false },
-    HistoryCase{ "TwiceBeside", { Beside, Beside }, Suspicion::Unclear, false },
+    HistoryCase{ "OnceBeside", { Possible }, Suspicion::None, false },
+    HistoryCase{ "TwiceBeside",
+                 { Possible, Possible },
+                 Suspicion::Unclear,
+                 false },
     HistoryCase{ "OftenBeside",
-                 { Beside, Beside, Beside, Beside },
+                 { Possible, Possible, Possible, Possible },
                  Suspicion::Unclear,
                  false },
-    HistoryCase{ "LikelyThenAlone",
-                 { Likely, Alone },
-                 Suspicion::Strong,
-                 true },
-    HistoryCase{ "OneAlone", { Alone }, Suspicion::Strong, false },
+    HistoryCase{ "LikelyThenAlone", { Likely, Sole }, Suspicion::Strong, true },
+    HistoryCase{ "OneAlone", { Sole }, Suspicion::Strong, false },
     HistoryCase{ "BesideThenAlone",
-                 { Beside, Beside, Alone, Alone },
+                 { Possible, Possible, Sole, Sole },
                  Suspicion::Strong,
                  true },
     HistoryCase{ "OneUnconfirmed", { Unconfirmed }, Suspicion::Weak, false },
     HistoryCase{ "UnconfirmedThenAlone",
-                 { Unconfirmed, Alone },
+                 { Unconfirmed, Sole },
                  Suspicion::Strong,
                  false },
     HistoryCase{ "NeverConfirmed",
@@ -138,11 +138,11 @@
       Suspicion::Unclear,
       true },
     HistoryCase{ "FiveInAll",
-                 { Beside, Beside, Beside, Beside, Likely },
+                 { Possible, Possible, Possible, Possible, Likely },
                  Suspicion::Unclear,
                  true },
     HistoryCase{ "BesideThenLikely",
-                 { Beside, Beside, Likely, Likely },
+                 { Possible, Possible, Likely, Likely },
                  Suspicion::Strong,
                  false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
@@ -150,24 +150,24 @@
 TEST(CrashHistoryTest, ARunThatLivesDisprovesEarlierCrashes)
 {
   CrashHistory history;
-  history.NoteCrash(5, Likely);
+  history.RecordCrash(5, Likely);
   EXPECT_TRUE(history.Clear(6));
   EXPECT_FALSE(history.Suspect());
-  EXPECT_FALSE(history.NoteCrash(5, Likely)); // Told again.
-  EXPECT_TRUE(history.NoteCrash(7, Likely));
+  EXPECT_FALSE(history.RecordCrash(5, Likely)); // Told again.
+  EXPECT_TRUE(history.RecordCrash(7, Likely));
   EXPECT_FALSE(CrashHistory().Clear(6));
 }
 
 TEST(CrashHistoryTest, ALossThatIsNotExplainedHoldsTheLastStart)
 {
   CrashHistory history;
-  history.NoteUnexplained(1, kNow);
+  history.RecordUnexplainedLoss(1, kNow);
   EXPECT_TRUE(history.MayStart(kNow));
-  history.NoteCrash(1, Likely);
-  history.NoteUnexplained(2, kNow);
+  history.RecordCrash(1, Likely);
+  history.RecordUnexplainedLoss(2, kNow);
   EXPECT_FALSE(history.MayStart(kNow));
-  EXPECT_TRUE(history.MayStart(kNow + CrashHistory::kUnexplainedFor));
-  history.Explain(2);
+  EXPECT_TRUE(history.MayStart(kNow + CrashHistory::kUnexplainedTimeout));
+  history.ClearUnexplainedLoss(2);
   EXPECT_TRUE(history.MayStart(kNow));
 }
 
@@ -258,7 +258,7 @@
   EXPECT_FALSE(trials.MayBegin(next, kWorkers, kNow));
   EXPECT_TRUE(trials.MayBegin(other, kWorkers, kNow));
   // What does not ask any more holds nothing back.
-  EXPECT_TRUE(trials.MayBegin(next, kWorkers, kNow + CrashTrials::kTurn));
+  EXPECT_TRUE(trials.MayBegin(next, kWorkers, kNow + CrashTrials::kTurnTime));
 }
 
 TEST(CrashTrials, SuspectsAreNeverTwoOnAWorker)
@@ -267,7 +267,7 @@
   trials.Begin(AgentId("weak"), Suspect(0, Suspicion::Weak));
   trials.Begin(AgentId("strong"), Suspect(1, Suspicion::Strong));
   const auto takes = [&trials](const char* aAgent, Suspicion aSuspicion) {
-    return trials.Takes(
+    return trials.AllowsStart(
       AgentId(aAgent), { JobId("any"), 0, 0, 0 }, aSuspicion, {});
   };
   EXPECT_TRUE(takes("weak", Suspicion::None));
@@ -284,19 +284,19 @@
   const TaskRef other{ JobId("other"), 0, 0, 0 };
   const AgentId agent("a");
   const Instant begin{ std::chrono::seconds(100) };
-  const Instant end = begin + CrashTrials::kReservedFor;
+  const Instant end = begin + CrashTrials::kReservationTime;
   CrashTrials trials;
   EXPECT_TRUE(trials.Reserve(agent, suspect, 8, begin));
   EXPECT_FALSE(trials.Reserve(AgentId("b"), suspect, 8, begin));
   EXPECT_FALSE(trials.Reserve(agent, other, 8, begin));
-  EXPECT_TRUE(trials.Takes(agent, suspect, Suspicion::Strong, begin));
-  EXPECT_FALSE(trials.Takes(agent, other, Suspicion::Strong, begin));
-  EXPECT_FALSE(trials.Takes(agent, other, Suspicion::None, begin));
-  EXPECT_TRUE(trials.Takes(agent, other, Suspicion::None, end));
+  EXPECT_TRUE(trials.AllowsStart(agent, suspect, Suspicion::Strong, begin));
+  EXPECT_FALSE(trials.AllowsStart(agent, other, Suspicion::Strong, begin));
+  EXPECT_FALSE(trials.AllowsStart(agent, other, Suspicion::None, begin));
+  EXPECT_TRUE(trials.AllowsStart(agent, other, Suspicion::None, end));
   EXPECT_TRUE(trials.Reserve(AgentId("b"), suspect, 8, end));
   trials.Begin(AgentId("c"),
                { { suspect, 1 }, QueueId("queue"), Suspicion::Strong });
-  EXPECT_TRUE(trials.Takes(AgentId("b"), other, Suspicion::None, end));
+  EXPECT_TRUE(trials.AllowsStart(AgentId("b"), other, Suspicion::None, end));
 }
 
 TEST(CrashTrials, NoMoreIsReservedThanMayBeOnTrial)
@@ -311,44 +311,44 @@
   EXPECT_EQ(reserved, 2U); // An eighth.
 }
 
-TEST(WorkerBookTest, ACrashNamesWhatMayHaveCausedIt)
+TEST(WorkerStateTrackerTest, ACrashNamesWhatMayHaveCausedIt)
 {
-  WorkerBook book;
-  book.TakeStart(kFirst, 1, kNow);
-  book.NoteSent(kSecond, 2);
+  WorkerStateTracker book;
+  book.OnStarted(kFirst, 1, kNow);
+  book.OnSent(kSecond, 2);
   const TaskRef third{ JobId("job"), 0, 0, 2 };
-  book.NoteSent(third, 3);
-  book.NoteNotStarted(third, 3);
+  book.OnSent(third, 3);
+  book.OnNotStarted(third, 3);
   const CrashedWorker crash = book.CrashAfter(kNow + milliseconds(40));
   const std::vector<CrashedRun> expected = {
     { kSecond, 2, Duration::zero(), false },
     { kFirst, 1, milliseconds(40), true }
   };
   EXPECT_EQ(crash.mRuns, expected);
-  EXPECT_EQ(book.CrashAfter(kNow + kProvenLife).mRuns.size(), 1U);
+  EXPECT_EQ(book.CrashAfter(kNow + kProvenUptime).mRuns.size(), 1U);
 }
 
-TEST(WorkerBookTest, ARunHasNotLivedWhileTheLookThatShowsItWaited)
+TEST(WorkerStateTrackerTest, ARunHasNotLivedWhileTheLookThatShowsItWaited)
 {
-  WorkerBook book;
-  book.NoteSent(kFirst, 1);
-  LookReply look;
+  WorkerStateTracker book;
+  book.OnSent(kFirst, 1);
+  PollReply look;
   look.mRunning.emplace_back().mTask = kFirst;
   look.mRunning.back().mRun = 1;
   const Instant answered = kNow + milliseconds(400);
-  book.TakeLook(look, kNow, answered);
-  book.NoteAllSettled();
+  book.OnPoll(look, kNow, answered);
+  book.OnAllSettled();
   const std::vector<CrashedRun> expected = { { kFirst, 1, {}, true } };
   EXPECT_EQ(book.CrashAfter(answered).mRuns, expected);
 }
 
-TEST(WorkerBookTest, WhatHasEndedDidNotCrashTheWorker)
+TEST(WorkerStateTrackerTest, WhatHasEndedDidNotCrashTheWorker)
 {
-  WorkerBook book;
-  book.TakeStart(kFirst, 1, kNow);
-  LookReply look;
+  WorkerStateTracker book;
+  book.OnStarted(kFirst, 1, kNow);
+  PollReply look;
   look.mEnded.push_back({ 1, kFirst, 1, RunEnd::Done, {} });
-  book.TakeLook(look, kNow + milliseconds(4), kNow + milliseconds(5));
+  book.OnPoll(look, kNow + milliseconds(4), kNow + milliseconds(5));
   EXPECT_TRUE(book.CrashAfter(kNow + milliseconds(10)).mRuns.empty());
 }
 
--- a/tests/cell/CrashFixture.h
+++ b/tests/cell/CrashFixture.h
@@ -26,10 +26,10 @@
       mRunning[aAgent].push_back(Running(start.mTask, start.mRun));
     }
     for (int passed = 0; passed < aMs; passed += kReportMs) {
-      Pass(milliseconds(kReportMs));
+      AdvanceClock(milliseconds(kReportMs));
       Grant("a");
       Grant("b");
-      Report(aAgent, State(mLife, mRunning[aAgent]));
+      Report(aAgent, State(mWorkerIncarnation, mRunning[aAgent]));
     }
     return orders;
   }
@@ -37,15 +37,15 @@
   void Crash(const std::string& aAgent, const std::string& aNext)
   {
     mRunning[aAgent].clear();
-    Pass(milliseconds(kReportMs));
+    AdvanceClock(milliseconds(kReportMs));
     Report(aAgent, State(aNext));
-    Record();
+    SaveProgress();
   }
 
   /// All processes die at once, and the next owner places what is open.
   void TakeOverAfterPowerLoss(const WorkerState& aFound = State("a-next"))
   {
-    Record();
+    SaveProgress();
     const JobEntry& job = mScheduler.Jobs().at(kFirst.mJob);
     const StoredJob stored = job.mStored;
     const StoredProgress progress = ProgressOf(job);
@@ -69,7 +69,8 @@
 
   Generation mOwner = kGeneration;
   std::map<std::string, std::vector<RunningTask>> mRunning;
-  std::string mLife = "a-life"; ///< Incarnation of the worker that runs.
+  std::string mWorkerIncarnation =
+    "a-life"; ///< Incarnation of the worker that runs.
 };
 
 } // namespace foxtailbarrow::cell::test
--- a/tests/cell/CrashRecordTest.cpp
+++ b/tests/cell/CrashRecordTest.cpp
@@ -26,7 +26,7 @@
   constexpr int kLastMs = 5000;
   AttachAndGrant("a");
   AttachAndGrant("b");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   OrderRequest first = Orders("a");
   std::string agent = "a";
   if (first.mStarts.empty()) {
@@ -35,14 +35,14 @@
   }
   Started(agent, first);
   ASSERT_EQ(first.mStarts.size(), 1U);
-  Pass(milliseconds(kRoundMs));
+  AdvanceClock(milliseconds(kRoundMs));
   Report(agent, State("next-life"));
   int startedMs = -1;
   for (int ms = 0; ms <= kLastMs && startedMs < 0; ms += kRoundMs) {
     Grant("a");
     Grant("b");
     if (ms == GetParam().mRecordedMs) {
-      Record();
+      SaveProgress();
     }
     mScheduler.Schedule(Clock());
     for (const char* name : { "a", "b" }) {
@@ -50,7 +50,7 @@
         startedMs = ms;
       }
     }
-    Pass(milliseconds(kRoundMs));
+    AdvanceClock(milliseconds(kRoundMs));
   }
   EXPECT_EQ(startedMs, GetParam().mStartedMs);
 }
--- a/tests/cell/CrashedWorkerTest.cpp
+++ b/tests/cell/CrashedWorkerTest.cpp
@@ -11,7 +11,7 @@
 TEST_F(CrashedWorkerTest, WhatHadLivedIsNotSuspected)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   RunFor("a", 3000);
   Crash("a", "next");
   EXPECT_TRUE(Crashes(kFirst).Empty());
@@ -21,9 +21,9 @@
 TEST_F(CrashedWorkerTest, OnlyWhatHadJustStartedIsSuspected)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("old", { Step(1) }));
+  AddSavedJob(Graph("old", { Step(1) }));
   RunFor("a", 3000);
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   RunFor("a", 0);
   Crash("a", "next");
   EXPECT_TRUE(Crashes(kFirst).Suspect());
@@ -33,7 +33,7 @@
 TEST_F(CrashedWorkerTest, AWorkerThatSaidThatItLeavesHasNotCrashed)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   RunFor("a", 0);
   WorkerState draining = State("a-life", mRunning["a"]);
   draining.mInfo.mDraining = true;
@@ -45,7 +45,7 @@
 TEST_F(CrashedWorkerTest, AStartThatWasNotSentIsNotSuspected)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   mScheduler.Schedule(Clock());
   Crash("a", "next");
   EXPECT_TRUE(Crashes(kFirst).Empty());
@@ -58,11 +58,12 @@
   StepSpec standing = Step(1);
   standing.mStanding = true;
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { standing }));
+  AddSavedJob(Graph("job", { standing }));
   for (int life = 0; life < 4; ++life) {
     RunFor("a", 1000);
     Crash("a", "a-life" + std::string(static_cast<std::size_t>(life) + 1, '+'));
-    mLife = "a-life" + std::string(static_cast<std::size_t>(life) + 1, '+');
+    mWorkerIncarnation =
+      "a-life" + std::string(static_cast<std::size_t>(life) + 1, '+');
   }
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Running);
 }
@@ -71,7 +72,7 @@
 TEST_F(CrashedWorkerTest, StartsWithoutAnAnswerDoNotFailTheJob)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   for (int life = 0; life < 4; ++life) {
     ASSERT_EQ(Orders("a").mStarts.size(), 1U);
     Crash("a", "life" + std::to_string(life));
@@ -83,7 +84,7 @@
 TEST_F(CrashedWorkerTest, ATaskThatEndsDoneIsCleared)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(2) }));
+  AddSavedJob(Graph("job", { Step(2) }));
   RunFor("a", 0);
   Crash("a", "next");
   EXPECT_EQ(mScheduler.Jobs().at(JobId("job")).mSuspects.size(), 2U);
@@ -94,7 +95,7 @@
          State("next",
                {},
                { Ended(1, kFirst, trial.mStarts[0].mRun, RunEnd::Done) }));
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.Jobs().at(JobId("job")).mSuspects.size(), 1U);
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
@@ -104,7 +105,7 @@
   StepSpec standing = Step(1);
   standing.mStanding = true;
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { standing }));
+  AddSavedJob(Graph("job", { standing }));
   RunFor("a", 0);
   Crash("a", "a-life"); // Its incarnation is the same: no crash.
   EXPECT_TRUE(Crashes(kFirst).Empty());
@@ -114,12 +115,12 @@
   const OrderRequest trial = Orders("a");
   Started("a", trial);
   for (int tick = 0; tick < 6; ++tick) {
-    Pass(milliseconds(kReportMs));
+    AdvanceClock(milliseconds(kReportMs));
     Grant("a");
     Report("a", State("second", { Running(kFirst, trial.mStarts[0].mRun) }));
   }
   EXPECT_FALSE(Crashes(kFirst).Suspect());
-  EXPECT_TRUE(Happened("task-cleared"));
+  EXPECT_TRUE(WasLogged("task-cleared"));
 }
 
 TEST_F(CrashedWorkerTest, ANextOwnerCountsWhatTheAgentRemembers)
@@ -134,7 +135,7 @@
   Attach("a", state);
   Grant("a");
   EXPECT_TRUE(Orders("a").mStarts.empty());
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Failed);
 }
 
@@ -145,7 +146,7 @@
 {
   StoredProgress progress;
   progress.mSteps.push_back(
-    { 0, 0, "", {}, {}, { Stored(0, { .mBeside = { 1 } }) } });
+    { 0, 0, "", {}, {}, { Stored(0, { .mPossible = { 1 } }) } });
   AddInherited(Graph("job", { Step(1) }), progress);
   AttachAndGrant("a");
   RunFor("a", 0);
@@ -161,7 +162,7 @@
 {
   StoredProgress progress;
   progress.mSteps.push_back(
-    { 0, 0, "", {}, {}, { Stored(0, { .mBeside = { 1 } }) } });
+    { 0, 0, "", {}, {}, { Stored(0, { .mPossible = { 1 } }) } });
   AddInherited(Graph("job", { Step(1) }), progress);
   AttachAndGrant("a");
   const OrderRequest orders = RunFor("a", 0);
@@ -174,12 +175,12 @@
 TEST_F(CrashedWorkerTest, ASilentWorkerThatIsThereAgainHasNotCrashed)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   RunFor("a", 0);
   mScheduler.DetachWorker(AgentId("a"), Clock());
-  Pass(seconds(5));
+  AdvanceClock(seconds(5));
   mScheduler.Schedule(Clock());
-  EXPECT_TRUE(Happened("task-lost"));
+  EXPECT_TRUE(WasLogged("task-lost"));
   Attach("a", State("a-life"));
   EXPECT_TRUE(Crashes(kFirst).Empty());
   EXPECT_TRUE(Crashes(kFirst).MayStart(mNow));
--- a/tests/cell/CrashingTaskTest.cpp
+++ b/tests/cell/CrashingTaskTest.cpp
@@ -49,7 +49,7 @@
   {
     for (const std::string& agent : kAgents) {
       AttachAndGrant(agent);
-      mLife[agent] = agent + "-life";
+      mWorkerIncarnation[agent] = agent + "-life";
     }
   }
 
@@ -73,33 +73,34 @@
   /// The worker is gone 10 ms after the start and back 3 s later.
   void Crash(const std::string& aAgent)
   {
-    const WorkerState before = State(mLife[aAgent], { Running(kFirst, mRun) });
-    mLife[aAgent] += "'";
+    const WorkerState before =
+      State(mWorkerIncarnation[aAgent], { Running(kFirst, mRun) });
+    mWorkerIncarnation[aAgent] += "'";
     switch (GetParam().mHeardBy) {
       case HeardBy::Attachment:
         PassAndGrant(seconds(3));
-        Attach(aAgent, State(mLife[aAgent]));
+        Attach(aAgent, State(mWorkerIncarnation[aAgent]));
         break;
       case HeardBy::Report:
         PassAndGrant(seconds(3));
-        Report(aAgent, State(mLife[aAgent]));
+        Report(aAgent, State(mWorkerIncarnation[aAgent]));
         break;
       case HeardBy::LateReport:
         ReportSilent(aAgent, before);
-        Report(aAgent, State(mLife[aAgent]));
+        Report(aAgent, State(mWorkerIncarnation[aAgent]));
         break;
       case HeardBy::AnotherOwner:
         PassAndGrant(seconds(3));
-        Attach(aAgent, State(mLife[aAgent]));
+        Attach(aAgent, State(mWorkerIncarnation[aAgent]));
         TakeOver();
         break;
     }
-    Record();
+    SaveProgress();
   }
 
   void PassAndGrant(Duration aTime)
   {
-    Pass(aTime);
+    AdvanceClock(aTime);
     for (const std::string& agent : kAgents) {
       Grant(agent);
     }
@@ -120,14 +121,14 @@
       report.mWorkerAnswers = false;
       report.mAnsweredAt =
         (mNow - milliseconds(460) * (tick + 1)).time_since_epoch();
-      mScheduler.TakeReport(report, Clock());
+      mScheduler.HandleReport(report, Clock());
     }
   }
 
   /// A next owner, which has what was recorded and attaches all agents.
   void TakeOver()
   {
-    Record();
+    SaveProgress();
     const JobEntry& job = mScheduler.Jobs().at(kJob);
     const StoredJob stored = job.mStored;
     const StoredProgress progress = ProgressOf(job);
@@ -135,31 +136,31 @@
     mScheduler.SetQueues({ Policy() });
     mScheduler.AddJob(stored, progress, ++mRevision, Clock());
     for (const std::string& agent : kAgents) {
-      Attach(agent, State(mLife[agent]));
+      Attach(agent, State(mWorkerIncarnation[agent]));
       Grant(agent);
     }
   }
 
-  std::map<std::string, std::string> mLife; ///< Incarnations.
-  RunNumber mRun = 0;                       ///< Of the newest start.
+  std::map<std::string, std::string> mWorkerIncarnation; ///< Incarnations.
+  RunNumber mRun = 0; ///< Of the newest start.
   Generation mOwner = kGeneration;
 };
 
 TEST_P(CrashingTaskTest, IsGivenUpAfterThreeWorkersCrashedUnderIt)
 {
-  AddRecorded(Graph(kJob.Value(), { GetParam().mStep() }));
+  AddSavedJob(Graph(kJob.Value(), { GetParam().mStep() }));
   int starts = 0;
   for (int round = 0; round < kManyRounds; ++round) {
     PassAndGrant(milliseconds(50));
     if (const auto agent = Started()) {
       ++starts;
-      Pass(milliseconds(10));
+      AdvanceClock(milliseconds(10));
       Crash(*agent);
     }
   }
   EXPECT_LE(starts, kMostStarts);
   EXPECT_GE(starts, kLeastStarts);
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(kJob), JobPhase::Failed);
 }
 
@@ -189,7 +190,7 @@
 StepSpec LeftoverStep()
 {
   StepSpec step = ShortStep();
-  step.mLeftover = true;
+  step.mBestEffort = true;
   step.mCheckpoints = true;
   return step;
 }
--- a/tests/cell/EndedWorkerTest.cpp
+++ b/tests/cell/EndedWorkerTest.cpp
@@ -13,21 +13,21 @@
   void SetUp() override
   {
     AttachAndGrant("a");
-    AddRecorded(Graph("job", { Step(1) }));
+    AddSavedJob(Graph("job", { Step(1) }));
     mRun = RunFor("a", 0).mStarts.at(0).mRun;
     AttachAndGrant("b");
   }
 
   void ReportEnded(WorkerState aState = State("a-life"))
   {
-    Pass(milliseconds(kReportMs));
+    AdvanceClock(milliseconds(kReportMs));
     Grant("b");
     ReportRequest report = ReportOf("a", aState);
     report.mWorkerAnswers = false;
     report.mWorkerEnded = true;
     report.mAnsweredAt = (mNow - milliseconds(kReportMs)).time_since_epoch();
-    mScheduler.TakeReport(report, Clock());
-    Record();
+    mScheduler.HandleReport(report, Clock());
+    SaveProgress();
   }
 
   RunNumber mRun = 0;
@@ -35,7 +35,7 @@
 
 TEST_F(EndedWorkerTest, WhatHadLivedStartsElsewhereAtOnce)
 {
-  Pass(kProvenLife);
+  AdvanceClock(kProvenUptime);
   Grant("a");
   Report("a", State("a-life", mRunning["a"]));
   ReportEnded();
@@ -51,7 +51,7 @@
 {
   ReportEnded();
   EXPECT_TRUE(Orders("b").mStarts.empty());
-  Pass(mSettings.mSuspectPause - milliseconds(kReportMs));
+  AdvanceClock(mSettings.mSuspectPause - milliseconds(kReportMs));
   WorkerState told = State("a-life");
   told.mCrashes = { { { { kFirst, mRun, {}, true } } } };
   ReportEnded(told); // The same crash again: it waits no longer.
@@ -94,7 +94,7 @@
 TEST_F(EndedWorkerTest, WhatItStillRunsIsStopped)
 {
   ReportEnded();
-  Pass(mSettings.mSuspectPause);
+  AdvanceClock(mSettings.mSuspectPause);
   Grant("b");
   ASSERT_EQ(Orders("b").mStarts.size(), 1U);
   Report("a", State("a-life", { Running(kFirst, mRun) }));
--- a/tests/cell/ForgottenStartTest.cpp
+++ b/tests/cell/ForgottenStartTest.cpp
@@ -27,17 +27,17 @@
 {
   const ForgottenStartCase& start = GetParam();
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(2) }));
+  AddSavedJob(Graph("job", { Step(2) }));
   const OrderRequest orders = RunFor("a", start.mLivedMs);
   ASSERT_EQ(orders.mStarts.size(), 2U);
   const RunNumber run = orders.mStarts[0].mRun;
   if (start.mEnd) {
     Report("a",
-           State(mLife,
+           State(mWorkerIncarnation,
                  { Running(orders.mStarts[1].mTask, run) },
                  { Ended(1, kFirst, run, *start.mEnd) }));
   }
-  const WorkerState found = State(mLife, { Running(kFirst, run) });
+  const WorkerState found = State(mWorkerIncarnation, { Running(kFirst, run) });
   TakeOverAfterPowerLoss(start.mFound ? found : State("a-next"));
   EXPECT_EQ(Crashes(kFirst).Count(), start.mCounted);
   EXPECT_FALSE(Crashes(kFirst).Suspect());
@@ -65,13 +65,13 @@
   constexpr int kMostStarts = 5;
   constexpr int kOwners = 12;
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   mScheduler.Schedule(Clock());
   int starts = 0;
   for (int owner = 0; owner < kOwners; ++owner) {
     starts += mScheduler.TakeOrders(AgentId("a")).mStarts.empty() ? 0 : 1;
     TakeOverAfterPowerLoss(State("a-next" + std::to_string(owner)));
-    Record();
+    SaveProgress();
     Grant("a");
     mScheduler.Schedule(Clock());
   }
@@ -82,11 +82,11 @@
 TEST_F(ForgottenStarts, AStartThatWasNotSentIsNotAnnounced)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   mScheduler.Schedule(Clock());
-  EXPECT_FALSE(mScheduler.HasUnrecorded());
+  EXPECT_FALSE(mScheduler.HasUnsavedJobs());
   EXPECT_EQ(mScheduler.TakeOrders(AgentId("a")).mStarts.size(), 1U);
-  EXPECT_TRUE(mScheduler.HasUnrecorded());
+  EXPECT_TRUE(mScheduler.HasUnsavedJobs());
 }
 
 } // namespace
--- a/tests/cell/GangTest.cpp
+++ b/tests/cell/GangTest.cpp
@@ -15,7 +15,7 @@
   StepSpec gang = Step(3, 4000);
   gang.mGang = true;
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { gang }));
+  AddSavedJob(Graph("job", { gang }));
   EXPECT_TRUE(Orders("a").mStarts.empty()); // Two of three would fit.
   AttachAndGrant("b");
   mScheduler.Schedule(Clock());
@@ -31,18 +31,18 @@
   gang.mGang = true;
   AttachAndGrant("a");
   AttachAndGrant("b");
-  AddRecorded(Graph("job", { gang }));
+  AddSavedJob(Graph("job", { gang }));
   const OrderRequest first = Orders("a");
   const OrderRequest second = mScheduler.TakeOrders(AgentId("b"));
   ASSERT_EQ(first.mStarts.size(), 1U);
   ASSERT_EQ(second.mStarts.size(), 1U);
   Started("a", first);
-  mScheduler.TakeStartResults(AgentId("b"),
-                              second.mSession,
-                              { { second.mStarts[0].mTask,
-                                  second.mStarts[0].mRun,
-                                  StartOutcome::Unwell } },
-                              Clock());
+  mScheduler.OnStartResults(AgentId("b"),
+                            second.mSession,
+                            { { second.mStarts[0].mTask,
+                                second.mStarts[0].mRun,
+                                StartOutcome::Unhealthy } },
+                            Clock());
   EXPECT_EQ(Orders("a").mStops.size(), 1U);
 }
 
--- a/tests/cell/HeartbeatOrderTest.cpp
+++ b/tests/cell/HeartbeatOrderTest.cpp
@@ -15,7 +15,7 @@
   const char* mIncarnation;
   std::int64_t mSequence;
   bool mGone; ///< "x" has said that it leaves.
-  HeartbeatUse mUse;
+  HeartbeatDecision mUse;
 };
 
 class HeartbeatOrderTest : public testing::TestWithParam<HeartbeatCase>
@@ -24,12 +24,12 @@
 TEST_P(HeartbeatOrderTest, JudgesAfterAnother)
 {
   HeartbeatOrder order;
-  order.NoteTaken(WorkerIncarnation("x"), 5);
+  order.OnAccepted(WorkerIncarnation("x"), 5);
   if (GetParam().mGone) {
-    EXPECT_TRUE(order.NoteGone(WorkerIncarnation("x")));
+    EXPECT_TRUE(order.OnWorkerLeft(WorkerIncarnation("x")));
   }
-  EXPECT_EQ(order.Judge(WorkerIncarnation(GetParam().mIncarnation),
-                        GetParam().mSequence),
+  EXPECT_EQ(order.Classify(WorkerIncarnation(GetParam().mIncarnation),
+                           GetParam().mSequence),
             GetParam().mUse);
 }
 
@@ -37,28 +37,45 @@
   Table,
   HeartbeatOrderTest,
   testing::Values(
-    HeartbeatCase{ "Next", "x", 6, false, HeartbeatUse::Take },
-    HeartbeatCase{ "AfterManyLost", "x", 1'000'005, false, HeartbeatUse::Take },
-    HeartbeatCase{ "FarBeyond", "x", 1'000'006, false, HeartbeatUse::Foreign },
-    HeartbeatCase{ "Again", "x", 5, false, HeartbeatUse::Ignore },
-    HeartbeatCase{ "Overtaken", "x", 4, false, HeartbeatUse::Ignore },
-    HeartbeatCase{ "LateAfterLeaving", "x", 6, true, HeartbeatUse::Ignore },
-    HeartbeatCase{ "Other", "y", 1, false, HeartbeatUse::Confirm },
-    HeartbeatCase{ "OtherAfterLeaving", "y", 1, true, HeartbeatUse::Confirm }),
+    HeartbeatCase{ "Next", "x", 6, false, HeartbeatDecision::Accept },
+    HeartbeatCase{ "AfterManyLost",
+                   "x",
+                   1'000'005,
+                   false,
+                   HeartbeatDecision::Accept },
+    HeartbeatCase{ "FarBeyond",
+                   "x",
+                   1'000'006,
+                   false,
+                   HeartbeatDecision::Foreign },
+    HeartbeatCase{ "Again", "x", 5, false, HeartbeatDecision::Ignore },
+    HeartbeatCase{ "Overtaken", "x", 4, false, HeartbeatDecision::Ignore },
+    HeartbeatCase{ "LateAfterLeaving",
+                   "x",
+                   6,
+                   true,
+                   HeartbeatDecision::Ignore },
+    HeartbeatCase{ "Other", "y", 1, false, HeartbeatDecision::Confirm },
+    HeartbeatCase{ "OtherAfterLeaving",
+                   "y",
+                   1,
+                   true,
+                   HeartbeatDecision::Confirm }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 TEST(HeartbeatOrderStart, TheFirstIsTaken)
 {
-  EXPECT_EQ(HeartbeatOrder().Judge(WorkerIncarnation("x"), 9),
-            HeartbeatUse::Take);
+  EXPECT_EQ(HeartbeatOrder().Classify(WorkerIncarnation("x"), 9),
+            HeartbeatDecision::Accept);
 }
 
 TEST(HeartbeatOrderStart, OnlyTheCurrentIncarnationLeaves)
 {
   HeartbeatOrder order;
-  order.NoteTaken(WorkerIncarnation("y"), 1);
-  EXPECT_FALSE(order.NoteGone(WorkerIncarnation("x")));
-  EXPECT_EQ(order.Judge(WorkerIncarnation("y"), 2), HeartbeatUse::Take);
+  order.OnAccepted(WorkerIncarnation("y"), 1);
+  EXPECT_FALSE(order.OnWorkerLeft(WorkerIncarnation("x")));
+  EXPECT_EQ(order.Classify(WorkerIncarnation("y"), 2),
+            HeartbeatDecision::Accept);
 }
 
 } // namespace
--- a/tests/cell/InterferenceTest.cpp
+++ b/tests/cell/InterferenceEstimatorTest.cpp
@@ -5,7 +5,7 @@
 
 #include <gtest/gtest.h>
 
-#include "src/core/cell/Interference.h"
+#include "src/core/cell/InterferenceEstimator.h"
 
 namespace foxtailbarrow::cell::test {
 
@@ -20,13 +20,13 @@
          aLook * std::chrono::milliseconds(500);
 }
 
-TEST(Interference, TellsHeavyPairsFromLightOnes)
+TEST(InterferenceEstimator, TellsHeavyPairsFromLightOnes)
 {
   constexpr double kHeavy = 0.12;
   std::mt19937 random(1);
   std::normal_distribution<double> noise(0.0, 0.5);
   std::uniform_int_distribution<int> cores(0, 14);
-  Interference interference;
+  InterferenceEstimator interference;
   for (int look = 0; look < 400; ++look) {
     const ImageLoad beside[] = { { "heavy", 1.0 * cores(random) },
                                  { "light", 1.0 * cores(random) } };
@@ -41,18 +41,18 @@
   EXPECT_LT(interference.PerCore("service", "light"), 0.03);
 }
 
-TEST(Interference, TakesAnUnknownPairForAverage)
+TEST(InterferenceEstimator, TakesAnUnknownPairForAverage)
 {
-  const Interference interference;
+  const InterferenceEstimator interference;
   EXPECT_EQ(interference.PerCore("service", "new"),
             InterferenceSettings().mPriorPerCore);
   EXPECT_GT(interference.Budget(kJob, "service", 0.8, At(0)), 0);
 }
 
-TEST(Interference, KeepsOnlyWhatItIsSureOf)
+TEST(InterferenceEstimator, KeepsOnlyWhatItIsSureOf)
 {
   constexpr std::size_t kAll = 10;
-  Interference interference;
+  InterferenceEstimator interference;
   const ImageLoad often[] = { { "often", 10.0 } };
   const ImageLoad once[] = { { "once", 1.0 } };
   for (int look = 0; look < 100; ++look) {
@@ -62,9 +62,9 @@
   interference.Observe(kJob, "service", 0.0, once, At(100));
   const LearnedInterference learned = interference.WellKnown(kAll);
   ASSERT_EQ(learned.mPairs.size(), 1U);
-  EXPECT_EQ(learned.mPairs[0].mLeftover, "often");
+  EXPECT_EQ(learned.mPairs[0].mBestEffort, "often");
 
-  Interference next;
+  InterferenceEstimator next;
   next.Adopt(learned);
   EXPECT_EQ(next.PerCore("service", "often"),
             interference.PerCore("service", "often"));
@@ -84,14 +84,14 @@
          kReach * std::sin(2 * std::numbers::pi * aLook / kLooksAPeriod);
 }
 
-TEST(Interference, FollowsTheLoadThatTheTasksOfAJobShare)
+TEST(InterferenceEstimator, FollowsTheLoadThatTheTasksOfAJobShare)
 {
   constexpr double kShare = 0.8;
   constexpr int kWorkers = 7;
   constexpr double kBound = 0.25; // Half the wave's reach.
   std::mt19937 random(1);
   std::normal_distribution<double> noise(0.0, 0.08);
-  Interference interference;
+  InterferenceEstimator interference;
   for (int look = 0; look < 200; ++look) {
     for (int worker = 0; worker < kWorkers; ++worker) {
       interference.Observe(
@@ -109,12 +109,12 @@
   }
 }
 
-TEST(Interference, DoesNotTakeASwingForPressure)
+TEST(InterferenceEstimator, DoesNotTakeASwingForPressure)
 {
   std::mt19937 random(1);
   std::normal_distribution<double> noise(0.0, 0.08);
   std::bernoulli_distribution beside(0.5);
-  Interference interference;
+  InterferenceEstimator interference;
   for (int look = 0; look < 100; ++look) {
     for (int worker = 0; worker < 3; ++worker) {
       const ImageLoad harmless[] = { { "harmless",
@@ -126,9 +126,9 @@
   EXPECT_LT(interference.PerCore("service", "harmless"), 0.005);
 }
 
-TEST(Interference, AJobThatWasNotSeenMayBeAtTheTopOfItsSwing)
+TEST(InterferenceEstimator, AJobThatWasNotSeenMayBeAtTheTopOfItsSwing)
 {
-  Interference interference;
+  InterferenceEstimator interference;
   for (int look = 0; look < 10; ++look) {
     interference.Observe(kJob, "service", std::log(0.45), {}, At(look));
   }
@@ -137,9 +137,9 @@
             interference.Budget(kJob, "service", 0.8, At(10)) - 0.2);
 }
 
-TEST(Interference, OneOutlierDoesNotDecide)
+TEST(InterferenceEstimator, OneOutlierDoesNotDecide)
 {
-  Interference interference;
+  InterferenceEstimator interference;
   const ImageLoad beside[] = { { "image", 7.0 } };
   interference.Observe(kJob, "service", std::log(100.0), beside, At(0));
   EXPECT_LT(interference.PerCore("service", "image"), 0.12);
--- a/tests/cell/JobForwardTest.cpp
+++ b/tests/cell/JobForwardTest.cpp
@@ -25,7 +25,7 @@
   ASSERT_TRUE(reply.ok()) << reply.status();
   const JobAnswer answer = FromForwarded(*reply);
   EXPECT_EQ(answer.index(), GetParam().mAnswer.index());
-  EXPECT_EQ(WorthForwarding(answer), GetParam().mWorthForwarding);
+  EXPECT_EQ(ShouldForward(answer), GetParam().mWorthForwarding);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -37,9 +37,10 @@
     AnswerCase{ "Cancelled", JobCancelled{} },
     AnswerCase{ "Counted", WaitingCounted{ 4 } },
     AnswerCase{ "NoSuchJob", NoSuchJob{} },
-    AnswerCase{ "NotRun",
-                JobRefused{ RefusalCause::StoreAway, Verdict::NotRun, "away" },
-                true },
+    AnswerCase{
+      "NotRun",
+      JobRefused{ RefusalCause::StoreUnavailable, Verdict::NotRun, "away" },
+      true },
     // What may have been done must not be asked of another one: the answer of
     // the first stands.
     AnswerCase{
--- a/tests/cell/LateReportTest.cpp
+++ b/tests/cell/LateReportTest.cpp
@@ -19,7 +19,7 @@
   void SetUp() override
   {
     AttachAndGrant("a");
-    AddRecorded(Graph("job", { Step(1) }));
+    AddSavedJob(Graph("job", { Step(1) }));
   }
 
   /// The agent tells what runs at once after its start; the owner hears of it
@@ -27,11 +27,12 @@
   void StartAndReportLate()
   {
     RunFor("a", 0);
-    Pass(milliseconds(100));
-    const ReportRequest report = ReportOf("a", State(mLife, mRunning["a"]));
-    Pass(kHeldUp);
+    AdvanceClock(milliseconds(100));
+    const ReportRequest report =
+      ReportOf("a", State(mWorkerIncarnation, mRunning["a"]));
+    AdvanceClock(kHeldUp);
     Grant("a");
-    mScheduler.TakeReport(report, Clock());
+    mScheduler.HandleReport(report, Clock());
   }
 };
 
@@ -39,7 +40,7 @@
 {
   RunFor("a", 0);
   Crash("a", "a-second-life");
-  mLife = "a-second-life";
+  mWorkerIncarnation = "a-second-life";
   ASSERT_EQ(Crashes(kFirst).Count(), 1U);
   Grant("a");
   StartAndReportLate();
@@ -52,14 +53,14 @@
 TEST_F(LateReportTest, AWorkerIsNotQuietByTheTimeThatAReportTook)
 {
   StartAndReportLate();
-  EXPECT_FALSE(mScheduler.Workers().at(AgentId("a")).Quiet());
+  EXPECT_FALSE(mScheduler.Workers().at(AgentId("a")).HasNoRecentStart());
 }
 
 TEST_F(LateReportTest, ANextOwnerKnowsHowLongARunHasLived)
 {
   RunFor("a", 3000);
-  TakeOverAfterPowerLoss(State(mLife, mRunning["a"]));
-  Report("a", State(mLife, mRunning["a"]));
+  TakeOverAfterPowerLoss(State(mWorkerIncarnation, mRunning["a"]));
+  Report("a", State(mWorkerIncarnation, mRunning["a"]));
   Crash("a", "a-second-life");
   EXPECT_EQ(Crashes(kFirst).Count(), 0U);
 }
--- a/tests/cell/LoadTrackTest.cpp
+++ b/tests/cell/LoadFilterTest.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "src/core/cell/LoadTrack.h"
+#include "src/core/cell/LoadFilter.h"
 
 namespace foxtailbarrow::cell::test {
 
@@ -37,11 +37,11 @@
 
 TEST_P(FollowedWave, IsKnownASecondAhead)
 {
-  LoadTrack track(-0.5, 0.1, At(0));
+  LoadFilter track(-0.5, 0.1, At(0));
   constexpr double kLookS = 0.1;
   for (int look = 1; look < 400; ++look) {
     const double now = look * kLookS;
-    track.MoveOn(At(now));
+    track.Predict(At(now));
     track.Correct(Level(now) - track.Level(), kNoise);
     if (now > GetParam().mPeriodS) {
       EXPECT_NEAR(
@@ -60,35 +60,35 @@
                            return std::string(aInfo.param.mName);
                          });
 
-TEST(LoadTrack, DoubtGrowsWithTimeAndShrinksWithLooks)
+TEST(LoadFilter, DoubtGrowsWithTimeAndShrinksWithLooks)
 {
-  LoadTrack track(-0.5, 0.1, At(0));
+  LoadFilter track(-0.5, 0.1, At(0));
   track.Correct(0.1, kNoise);
   const double seen = track.Variance();
   EXPECT_LT(seen, 0.1);
-  track.MoveOn(At(2));
+  track.Predict(At(2));
   EXPECT_GT(track.Variance(), seen);
 }
 
-TEST(LoadTrack, AnOlderTimeChangesNothing)
+TEST(LoadFilter, AnOlderTimeChangesNothing)
 {
-  LoadTrack track(-0.5, 0.1, At(5));
+  LoadFilter track(-0.5, 0.1, At(5));
   track.Correct(0.2, kNoise);
   const double level = track.Level();
-  track.MoveOn(At(4));
+  track.Predict(At(4));
   EXPECT_EQ(track.Level(), level);
-  EXPECT_EQ(track.MovedAt(), At(5));
+  EXPECT_EQ(track.PredictedAt(), At(5));
 }
 
-TEST(LoadTrack, AForecastIsBounded)
+TEST(LoadFilter, AForecastIsBounded)
 {
-  LoadTrackSettings settings;
-  LoadTrack track(0, 0.1, At(0), settings);
+  LoadFilterSettings settings;
+  LoadFilter track(0, 0.1, At(0), settings);
   for (int look = 1; look < 20; ++look) {
-    track.MoveOn(At(look * 0.1));
+    track.Predict(At(look * 0.1));
     track.Correct(look * 0.1 - track.Level(), kNoise);
   }
-  EXPECT_LE(track.LevelAt(At(100)), track.Level() + settings.mMostChange);
+  EXPECT_LE(track.LevelAt(At(100)), track.Level() + settings.mMaxChange);
 }
 
 } // namespace
--- a/tests/cell/RepeatedFindingsTest.cpp
+++ b/tests/cell/LogRateLimiterTest.cpp
@@ -4,15 +4,15 @@
 
 #include <gtest/gtest.h>
 
-#include "src/core/cell/RepeatedFindings.h"
+#include "src/core/cell/LogRateLimiter.h"
 
 namespace foxtailbarrow::cell::test {
 
 namespace {
 
-TEST(RepeatedFindings, TellsTheFirstAndThenEachPowerOfTen)
+TEST(LogRateLimiter, TellsTheFirstAndThenEachPowerOfTen)
 {
-  RepeatedFindings findings;
+  LogRateLimiter findings;
   std::vector<std::int64_t> told;
   for (int found = 0; found < 1000; ++found) {
     if (const auto count = findings.Note("sender", "reason")) {
@@ -24,9 +24,9 @@
   EXPECT_EQ(findings.Note("other", "reason"), 1);
 }
 
-TEST(RepeatedFindings, ManySendersAreBounded)
+TEST(LogRateLimiter, ManySendersAreBounded)
 {
-  RepeatedFindings findings;
+  LogRateLimiter findings;
   int told = 0;
   for (int sender = 0; sender < 100'000; ++sender) {
     told += findings.Note(std::to_string(sender), "reason") ? 1 : 0;
--- a/tests/cell/OverTargetTimerTest.cpp
+++ b/tests/cell/OverTargetTimerTest.cpp
@@ -3,8 +3,8 @@
 
 #include <gtest/gtest.h>
 
-#include "src/core/cell/LookGap.h"
 #include "src/core/cell/OverTargetTimer.h"
+#include "src/core/cell/PollIntervalEstimator.h"
 
 namespace foxtailbarrow::cell::test {
 
@@ -34,7 +34,7 @@
   Instant now;
   for (const Figure& figure : GetParam().mFigures) {
     now = Instant(milliseconds(100'000 + figure.mAtMs));
-    timer.Take(figure.mShare, {}, now);
+    timer.Update(figure.mShare, {}, now);
   }
   EXPECT_EQ(timer.TimeOver(now), milliseconds(GetParam().mOverMs));
 }
@@ -80,35 +80,36 @@
                     1200 }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-struct LookGapCase
+struct PollIntervalCase
 {
   const char* mName;
   std::vector<int> mLooksMs;
   int mExpectedMs;
 };
 
-class LookGapTest : public testing::TestWithParam<LookGapCase>
+class PollIntervalEstimatorTest
+  : public testing::TestWithParam<PollIntervalCase>
 {};
 
-TEST_P(LookGapTest, IsTheLongestOfTheLastSeconds)
+TEST_P(PollIntervalEstimatorTest, IsTheLongestOfTheLastSeconds)
 {
-  LookGap gap;
+  PollIntervalEstimator gap;
   for (const int look : GetParam().mLooksMs) {
-    gap.Take(Instant(milliseconds(100'000 + look)));
+    gap.Update(Instant(milliseconds(100'000 + look)));
   }
   EXPECT_EQ(gap.Expected(), milliseconds(GetParam().mExpectedMs));
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  LookGapTest,
-  testing::Values(LookGapCase{ "OneLook", { 0 }, 0 },
-                  LookGapCase{ "TwoLooks", { 0, 400 }, 400 },
-                  LookGapCase{ "ALateOne", { 0, 400, 1800, 2200 }, 1400 },
-                  LookGapCase{ "LongAgo", { 0, 1400, 6400, 6800 }, 5000 },
-                  LookGapCase{ "Forgotten",
-                               { 0, 3000, 5000, 7000, 9000, 11000, 13100 },
-                               2100 }),
+  PollIntervalEstimatorTest,
+  testing::Values(PollIntervalCase{ "OneLook", { 0 }, 0 },
+                  PollIntervalCase{ "TwoLooks", { 0, 400 }, 400 },
+                  PollIntervalCase{ "ALateOne", { 0, 400, 1800, 2200 }, 1400 },
+                  PollIntervalCase{ "LongAgo", { 0, 1400, 6400, 6800 }, 5000 },
+                  PollIntervalCase{ "Forgotten",
+                                    { 0, 3000, 5000, 7000, 9000, 11000, 13100 },
+                                    2100 }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 } // namespace
--- a/tests/cell/OwnerLoadTest.cpp
+++ b/tests/cell/OwnerLoadTest.cpp
@@ -15,18 +15,19 @@
 TEST(OwnerLoadTest, TellsEachSecondWhereTheTimeWent)
 {
   OwnerLoad load;
-  EXPECT_FALSE(load.Take(kBegin, seconds(5)).has_value());
-  load.NoteReport();
-  load.NoteWork(OwnerWork::Text, milliseconds(100));
-  load.NoteWork(OwnerWork::Reports, milliseconds(20));
-  load.NoteWork(OwnerWork::Logs, milliseconds(10));
-  load.NoteRound(milliseconds(30));
-  load.NoteRound(milliseconds(50));
-  load.NoteWait(OwnerWait::Order, milliseconds(70));
-  load.NoteWait(OwnerWait::Order, milliseconds(40));
-  EXPECT_FALSE(load.Take(kBegin + milliseconds(999), seconds(5)).has_value());
+  EXPECT_FALSE(load.TakeSummary(kBegin, seconds(5)).has_value());
+  load.RecordReport();
+  load.RecordWork(OwnerWork::Text, milliseconds(100));
+  load.RecordWork(OwnerWork::Reports, milliseconds(20));
+  load.RecordWork(OwnerWork::Logs, milliseconds(10));
+  load.RecordRound(milliseconds(30));
+  load.RecordRound(milliseconds(50));
+  load.RecordWait(OwnerWait::Order, milliseconds(70));
+  load.RecordWait(OwnerWait::Order, milliseconds(40));
+  EXPECT_FALSE(
+    load.TakeSummary(kBegin + milliseconds(999), seconds(5)).has_value());
   const auto summary =
-    load.Take(kBegin + seconds(1), seconds(5) + milliseconds(300));
+    load.TakeSummary(kBegin + seconds(1), seconds(5) + milliseconds(300));
   ASSERT_TRUE(summary.has_value());
   EXPECT_EQ(summary->mReports, 1);
   EXPECT_EQ(summary->mRounds, 2);
@@ -34,7 +35,7 @@
   EXPECT_EQ(SharesText(*summary),
             "text=100 reports=20 rounds=80 records=0 logs=10 rest=100 all=300");
   EXPECT_EQ(WaitsText(*summary), "loop=0 report=0 order=70 record=0");
-  const auto next = load.Take(kBegin + seconds(2), seconds(6));
+  const auto next = load.TakeSummary(kBegin + seconds(2), seconds(6));
   ASSERT_TRUE(next.has_value());
   EXPECT_EQ(next->mReports, 0);
 }
@@ -55,7 +56,7 @@
 TEST_P(RoundPacingTest, GivesRoundsABoundedShareOfTheTime)
 {
   RoundPacing pacing;
-  pacing.NoteRound(GetParam().mRound);
+  pacing.RecordRound(GetParam().mRound);
   EXPECT_GE(pacing.Pause(), GetParam().mLeast);
   EXPECT_LE(pacing.Pause(), GetParam().mMost);
 }
--- a/tests/cell/OwnerSurveyTest.cpp
+++ b/tests/cell/OwnerSurveyTest.cpp
@@ -25,9 +25,9 @@
 {
   OwnerSurvey survey(GetParam().mPeers);
   for (const Generation known : GetParam().mAnswers) {
-    survey.NoteAnswer(known);
+    survey.OnAnswer(known);
   }
-  EXPECT_EQ(survey.NobodyAfter(kOwn), GetParam().mNobodyAfter);
+  EXPECT_EQ(survey.HasNoLaterOwner(kOwn), GetParam().mNobodyAfter);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/cell/OwnerTermTest.cpp
+++ b/tests/cell/OwnerTermTest.cpp
@@ -15,21 +15,22 @@
 {
   const CellSettings settings;
   const OwnerTerm term(1, 10, kStart, settings);
-  EXPECT_EQ(term.GrantAt(kStart), settings.mHold);
-  EXPECT_EQ(term.GrantAt(kStart + settings.mAuthority - milliseconds(1)),
+  EXPECT_EQ(term.GrantAt(kStart), settings.mMaxTaskLease);
+  EXPECT_EQ(term.GrantAt(kStart + settings.mOwnershipTimeout - milliseconds(1)),
             milliseconds(1));
-  EXPECT_EQ(term.GrantAt(kStart + settings.mAuthority), Duration::zero());
+  EXPECT_EQ(term.GrantAt(kStart + settings.mOwnershipTimeout),
+            Duration::zero());
 }
 
 TEST(OwnerTermTest, IsSoleWhileItsKeyLasts)
 {
   OwnerTerm term(1, 10, kStart, {});
   EXPECT_FALSE(term.IsSole(kStart));
-  term.KeepKey(kStart, seconds(2));
+  term.ExtendKey(kStart, seconds(2));
   EXPECT_TRUE(term.IsSole(kStart + milliseconds(1999)));
   EXPECT_FALSE(term.IsSole(kStart + seconds(2)));
   // An older call that is answered late takes nothing back.
-  term.KeepKey(kStart - seconds(1), seconds(2));
+  term.ExtendKey(kStart - seconds(1), seconds(2));
   EXPECT_TRUE(term.IsSole(kStart + milliseconds(1999)));
   // It is confirmed for leases all the while.
   EXPECT_GT(term.GrantAt(kStart + seconds(2)), Duration::zero());
--- a/tests/cell/PeerReachTest.cpp
+++ b/tests/cell/PeerAvailabilityTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "src/core/cell/PeerReach.h"
+#include "src/core/cell/PeerAvailability.h"
 
 namespace foxtailbarrow::cell::test {
 
@@ -9,49 +9,49 @@
 const Endpoint kPeer{ "10.0.0.1", 7000 };
 const Endpoint kOther{ "10.0.0.2", 7000 };
 const Instant kNow{ std::chrono::seconds(100) };
-const Instant kLater = kNow + PeerReach::kLeftOutFor;
-const Instant kSoon = kNow + PeerReach::kUsualAnswer;
+const Instant kLater = kNow + PeerAvailability::kSkippedFor;
+const Instant kSoon = kNow + PeerAvailability::kUsualAnswerTime;
 constexpr Duration kTick(1);
 
-TEST(PeerReachTest, ASilentOneIsLeftOutForAWhile)
+TEST(PeerAvailabilityTest, ASilentOneIsLeftOutForAWhile)
 {
-  PeerReach reach;
+  PeerAvailability reach;
   EXPECT_TRUE(reach.MayAsk(kPeer, kNow));
-  reach.NoteSilent(kPeer, kNow, kNow);
+  reach.OnSilent(kPeer, kNow, kNow);
   EXPECT_FALSE(reach.MayAsk(kPeer, kNow));
   EXPECT_TRUE(reach.MayAsk(kOther, kNow));
 }
 
-TEST(PeerReachTest, OneRequestFindsOutWhetherItIsBack)
+TEST(PeerAvailabilityTest, OneRequestFindsOutWhetherItIsBack)
 {
-  PeerReach reach;
-  reach.NoteSilent(kPeer, kNow, kNow);
+  PeerAvailability reach;
+  reach.OnSilent(kPeer, kNow, kNow);
   EXPECT_TRUE(reach.MayAsk(kPeer, kLater));
-  reach.NoteAsked(kPeer, kLater);
+  reach.OnAsked(kPeer, kLater);
   EXPECT_FALSE(reach.MayAsk(kPeer, kLater));
-  reach.NoteAnswered(kPeer, kLater);
+  reach.OnAnswered(kPeer, kLater);
   EXPECT_TRUE(reach.MayAsk(kPeer, kLater));
 }
 
 /// Those that came in the second until the first time-out all waited for it.
-TEST(PeerReachTest, OneThatIsLateIsNotAskedByMore)
+TEST(PeerAvailabilityTest, OneThatIsLateIsNotAskedByMore)
 {
-  PeerReach reach;
-  reach.NoteAsked(kPeer, kNow);
-  reach.NoteAsked(kPeer, kNow + kTick);
+  PeerAvailability reach;
+  reach.OnAsked(kPeer, kNow);
+  reach.OnAsked(kPeer, kNow + kTick);
   EXPECT_TRUE(reach.MayAsk(kPeer, kSoon));
   EXPECT_FALSE(reach.MayAsk(kPeer, kSoon + kTick));
-  reach.NoteAnswered(kPeer, kNow);
+  reach.OnAnswered(kPeer, kNow);
   EXPECT_TRUE(reach.MayAsk(kPeer, kSoon + kTick));
-  reach.NoteAnswered(kPeer, kNow + kTick);
+  reach.OnAnswered(kPeer, kNow + kTick);
   EXPECT_TRUE(reach.MayAsk(kPeer, kLater));
 }
 
-TEST(PeerReachTest, OneThatRefusesAtOnceIsAskedAgain)
+TEST(PeerAvailabilityTest, OneThatRefusesAtOnceIsAskedAgain)
 {
-  PeerReach reach;
-  reach.NoteAsked(kPeer, kNow);
-  reach.NoteRefused(kPeer, kNow);
+  PeerAvailability reach;
+  reach.OnAsked(kPeer, kNow);
+  reach.OnRefused(kPeer, kNow);
   EXPECT_TRUE(reach.MayAsk(kPeer, kLater));
 }
 
--- a/tests/cell/ReportOrderTest.cpp
+++ b/tests/cell/ReportOrderTest.cpp
@@ -14,12 +14,12 @@
 {
   AttachAndGrant("a");
   AttachAndGrant("b");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const OrderRequest orders = Orders("a");
   ASSERT_EQ(orders.mStarts.size(), 1U);
   Started("a", orders);
   // However late it comes, it was taken before the orders were carried out.
-  Pass(seconds(3));
+  AdvanceClock(seconds(3));
   Grant("a");
   Grant("b");
   Report("a", State("a-life"), orders.mNumber - 1);
@@ -32,7 +32,7 @@
 TEST_F(ReportOrderTest, ARunOfAnEarlierSessionEndsWithAnyReport)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const OrderRequest orders = Orders("a");
   Started("a", orders);
   const RunningTask running = Running(kFirst, orders.mStarts[0].mRun);
--- a/tests/cell/ShownPhaseTest.cpp
+++ b/tests/cell/ShownPhaseTest.cpp
@@ -13,7 +13,7 @@
 TEST_F(ShownPhaseTest, AJobIsShownAsCompletedAfterItsRecord)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const OrderRequest orders = Orders("a");
   Started("a", orders);
   Report("a",
@@ -21,7 +21,7 @@
                {},
                { Ended(1, kFirst, orders.mStarts[0].mRun, RunEnd::Done) }));
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Running);
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Completed);
 }
 
@@ -29,7 +29,7 @@
 {
   const JobId job("job");
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const OrderRequest orders = Orders("a");
   Started("a", orders);
   Report("a",
@@ -37,20 +37,20 @@
                {},
                { Ended(1, kFirst, orders.mStarts[0].mRun, RunEnd::Done) }));
   EXPECT_EQ(mScheduler.PhaseOf(job), JobPhase::Running);
-  mScheduler.NoteRecordInDoubt(job);
+  mScheduler.OnProgressSaveInDoubt(job);
   EXPECT_EQ(mScheduler.PhaseOf(job), std::nullopt);
-  mScheduler.NoteProgressRevision(job, 200);
+  mScheduler.SetProgressRevision(job, 200);
   EXPECT_EQ(mScheduler.PhaseOf(job), std::nullopt);
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(job), JobPhase::Completed);
 }
 
 TEST_F(ShownPhaseTest, AJobIsShownAsCancelledAfterItsRecord)
 {
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   mScheduler.CancelJob(JobId("job"), Clock());
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Running);
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Cancelled);
 }
 
--- a/tests/cell/ShrinkingWorkerTest.cpp
+++ b/tests/cell/ShrinkingWorkerTest.cpp
@@ -38,7 +38,7 @@
       results.push_back(
         { start.mTask, start.mRun, StartOutcome::OverCapacity });
     }
-    mScheduler.TakeStartResults(
+    mScheduler.OnStartResults(
       AgentId(aAgent), aOrders.mSession, results, Clock());
   }
 
@@ -61,7 +61,7 @@
 {
   Attach("a", Sized(GetParam().mBefore));
   Grant("a");
-  AddRecorded(Graph("job", { Step(20) }));
+  AddSavedJob(Graph("job", { Step(20) }));
   const OrderRequest first = Orders("a");
   ASSERT_EQ(first.mStarts.size(), GetParam().mStarted);
   Started("a", first);
@@ -73,11 +73,11 @@
 {
   Attach("a", Sized(GetParam().mBefore));
   Grant("a");
-  AddRecorded(Graph("job", { Step(20) }));
+  AddSavedJob(Graph("job", { Step(20) }));
   const OrderRequest first = Orders("a");
   Started("a", first);
   mScheduler.CancelJob(JobId("job"), Clock());
-  AddRecorded(Graph("next", { Step(20) }));
+  AddSavedJob(Graph("next", { Step(20) }));
   Report("a", Sized(GetParam().mAfter, RunningOf(first)));
   EXPECT_EQ(Orders("a").mStarts.size(), GetParam().mMore);
 }
@@ -97,7 +97,7 @@
 {
   Attach("a", Sized(4000));
   Grant("a");
-  AddRecorded(Graph("job", { Step(2) }));
+  AddSavedJob(Graph("job", { Step(2) }));
   const OrderRequest first = Orders("a");
   ASSERT_EQ(first.mStarts.size(), 2U);
   RefuseAll("a", first);
@@ -112,7 +112,7 @@
 {
   Attach("a", Sized(4000));
   Grant("a");
-  AddRecorded(Graph("job", { Step(2) }));
+  AddSavedJob(Graph("job", { Step(2) }));
   RefuseAll("a", Orders("a"));
   EXPECT_TRUE(Orders("a").mStarts.empty());
   Report("a", Sized(1000));
@@ -124,7 +124,7 @@
 {
   Attach("a", Sized(4000));
   Grant("a");
-  AddRecorded(Graph("job", { Step(2) }));
+  AddSavedJob(Graph("job", { Step(2) }));
   for (int flap = 0; flap < 5; ++flap) {
     RefuseAll("a", Orders("a"));
     Report("a", Sized(1000));
@@ -139,14 +139,14 @@
 {
   Attach("a", Sized(6000));
   Grant("a");
-  AddRecorded(Graph("job", { Step(20) }));
+  AddSavedJob(Graph("job", { Step(20) }));
   std::vector<RunningTask> running;
   for (int beat = 0; beat < 12; ++beat) {
     const OrderRequest orders = Orders("a");
     EXPECT_TRUE(orders.mStops.empty());
     Started("a", orders);
     std::ranges::copy(RunningOf(orders), std::back_inserter(running));
-    Pass(milliseconds(460));
+    AdvanceClock(milliseconds(460));
     Grant("a");
     Report("a", Sized(beat % 2 == 0 ? 2000 : 6000, running));
   }
@@ -157,10 +157,10 @@
 TEST_F(ShrinkingOrderTest, LeftoverWorkFollowsTheCapacityInForce)
 {
   StepSpec leftover = Step(20);
-  leftover.mLeftover = true;
+  leftover.mBestEffort = true;
   Attach("a", Sized(8000));
   Grant("a");
-  AddRecorded(Graph("job", { leftover }));
+  AddSavedJob(Graph("job", { leftover }));
   const std::size_t atFirst = Orders("a").mStarts.size();
   Attach("b", Sized(4000));
   Grant("b");
@@ -174,10 +174,10 @@
 {
   Attach("a", Sized(4000));
   Grant("a");
-  AddRecorded(Graph("job", { Step(2) }));
+  AddSavedJob(Graph("job", { Step(2) }));
   ASSERT_EQ(Orders("a").mStarts.size(), 2U);
   Report("a", Sized(2000), 0);
-  AddRecorded(Graph("next", { Step(1) }));
+  AddSavedJob(Graph("next", { Step(1) }));
   EXPECT_TRUE(Orders("a").mStarts.empty());
 }
 
--- a/tests/cell/StalledTaskTest.cpp
+++ b/tests/cell/StalledTaskTest.cpp
@@ -26,14 +26,14 @@
   void Run(bool aCheckpoints)
   {
     StepSpec step = Step(1, kDemand);
-    step.mLeftover = true;
+    step.mBestEffort = true;
     step.mCheckpoints = aCheckpoints;
     AttachAndGrant("a");
-    AddRecorded(Graph("job", { step }));
+    AddSavedJob(Graph("job", { step }));
     const OrderRequest orders = Orders("a");
     mRun = orders.mStarts.at(0).mRun;
     Started("a", orders);
-    Pass(mSettings.mStalledGrace + milliseconds(1));
+    AdvanceClock(mSettings.mStalledGrace + milliseconds(1));
   }
 
   /// It uses so much for a while; the orders that follow.
@@ -42,9 +42,9 @@
     RunningTask running = Running(kFirst, mRun);
     running.mFigure = aMillicores;
     for (Duration passed{}; passed <= aTime;
-         passed += mSettings.mObserveEvery) {
+         passed += mSettings.mObserveInterval) {
       Report("a", State("a-life", { running }));
-      Pass(mSettings.mObserveEvery);
+      AdvanceClock(mSettings.mObserveInterval);
     }
     Grant("a");
     return Orders("a");
--- a/tests/cell/StandingJobOrderTest.cpp
+++ b/tests/cell/StandingJobOrderTest.cpp
@@ -32,7 +32,7 @@
     StepSpec step = Step(2, kHalfWorker);
     step.mStanding = true;
     AttachAndGrant("a");
-    AddRecorded(Graph("old", { step }));
+    AddSavedJob(Graph("old", { step }));
     const OrderRequest orders = Orders("a");
     ASSERT_EQ(orders.mStarts.size(), 2U);
     Started("a", orders);
@@ -40,10 +40,10 @@
     for (const StartOrder& start : orders.mStarts) {
       running.push_back(Running(start.mTask, start.mRun));
     }
-    Pass(seconds(60));
+    AdvanceClock(seconds(60));
     Report("a", State("a-life", running));
     Report("a", State("a-next"));
-    Record();
+    SaveProgress();
     Grant("a");
   }
 };
@@ -54,7 +54,7 @@
   LoseStandingJob();
   StepSpec step = Step(GetParam().mReplicas, kHalfWorker);
   step.mStanding = GetParam().mStanding;
-  AddRecorded(Graph("newer", { step }));
+  AddSavedJob(Graph("newer", { step }));
   std::multiset<JobId> started;
   for (const StartOrder& start : Orders("a").mStarts) {
     started.insert(start.mTask.mJob);
--- a/tests/cell/SuspectTrialTest.cpp
+++ b/tests/cell/SuspectTrialTest.cpp
@@ -11,8 +11,8 @@
 TEST_F(SuspectTrialTest, SuspectsAreTriedApart)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
-  AddRecorded(Graph("job2", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job2", { Step(1) }));
   RunFor("a", 0);
   Crash("a", "next");
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
@@ -25,7 +25,7 @@
     Started(agent, mScheduler.TakeOrders(AgentId(agent)));
   }
   // All take what nothing speaks against.
-  AddRecorded(Graph("job3", { Step(1) }));
+  AddSavedJob(Graph("job3", { Step(1) }));
   mScheduler.Schedule(Clock());
   EXPECT_EQ(mScheduler.AgentsWithOrders().size(), 1U);
 }
@@ -38,7 +38,7 @@
   AddInherited(Graph("job", { Step(1) }), progress);
   AttachAndGrant("a");
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
-  AddRecorded(Graph("job2", { Step(1) }));
+  AddSavedJob(Graph("job2", { Step(1) }));
   EXPECT_TRUE(Orders("a").mStarts.empty());
 }
 
@@ -49,7 +49,7 @@
 TEST_F(SuspectTrialTest, AStrongSuspectIsTriedBesideProvenTasksOnly)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("other", { Step(1) }));
+  AddSavedJob(Graph("other", { Step(1) }));
   RunFor("a", 0);
   StoredProgress progress;
   progress.mSteps.push_back(
@@ -57,21 +57,21 @@
   AddInherited(Graph("job", { Step(1) }), progress);
   EXPECT_TRUE(Orders("a").mStarts.empty());
   // Nothing else is started there meanwhile, or it would wait for ever.
-  AddRecorded(Graph("job2", { Step(1) }));
+  AddSavedJob(Graph("job2", { Step(1) }));
   EXPECT_TRUE(Orders("a").mStarts.empty());
   RunFor("a", 600);
   const OrderRequest orders = RunFor("a", 0);
   ASSERT_EQ(orders.mStarts.size(), 1U);
   EXPECT_EQ(orders.mStarts.front().mTask, kFirst);
   Crash("a", "next");
-  EXPECT_EQ(Crashes(kFirst).Crashes().mAlone.size(), 1U);
+  EXPECT_EQ(Crashes(kFirst).Crashes().mSole.size(), 1U);
 }
 
 /// The worker that was kept free for it went away.
 TEST_F(SuspectTrialTest, AReservationForASuspectLapses)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("other", { Step(1) }));
+  AddSavedJob(Graph("other", { Step(1) }));
   RunFor("a", 0);
   StoredProgress progress;
   progress.mSteps.push_back(
@@ -79,8 +79,8 @@
   AddInherited(Graph("job", { Step(1) }), progress);
   EXPECT_TRUE(Orders("a").mStarts.empty());
   mScheduler.CancelJob(JobId("job"), Clock());
-  AddRecorded(Graph("job2", { Step(1) }));
-  Pass(seconds(3));
+  AddSavedJob(Graph("job2", { Step(1) }));
+  AdvanceClock(seconds(3));
   Grant("a");
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
@@ -89,11 +89,11 @@
 {
   AttachAndGrant("a");
   AttachAndGrant("b");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const std::string first = Orders("a").mStarts.empty() ? "b" : "a";
   const std::string other = first == "a" ? "b" : "a";
   Report(first, State("next"));
-  Record();
+  SaveProgress();
   // The worker that has crashed is empty, but not tried again.
   EXPECT_EQ(Orders(other).mStarts.size(), 1U);
 }
@@ -158,7 +158,7 @@
   const std::string first = job.Find(kFirst)->mRuns.front().mAgent.Value();
   Report(first,
          State(first + "-life", {}, { Ended(1, kFirst, run, RunEnd::Done) }));
-  Record();
+  SaveProgress();
   EXPECT_EQ(Orders(first).mStarts.size(), 1U);
 }
 
@@ -166,14 +166,14 @@
 {
   StoredProgress progress;
   progress.mSteps.push_back(
-    { 0, 0, "", {}, {}, { Stored(0, { .mBeside = { 1 } }) } });
+    { 0, 0, "", {}, {}, { Stored(0, { .mPossible = { 1 } }) } });
   AddInherited(Graph("job", { Step(1) }), progress);
   AttachAndGrant("a");
   RunFor("a", 0);
   mRunning["a"].clear();
   Report("a", State("second"));
   EXPECT_TRUE(Orders("a").mStarts.empty());
-  Record();
+  SaveProgress();
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
@@ -182,7 +182,7 @@
   StepSpec gang = Step(2);
   gang.mGang = true;
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { gang }));
+  AddSavedJob(Graph("job", { gang }));
   RunFor("a", 0);
   Crash("a", "next");
   EXPECT_TRUE(Orders("a").mStarts.empty()); // Two suspects, one worker.
--- a/tests/cell/SuspendedMachineTest.cpp
+++ b/tests/cell/SuspendedMachineTest.cpp
@@ -56,10 +56,10 @@
 {
   const CellSettings settings;
   OwnerTerm term(1, 1, kBefore, settings);
-  term.KeepKey(kBefore, milliseconds(3000));
+  term.ExtendKey(kBefore, milliseconds(3000));
   const Instant after = kBefore + GetParam().mSuspended;
   EXPECT_EQ(term.IsSole(after), GetParam().mHolds);
-  if (GetParam().mSuspended > settings.mAuthority) {
+  if (GetParam().mSuspended > settings.mOwnershipTimeout) {
     EXPECT_EQ(term.GrantAt(after), Duration::zero());
   }
 }
--- a/tests/cell/UnsentStartTest.cpp
+++ b/tests/cell/UnsentStartTest.cpp
@@ -27,19 +27,19 @@
   void LoseWorkerBeforeOrdersLeave()
   {
     AttachAndGrant("a");
-    AddRecorded(Graph("job", { Step(2) }));
+    AddSavedJob(Graph("job", { Step(2) }));
     mScheduler.Schedule(Clock());
     const LossCase& loss = GetParam();
     ReportRequest report = ReportOf("a", State(loss.mIncarnation));
     report.mWorkerAnswers = loss.mAnswers;
     report.mWorkerEnded = loss.mEnded;
-    mScheduler.TakeReport(report, Clock());
+    mScheduler.HandleReport(report, Clock());
     if (loss.mAfter > Duration::zero()) {
-      Pass(loss.mAfter);
+      AdvanceClock(loss.mAfter);
       report.mSequence++;
-      mScheduler.TakeReport(report, Clock());
+      mScheduler.HandleReport(report, Clock());
     }
-    Record();
+    SaveProgress();
   }
 };
 
@@ -53,7 +53,7 @@
 {
   LoseWorkerBeforeOrdersLeave();
   AttachAndGrant("b");
-  Pass(mSettings.mSuspectPause);
+  AdvanceClock(mSettings.mSuspectPause);
   Grant("a");
   Grant("b");
   std::set<TaskRef> started;
--- a/tests/cell/UnwellWorkerTest.cpp
+++ b/tests/cell/UnwellWorkerTest.cpp
@@ -17,11 +17,11 @@
   void SetUp() override
   {
     AttachAndGrant("b");
-    AddRecorded(Graph("before", { Step(4) }));
+    AddSavedJob(Graph("before", { Step(4) }));
     Started("b", Orders("b"));
     AttachAndGrant("a");
     Tell("a", mNow);
-    AddRecorded(Graph("job", { Step(1) }));
+    AddSavedJob(Graph("job", { Step(1) }));
     Refuse();
   }
 
@@ -29,7 +29,7 @@
   {
     ReportRequest report = ReportOf(aAgent, State(aAgent + "-life"));
     report.mAnsweredAt = aAnsweredAt.time_since_epoch();
-    mScheduler.TakeReport(report, Clock());
+    mScheduler.HandleReport(report, Clock());
   }
 
   void Refuse()
@@ -37,13 +37,13 @@
     const OrderRequest orders = Orders("a");
     ASSERT_EQ(orders.mStarts.size(), 1U);
     const StartOrder& start = orders.mStarts[0];
-    mScheduler.TakeStartResults(
+    mScheduler.OnStartResults(
       AgentId("a"),
       orders.mSession,
-      { { start.mTask, start.mRun, StartOutcome::Unwell } },
+      { { start.mTask, start.mRun, StartOutcome::Unhealthy } },
       Clock());
     mRefusedAt = mNow;
-    Pass(mSettings.mRefusalPause);
+    AdvanceClock(mSettings.mRefusalPause);
   }
 
   Instant mRefusedAt{};
@@ -51,7 +51,7 @@
 
 TEST_F(UnwellWorkerTest, GetsNoStartUntilItHasAnsweredAgain)
 {
-  EXPECT_TRUE(Happened("worker-unwell"));
+  EXPECT_TRUE(WasLogged("worker-unwell"));
   Tell("a", mRefusedAt);
   EXPECT_TRUE(Orders("a").mStarts.empty());
   EXPECT_EQ(mScheduler.TakeOrders(AgentId("b")).mStarts.size(), 1U);
--- a/tests/cell/WorkerChangeTest.cpp
+++ b/tests/cell/WorkerChangeTest.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "src/core/cell/ReportBase.h"
+#include "src/core/cell/ReportEncoder.h"
 #include "src/core/message/Codec.h"
 #include "tests/cell/CellFixture.h"
 
@@ -61,7 +61,7 @@
 RC_GTEST_PROP(WorkerChange, LeadsTheReaderToTheWritersState, ())
 {
   RandomWorker worker;
-  ReportBase base;
+  ReportEncoder base;
   WorkerState held;
   std::int64_t endsTaken = 0;
   Instant now{ std::chrono::seconds(100) };
@@ -92,7 +92,7 @@
     if (*rc::gen::inRange(0, 4) == 0) {
       base.Forget(); // The reply was lost.
     } else {
-      base.NoteTaken(sent);
+      base.OnAccepted(sent);
     }
   }
 }
@@ -119,14 +119,14 @@
     report.mOrdersDone = kManyOrders;
     report.mBase = aBase;
     report.mChange = std::move(aChange);
-    return mScheduler.TakeReport(report, Clock());
+    return mScheduler.HandleReport(report, Clock());
   }
 
   /// One task that runs at agent "a" and was reported so.
   RunNumber StartOne()
   {
     AttachAndGrant("a");
-    AddRecorded(Graph("job", { Step(1) }));
+    AddSavedJob(Graph("job", { Step(1) }));
     const OrderRequest orders = Orders("a");
     Started("a", orders);
     const RunNumber run = orders.mStarts.at(0).mRun;
@@ -160,7 +160,7 @@
   change.mGone.push_back({ kFirst, run });
   change.mEnded.push_back(Ended(1, kFirst, run, RunEnd::Done));
   ReportChange("a", change);
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Completed);
   EXPECT_EQ(mScheduler.Acknowledged(AgentId("a")), 1);
 }
@@ -171,7 +171,7 @@
 {
   AttachAndGrant("a");
   Report("a", State("a-life"));
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const OrderRequest orders = Orders("a");
   ReportChange("a", {});
   Started("a", orders);
@@ -187,31 +187,31 @@
   WorkerChange change;
   change.mGone.push_back({ kFirst, run });
   EXPECT_TRUE(ReportOn("a", newest + 1, change));
-  EXPECT_TRUE(mScheduler.SendsWhole(AgentId("a")));
+  EXPECT_TRUE(mScheduler.NeedsFullState(AgentId("a")));
   EXPECT_TRUE(Orders("a").mStarts.empty());
   Report("a", State("a-life", { Running(kFirst, run) }));
-  EXPECT_FALSE(mScheduler.SendsWhole(AgentId("a")));
+  EXPECT_FALSE(mScheduler.NeedsFullState(AgentId("a")));
 }
 
-TEST(ReportBaseTest, FiguresAreLeftOutOfReportsInQuickSuccession)
+TEST(ReportEncoderTest, FiguresAreLeftOutOfReportsInQuickSuccession)
 {
-  ReportBase base;
+  ReportEncoder base;
   WorkerState state;
   state.mRunning.push_back({ kFirst, 1, {}, 0, 5 });
   Instant now{ std::chrono::seconds(100) };
   ReportRequest report;
   report.mSequence = 1;
   base.Fill(state, now, report);
-  base.NoteTaken(report);
+  base.OnAccepted(report);
   state.mRunning[0].mFigure = 7;
   ReportRequest early;
   early.mSequence = 2;
-  base.Fill(state, now + ReportBase::kFiguresEvery / 2, early);
+  base.Fill(state, now + ReportEncoder::kFiguresInterval / 2, early);
   EXPECT_TRUE(early.mChange->mRunning.empty());
-  base.NoteTaken(early);
+  base.OnAccepted(early);
   ReportRequest due;
   due.mSequence = 3;
-  base.Fill(state, now + ReportBase::kFiguresEvery, due);
+  base.Fill(state, now + ReportEncoder::kFiguresInterval, due);
   ASSERT_EQ(due.mChange->mRunning.size(), 1U);
   EXPECT_EQ(due.mChange->mRunning[0].mFigure, 7);
 }
--- a/tests/cell/WorkerLeaveTest.cpp
+++ b/tests/cell/WorkerLeaveTest.cpp
@@ -25,14 +25,14 @@
     ReportRequest report;
     report.mAgent = kAgent;
     report.mState = aState;
-    EXPECT_FALSE(mScheduler.TakeReport(report, Clock()));
+    EXPECT_FALSE(mScheduler.HandleReport(report, Clock()));
   }
 };
 
 TEST_F(WorkerLeaveTest, ItsTasksStartElsewhereAtOnce)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   Started("a", Orders("a"));
   AttachAndGrant("b");
   Report("a", Gone());
@@ -42,13 +42,13 @@
 TEST_F(WorkerLeaveTest, ItsLastEndsCount)
 {
   AttachAndGrant("a");
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   const OrderRequest orders = Orders("a");
   Started("a", orders);
   AttachAndGrant("b");
   Report("a", Gone({ Ended(1, kFirst, orders.mStarts[0].mRun, RunEnd::Done) }));
   EXPECT_TRUE(Orders("b").mStarts.empty());
-  Record();
+  SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Completed);
 }
 
@@ -66,7 +66,7 @@
 {
   AttachAndGrant("a");
   Report("a", Gone());
-  AddRecorded(Graph("job", { Step(1) }));
+  AddSavedJob(Graph("job", { Step(1) }));
   EXPECT_FALSE(Report("a", State("next-life")));
   EXPECT_TRUE(Orders("a").mStarts.empty());
   Attach("a", State("next-life"));
@@ -82,7 +82,8 @@
   mScheduler.DetachWorker(kAgent, Clock());
   mScheduler.Schedule(Clock());
   EXPECT_FALSE(mScheduler.RunsNothing(kAgent)); // Its leases last.
-  Pass(mSettings.mHold + mSettings.mLeaseMargin + milliseconds(1));
+  AdvanceClock(mSettings.mMaxTaskLease + mSettings.mLeaseMargin +
+               milliseconds(1));
   mScheduler.Schedule(Clock());
   EXPECT_TRUE(mScheduler.RunsNothing(kAgent));
   AttachAndGrant("a");
--- a/tests/cell/WorkerLivenessTest.cpp
+++ b/tests/cell/WorkerLivenessTest.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-enum class Look : std::uint8_t
+enum class Poll : std::uint8_t
 {
   Answered,
   NoAnswer,
@@ -21,8 +21,8 @@
 struct LivenessStep
 {
   int mAtMs;
-  Look mLook;
-  LivenessNews mNews;
+  Poll mLook;
+  LivenessChange mNews;
 };
 
 struct LivenessCase
@@ -45,10 +45,10 @@
   liveness.Begin(start);
   for (const LivenessStep& step : GetParam().mSteps) {
     const Instant now = start + milliseconds(step.mAtMs);
-    if (step.mLook == Look::Answered) {
-      liveness.NoteLook(now);
+    if (step.mLook == Poll::Answered) {
+      liveness.OnPoll(now);
     } else {
-      EXPECT_EQ(liveness.NoteFailedLook(step.mLook == Look::Refused, now),
+      EXPECT_EQ(liveness.OnPollFailed(step.mLook == Poll::Refused, now),
                 step.mNews)
         << step.mAtMs;
     }
@@ -62,33 +62,33 @@
   WorkerLivenessTest,
   testing::Values(
     LivenessCase{ "OneRefusalIsNoEnd",
-                  { { 100, Look::Refused, LivenessNews::None },
-                    { 200, Look::NoAnswer, LivenessNews::None },
-                    { 300, Look::Refused, LivenessNews::None } },
+                  { { 100, Poll::Refused, LivenessChange::None },
+                    { 200, Poll::NoAnswer, LivenessChange::None },
+                    { 300, Poll::Refused, LivenessChange::None } },
                   true,
                   false },
     LivenessCase{ "TwoRefusalsInARowAreTheEnd",
-                  { { 100, Look::Refused, LivenessNews::None },
-                    { 200, Look::Refused, LivenessNews::Ended },
-                    { 300, Look::Refused, LivenessNews::None } },
+                  { { 100, Poll::Refused, LivenessChange::None },
+                    { 200, Poll::Refused, LivenessChange::Ended },
+                    { 300, Poll::Refused, LivenessChange::None } },
                   false,
                   true },
     LivenessCase{ "SilentAfterAWhile",
-                  { { kSilentMs, Look::NoAnswer, LivenessNews::None },
-                    { kSilentMs + 1, Look::NoAnswer, LivenessNews::Silent },
-                    { kSilentMs + 2, Look::NoAnswer, LivenessNews::None } },
+                  { { kSilentMs, Poll::NoAnswer, LivenessChange::None },
+                    { kSilentMs + 1, Poll::NoAnswer, LivenessChange::Silent },
+                    { kSilentMs + 2, Poll::NoAnswer, LivenessChange::None } },
                   false,
                   false },
     LivenessCase{ "ASilentOneMayEnd",
-                  { { kSilentMs + 1, Look::Refused, LivenessNews::Silent },
-                    { kSilentMs + 2, Look::Refused, LivenessNews::Ended } },
+                  { { kSilentMs + 1, Poll::Refused, LivenessChange::Silent },
+                    { kSilentMs + 2, Poll::Refused, LivenessChange::Ended } },
                   false,
                   true },
     LivenessCase{ "AnAnswerProvesLife",
-                  { { 100, Look::Refused, LivenessNews::None },
-                    { 200, Look::Refused, LivenessNews::Ended },
-                    { 300, Look::Answered, LivenessNews::None },
-                    { 400, Look::Refused, LivenessNews::None } },
+                  { { 100, Poll::Refused, LivenessChange::None },
+                    { 200, Poll::Refused, LivenessChange::Ended },
+                    { 300, Poll::Answered, LivenessChange::None },
+                    { 400, Poll::Refused, LivenessChange::None } },
                   true,
                   false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
@@ -99,10 +99,10 @@
   WorkerLiveness liveness;
   EXPECT_FALSE(liveness.Answers());
   liveness.Begin(start);
-  EXPECT_TRUE(liveness.NoteLook(start));
-  liveness.NoteFailedLook(false, start + milliseconds(kSilentMs + 1));
-  EXPECT_FALSE(liveness.NoteLook(start + milliseconds(kSilentMs + 2)));
-  EXPECT_EQ(liveness.AliveAt(), start + milliseconds(kSilentMs + 2));
+  EXPECT_TRUE(liveness.OnPoll(start));
+  liveness.OnPollFailed(false, start + milliseconds(kSilentMs + 1));
+  EXPECT_FALSE(liveness.OnPoll(start + milliseconds(kSilentMs + 2)));
+  EXPECT_EQ(liveness.LastAnswerAt(), start + milliseconds(kSilentMs + 2));
 }
 
 } // namespace
--- a/tests/ctl/EntryCallerTest.cpp
+++ b/tests/ctl/EntryCallerTest.cpp
@@ -14,8 +14,8 @@
 enum class First : std::uint8_t
 {
   Answers,
-  IsAway,     ///< Nothing listens there.
-  LosesReply, ///< Takes the request and closes the connection.
+  IsUnreachable, ///< Nothing listens there.
+  LosesReply,    ///< Takes the request and closes the connection.
 };
 
 struct CallCase
@@ -55,7 +55,7 @@
         return Serve(200, mCallsOfFirst);
       case First::LosesReply:
         return Serve(net::kCloseWithoutAnswer, mCallsOfFirst);
-      case First::IsAway:
+      case First::IsUnreachable:
         break;
     }
     const Endpoint endpoint = Serve(200, mCallsOfFirst);
@@ -92,7 +92,7 @@
   EntryCall,
   testing::Values(
     CallCase{ "first answers", First::Answers, false, true, 0 },
-    CallCase{ "first is away", First::IsAway, false, true, 1 },
+    CallCase{ "first is away", First::IsUnreachable, false, true, 1 },
     CallCase{ "reply lost, repeatable", First::LosesReply, true, true, 1 },
     CallCase{ "reply lost, not repeatable",
               First::LosesReply,
--- a/tests/load/PressedWorker.cpp
+++ b/tests/load/ColocatedWorker.cpp
@@ -1,4 +1,4 @@
-#include "tests/load/PressedWorker.h"
+#include "tests/load/ColocatedWorker.h"
 
 #include <algorithm>
 #include <cmath>
@@ -18,7 +18,7 @@
 constexpr double kPaceDelay = 0.1;
 constexpr double kLate = 1.0;
 constexpr double kPaceTimeout = 0.25;
-constexpr int kPaceTries = 2;
+constexpr int kThrottleAttempts = 2;
 constexpr double kTargetMs = 200;
 constexpr double kCalmShare = 0.47;
 constexpr double kSwing = 0.5;
@@ -42,35 +42,36 @@
 
 } // namespace
 
-PressedWorker::PressedWorker(const PressedWorkerPattern& aPattern,
-                             std::uint32_t aSeed)
+ColocatedWorker::ColocatedWorker(const ColocatedWorkerPattern& aPattern,
+                                 std::uint32_t aSeed)
   : mPattern(aPattern)
   , mRandom(aSeed)
 {
   mPeriod = std::uniform_real_distribution<double>(10, 14)(mRandom);
   mPhase = std::uniform_real_distribution<double>(0, 1)(mRandom);
-  mGovernor.NoteTraits({ kServing,
-                         std::chrono::milliseconds(std::lround(kTargetMs)),
-                         false,
-                         "serving",
-                         {} });
-  const Pressure pressures[] = { { "serving", "heavy", kHeavyPerCore },
-                                 { "serving", "light", kLightPerCore } };
-  mGovernor.TakePressures(pressures);
+  mController.SetMetadata({ kServing,
+                            std::chrono::milliseconds(std::lround(kTargetMs)),
+                            false,
+                            "serving",
+                            {} });
+  const InterferenceWeight pressures[] = {
+    { "serving", "heavy", kHeavyPerCore }, { "serving", "light", kLightPerCore }
+  };
+  mController.SetInterferenceWeights(pressures);
   const int tasks = std::uniform_int_distribution<int>(1, kImages)(mRandom);
   for (int number = 0; number < tasks; ++number) {
     AddTask();
   }
 }
 
-bool PressedWorker::Chance(double aShare)
+bool ColocatedWorker::Chance(double aShare)
 {
   return std::bernoulli_distribution(aShare)(mRandom);
 }
 
-PressedWorker::LeftoverTask PressedWorker::NewTask()
+ColocatedWorker::BestEffortTask ColocatedWorker::NewTask()
 {
-  LeftoverTask task;
+  BestEffortTask task;
   task.mTask = { JobId("leftover"), 0, 0, ++mNumber };
   task.mPerCore = Chance(kHeavyShare) ? kHeavyPerCore : kLightPerCore;
   task.mEndsAt =
@@ -80,70 +81,71 @@
   return task;
 }
 
-void PressedWorker::AddTask()
+void ColocatedWorker::AddTask()
 {
   mTasks.push_back(NewTask());
-  mGovernor.NoteStart(
+  mController.OnStart(
     { mTasks.back().mTask, {}, true, ImageOf(mTasks.back().mPerCore), {} }, 1);
 }
 
-double PressedWorker::OwnLoad(double aNow) const
+double ColocatedWorker::OwnLoad(double aNow) const
 {
   return std::log(kCalmShare) +
          kSwing * std::sin(2 * std::numbers::pi * (aNow / mPeriod + mPhase));
 }
 
-double PressedWorker::PressureInForce() const
+double ColocatedWorker::CurrentInterference() const
 {
   double pressure = 0;
-  for (const LeftoverTask& task : mTasks) {
-    pressure += task.mPerCore * kCores * task.mPace;
+  for (const BestEffortTask& task : mTasks) {
+    pressure += task.mPerCore * kCores * task.mThrottle;
   }
   return pressure;
 }
 
-void PressedWorker::Pass(double aNow)
+void ColocatedWorker::Pass(double aNow)
 {
   double pace = 0;
-  for (LeftoverTask& task : mTasks) {
-    std::erase_if(task.mPending, [&](const LatePace& aPace) {
+  for (BestEffortTask& task : mTasks) {
+    std::erase_if(task.mPending, [&](const LateThrottle& aPace) {
       if (aPace.mAt > aNow) {
         return false;
       }
       if (aPace.mFence >= mWorkerFence) {
-        task.mPace = aPace.mPercent / kFull;
+        task.mThrottle = aPace.mPercent / kFull;
       }
       return true;
     });
-    task.mWorked += task.mPace * kStep;
-    pace += task.mPace;
+    task.mWorked += task.mThrottle * kStep;
+    pace += task.mThrottle;
   }
   mOutcome.mWork += pace / static_cast<double>(mTasks.size()) * kStep / kLength;
   const std::size_t before = mTasks.size();
-  std::erase_if(mTasks, [](const LeftoverTask& aTask) {
+  std::erase_if(mTasks, [](const BestEffortTask& aTask) {
     return aTask.mWorked >= aTask.mEndsAt;
   });
   while (mTasks.size() < before) {
     AddTask();
     if (const auto change =
-          mGovernor.JudgeStart(mTasks.back().mTask, 1, At(aNow))) {
-      SendPaces(*change, aNow);
+          mController.ThrottleForStart(mTasks.back().mTask, 1, At(aNow))) {
+      SendThrottles(*change, aNow);
     }
   }
   const double own = OwnLoad(aNow);
-  const double latency = own + PressureInForce();
+  const double latency = own + CurrentInterference();
   mLatencySum += latency;
   ++mLatencySteps;
   if (own <= 0 && latency > 0) {
     mOverSince = mOverSince < 0 ? aNow - kStep : mOverSince;
     mOutcome.mOver += kStep;
-    mOutcome.mLongestOver = std::max(mOutcome.mLongestOver, aNow - mOverSince);
+    mOutcome.mLongestOverTarget =
+      std::max(mOutcome.mLongestOverTarget, aNow - mOverSince);
   } else {
     mOverSince = -1;
   }
 }
 
-void PressedWorker::TakeFigure()
+void ColocatedWorker::UpdateFigure()
 {
   const double noise =
     std::normal_distribution<double>(0, mPattern.mNoise)(mRandom);
@@ -153,35 +155,37 @@
   mLatencySteps = 0;
 }
 
-bool PressedWorker::SendPace(const PaceChange& aChange, double aNow)
+bool ColocatedWorker::SendThrottle(const ThrottleChange& aChange, double aNow)
 {
   const auto task =
-    std::ranges::find(mTasks, aChange.mTask, &LeftoverTask::mTask);
-  if (Chance(mPattern.mLatePaces)) {
+    std::ranges::find(mTasks, aChange.mTask, &BestEffortTask::mTask);
+  if (Chance(mPattern.mLateThrottles)) {
     const double delay = std::uniform_real_distribution<double>(2, 12)(mRandom);
     task->mPending.push_back({ aNow + delay, mAgentFence, aChange.mPercent });
-    mGovernor.NoteUnanswered(aChange);
+    mController.OnUnanswered(aChange);
     ++mAgentFence;
     return false;
   }
   mWorkerFence = mAgentFence;
   task->mPending.push_back({ aNow + kPaceDelay, kAccepted, aChange.mPercent });
-  mGovernor.NotePaced(aChange);
+  mController.OnThrottled(aChange);
   return true;
 }
 
 /// With a second try where there is no answer. Returns when it is done.
-double PressedWorker::SendPaces(const PaceChange& aChange, double aNow)
+double ColocatedWorker::SendThrottles(const ThrottleChange& aChange,
+                                      double aNow)
 {
   double now = aNow;
-  for (int attempt = 0; attempt < kPaceTries && !SendPace(aChange, now);
+  for (int attempt = 0;
+       attempt < kThrottleAttempts && !SendThrottle(aChange, now);
        ++attempt) {
     now += kPaceTimeout;
   }
   return now;
 }
 
-double PressedWorker::Look(double aNow)
+double ColocatedWorker::Poll(double aNow)
 {
   mWorkerFence = mAgentFence;
   std::vector<RunningTask> running;
@@ -190,38 +194,39 @@
   serving.mRun = 1;
   serving.mPercent = static_cast<std::int32_t>(kFull);
   serving.mFigure = mFigure;
-  for (const LeftoverTask& task : mTasks) {
+  for (const BestEffortTask& task : mTasks) {
     RunningTask& leftover = running.emplace_back();
     leftover.mTask = task.mTask;
     leftover.mRun = 1;
-    leftover.mFigure = std::lround(kCores * kMillicores * task.mPace);
+    leftover.mFigure = std::lround(kCores * kMillicores * task.mThrottle);
   }
   double done = aNow;
-  const std::vector<PaceChange> changes = mGovernor.Judge(running, At(aNow));
+  const std::vector<ThrottleChange> changes =
+    mController.Update(running, At(aNow));
   for (const bool raises : { false, true }) {
     const double sentAt = done;
-    for (const PaceChange& change : changes) {
+    for (const ThrottleChange& change : changes) {
       if (change.mRaises == raises) {
-        done = std::max(done, SendPaces(change, sentAt));
+        done = std::max(done, SendThrottles(change, sentAt));
       }
     }
   }
   return done;
 }
 
-PressedWorkerOutcome PressedWorker::Play()
+ColocatedWorkerOutcome ColocatedWorker::Play()
 {
-  double nextLook = mPattern.mLookEvery;
+  double nextLook = mPattern.mPollEvery;
   double nextFigure = kFigureSpan;
   for (double now = kStep; now < kLength; now += kStep) {
     Pass(now);
     if (now >= nextFigure) {
-      TakeFigure();
+      UpdateFigure();
       nextFigure += kFigureSpan;
     }
     if (now >= nextLook && mFigure > 0) {
-      nextLook = Look(now) + mPattern.mLookEvery +
-                 (Chance(mPattern.mLateLooks) ? kLate : 0);
+      nextLook = Poll(now) + mPattern.mPollEvery +
+                 (Chance(mPattern.mLatePolls) ? kLate : 0);
     }
   }
   return mOutcome;
--- a/tests/load/CrashingLoadTest.cpp
+++ b/tests/load/CrashingLoadTest.cpp
@@ -29,7 +29,7 @@
   pattern.mWorkers = aLoad.mWorkers;
   pattern.mStandingJobs =
     static_cast<int>(std::lround(size * pattern.mStandingJobs));
-  pattern.mLeftoverJobsPerS *= size;
+  pattern.mBestEffortJobsPerS *= size;
   pattern.mCrashingShare = aLoad.mCrashingShare;
   pattern.mRackCrashesAtS = aLoad.mRackCrashes ? 15 : 0;
   return pattern;
@@ -53,9 +53,9 @@
     const LoadOutcome calm = LoadReplay(pattern, {}).Play();
     crashingJobs += crashing.mCrashingJobs;
     EXPECT_EQ(crashing.mGivenUp, 0);
-    EXPECT_LE(crashing.mMostCrashes, kMostCrashes);
-    worth += crashing.WorthServed();
-    without += calm.WorthServed();
+    EXPECT_LE(crashing.mMaxCrashes, kMostCrashes);
+    worth += crashing.ServedScore();
+    without += calm.ServedScore();
   }
   EXPECT_GT(crashingJobs, 0);
   EXPECT_GE(worth, kLeastWorth * without);
--- a/tests/load/LoadPattern.h
+++ b/tests/load/LoadPattern.h
@@ -26,19 +26,19 @@
   /// Of the target beside nothing, in the middle of a swing, and the reach of
   /// the swing in the logarithm, either way. From 28,800 figures of one played
   /// day: 0.28 to 0.78 of the target.
-  double mCalmShare = 0.47;
+  double mBaselineShare = 0.47;
   double mSwing = 0.5;
   double mSwingPeriodS = 10;
   double mNoise = 0.08; ///< Deviation of a figure's logarithm.
 
-  int mLeftoverImages = 9;
-  double mLeftoverJobsPerS = 1.0;
+  int mBestEffortImages = 9;
+  double mBestEffortJobsPerS = 1.0;
   double mBurstFromS = 12;
   double mBurstS = 6;
   double mBurstFactor = 1.5;
   int mSteps = 2;
-  int mMostReplicas = 14; ///< Uniform from 2.
-  std::int64_t mLeftoverMillicores = 7'000;
+  int mMaxReplicas = 14; ///< Uniform from 2.
+  std::int64_t mBestEffortMillicores = 7'000;
   double mTaskS = 2.7; ///< Mean run time at full speed.
 
   /// Share of the pairs of images that press hard, and how hard, in the
@@ -59,30 +59,30 @@
 /// What came of it.
 struct LoadOutcome
 {
-  double mOnTime = 0;  ///< Share of the leftover work whose job was on time.
-  double mPressed = 0; ///< Share of the serving tasks' time over the target.
-  double mServed = 0;  ///< Share of the time that serving tasks were there.
+  double mOnTime = 0;     ///< Share of the leftover work whose job was on time.
+  double mOverTarget = 0; ///< Share of the serving tasks' time over the target.
+  double mServed = 0;     ///< Share of the time that serving tasks were there.
 
   int mGivenUp = 0;      ///< Jobs shown as failed whose tasks are sound.
-  int mMostCrashes = 0;  ///< Workers that went down under one task.
+  int mMaxCrashes = 0;   ///< Workers that went down under one task.
   int mCrashingJobs = 0; ///< Jobs with a task that takes its worker down.
   int mNotGivenUp = 0;   ///< Of these, still open though such a task began.
 
   /// Both in one figure: leftover work is worth a little more than serving, and
   /// time over the target counts four times.
-  double Worth() const
+  double Score() const
   {
-    constexpr double kLeftoverShare = 0.6;
-    constexpr double kPressedFactor = 4.0;
-    return kLeftoverShare * mOnTime +
-           (1 - kLeftoverShare) * (1 - kPressedFactor * mPressed);
+    constexpr double kBestEffortShare = 0.6;
+    constexpr double kOverTargetFactor = 4.0;
+    return kBestEffortShare * mOnTime +
+           (1 - kBestEffortShare) * (1 - kOverTargetFactor * mOverTarget);
   }
 
   /// The same where serving tasks may be away.
-  double WorthServed() const
+  double ServedScore() const
   {
-    constexpr double kLeftoverShare = 0.6;
-    return Worth() - (1 - kLeftoverShare) * (1 - mServed);
+    constexpr double kBestEffortShare = 0.6;
+    return Score() - (1 - kBestEffortShare) * (1 - mServed);
   }
 };
 
--- a/tests/load/LoadReplay.cpp
+++ b/tests/load/LoadReplay.cpp
@@ -43,7 +43,7 @@
   mScheduler.SetQueues({ queue });
   std::bernoulli_distribution heavy(mPattern.mHeavyShare);
   for (int serving = 0; serving < mPattern.mServingImages; ++serving) {
-    for (int leftover = 0; leftover < mPattern.mLeftoverImages; ++leftover) {
+    for (int leftover = 0; leftover < mPattern.mBestEffortImages; ++leftover) {
       mWeights[{ ServingImage(serving), LeftoverImage(leftover) }] =
         heavy(mRandom) ? mPattern.mHeavyPerCore : mPattern.mLightPerCore;
     }
@@ -52,7 +52,7 @@
     mManaged.push_back(std::make_unique<ManagedWorker>(
       ManagedWorker{ AgentId("agent" + std::to_string(number)),
                      ModelWorker(mPattern, mWeights, number),
-                     PaceGovernor(aPolicy.mPace) }));
+                     ThrottleController(aPolicy.mThrottle) }));
     ManagedWorker& worker = *mManaged.back();
     mScheduler.AttachWorker(
       worker.mAgent, {}, kSession, worker.mModel.State(), Clock());
@@ -87,16 +87,16 @@
   }
 }
 
-void LoadReplay::AddLeftoverJob()
+void LoadReplay::AddBestEffortJob()
 {
   StepSpec step;
   step.mReplicas =
-    std::uniform_int_distribution<int>(2, mPattern.mMostReplicas)(mRandom);
-  step.mDemand = { mPattern.mLeftoverMillicores, 13'000, 0 };
-  step.mLeftover = true;
+    std::uniform_int_distribution<int>(2, mPattern.mMaxReplicas)(mRandom);
+  step.mDemand = { mPattern.mBestEffortMillicores, 13'000, 0 };
+  step.mBestEffort = true;
   step.mCheckpoints = true;
   step.mImage = LeftoverImage(std::uniform_int_distribution<int>(
-    0, mPattern.mLeftoverImages - 1)(mRandom));
+    0, mPattern.mBestEffortImages - 1)(mRandom));
   step.mEstimate =
     std::chrono::milliseconds(std::lround(mPattern.mTaskS * 1000));
   JobGraph graph;
@@ -108,15 +108,15 @@
       graph.mSteps.back().mAfter = { number - 1 };
     }
   }
-  LeftoverJob job;
+  BestEffortJob job;
   job.mWork = step.mReplicas * mPattern.mSteps * mPattern.mTaskS *
-              static_cast<double>(mPattern.mLeftoverMillicores) / kMillicores;
+              static_cast<double>(mPattern.mBestEffortMillicores) / kMillicores;
   job.mAllowed = kStretch * mPattern.mSteps * mPattern.mTaskS + 1;
   job.mArrived = mSeconds;
   if (std::bernoulli_distribution(mPattern.mCrashingShare)(mCrashRandom)) {
     job.mCrashing = TaskRef{ graph.mId, 0, mPattern.mSteps - 1, 0 };
   }
-  mLeftoverJobs[graph.mId] = job;
+  mBestEffortJobs[graph.mId] = job;
   Add(graph);
 }
 
@@ -125,18 +125,18 @@
   const bool burst = mSeconds >= mPattern.mBurstFromS &&
                      mSeconds < mPattern.mBurstFromS + mPattern.mBurstS;
   const double rate =
-    mPattern.mLeftoverJobsPerS * (burst ? mPattern.mBurstFactor : 1.0);
+    mPattern.mBestEffortJobsPerS * (burst ? mPattern.mBurstFactor : 1.0);
   const int jobs = std::poisson_distribution<int>(rate * aSeconds)(mRandom);
   for (int number = 0; number < jobs; ++number) {
-    AddLeftoverJob();
+    AddBestEffortJob();
   }
 }
 
 void LoadReplay::Record()
 {
   constexpr std::size_t kAll = 1000;
-  for (const UnrecordedProgress& job : mScheduler.Unrecorded(kAll)) {
-    mScheduler.NoteRecorded(job.mJob, job.mVersion, ++mRevision);
+  for (const UnsavedProgress& job : mScheduler.UnsavedJobs(kAll)) {
+    mScheduler.OnProgressSaved(job.mJob, job.mVersion, ++mRevision);
   }
 }
 
@@ -175,14 +175,14 @@
   report.mWorkerAnswers = !ended;
   report.mWorkerEnded = ended;
   report.mLeaseLeft = std::chrono::seconds(3);
-  mScheduler.TakeReport(report, Clock());
+  mScheduler.HandleReport(report, Clock());
 }
 
 /// True when the task takes its worker down now.
-bool LoadReplay::TakesDown(const TaskRef& aTask)
+bool LoadReplay::CrashesWorker(const TaskRef& aTask)
 {
-  const auto job = mLeftoverJobs.find(aTask.mJob);
-  if (job == mLeftoverJobs.end() || job->second.mCrashing != aTask ||
+  const auto job = mBestEffortJobs.find(aTask.mJob);
+  if (job == mBestEffortJobs.end() || job->second.mCrashing != aTask ||
       !mPattern.mCrashes) {
     return false;
   }
@@ -190,11 +190,11 @@
   return true;
 }
 
-void LoadReplay::JudgeCrashes(LoadOutcome& aOutcome) const
+void LoadReplay::EvaluateCrashes(LoadOutcome& aOutcome) const
 {
-  for (const auto& [id, job] : mLeftoverJobs) {
+  for (const auto& [id, job] : mBestEffortJobs) {
     const JobPhase phase = mScheduler.Jobs().at(id).mPhase;
-    aOutcome.mMostCrashes = std::max(aOutcome.mMostCrashes, job.mCrashes);
+    aOutcome.mMaxCrashes = std::max(aOutcome.mMaxCrashes, job.mCrashes);
     aOutcome.mCrashingJobs += job.mCrashing ? 1 : 0;
     if (!job.mCrashing) {
       aOutcome.mGivenUp += phase == JobPhase::Failed ? 1 : 0;
@@ -217,15 +217,16 @@
   report.mOrdersDone = kAllOrders;
   report.mState = aWorker.mModel.State();
   report.mAnsweredAt = At(mSeconds).time_since_epoch();
-  mScheduler.TakeReport(report, Clock());
-  mScheduler.NoteGrant(aWorker.mAgent, At(mSeconds) + std::chrono::seconds(3));
+  mScheduler.HandleReport(report, Clock());
+  mScheduler.OnGrant(aWorker.mAgent, At(mSeconds) + std::chrono::seconds(3));
   Record();
   aWorker.mModel.Acknowledge(mScheduler.Acknowledged(aWorker.mAgent));
-  aWorker.mGovernor.TakePressures(mScheduler.PressuresOn(aWorker.mAgent));
-  for (const PaceChange& change :
-       aWorker.mGovernor.Judge(report.mState.mRunning, At(mSeconds))) {
-    aWorker.mModel.Pace(change.mTask, change.mPercent);
-    aWorker.mGovernor.NotePaced(change);
+  aWorker.mController.SetInterferenceWeights(
+    mScheduler.InterferenceWeightsOn(aWorker.mAgent));
+  for (const ThrottleChange& change :
+       aWorker.mController.Update(report.mState.mRunning, At(mSeconds))) {
+    aWorker.mModel.Throttle(change.mTask, change.mPercent);
+    aWorker.mController.OnThrottled(change);
   }
 }
 
@@ -248,35 +249,38 @@
   bool crashes = false;
   for (const StartOrder& order : orders.mStarts) {
     if (mSeconds < aWorker.mDownUntil) {
-      results.push_back({ order.mTask, order.mRun, StartOutcome::Unwell });
+      results.push_back({ order.mTask, order.mRun, StartOutcome::Unhealthy });
       continue;
     }
-    crashes = TakesDown(order.mTask) || crashes;
+    crashes = CrashesWorker(order.mTask) || crashes;
     const StepSpec& spec =
       mScheduler.Jobs().at(order.mTask.mJob).Spec(order.mTask);
     aWorker.mModel.Start(order, spec, WorkOf(order.mTask, spec));
-    aWorker.mGovernor.NoteStart(
-      { order.mTask, order.mLatencyTarget, order.mLeftover, order.mImage, {} },
-      order.mRun);
-    if (const auto change =
-          aWorker.mGovernor.JudgeStart(order.mTask, order.mRun, At(mSeconds))) {
-      aWorker.mModel.Pace(change->mTask, change->mPercent);
-      aWorker.mGovernor.NotePaced(*change);
+    aWorker.mController.OnStart({ order.mTask,
+                                  order.mLatencyTarget,
+                                  order.mBestEffort,
+                                  order.mImage,
+                                  {} },
+                                order.mRun);
+    if (const auto change = aWorker.mController.ThrottleForStart(
+          order.mTask, order.mRun, At(mSeconds))) {
+      aWorker.mModel.Throttle(change->mTask, change->mPercent);
+      aWorker.mController.OnThrottled(*change);
     }
     results.push_back({ order.mTask, order.mRun, StartOutcome::Started });
   }
   for (const StopOrder& order : orders.mStops) {
     aWorker.mModel.Stop(order);
   }
-  mScheduler.TakeStartResults(aWorker.mAgent, kSession, results, Clock());
+  mScheduler.OnStartResults(aWorker.mAgent, kSession, results, Clock());
   if (crashes) {
     CrashWorker(aWorker);
   }
 }
 
-void LoadReplay::NoteFinished()
+void LoadReplay::OnFinished()
 {
-  for (auto& [id, job] : mLeftoverJobs) {
+  for (auto& [id, job] : mBestEffortJobs) {
     if (!job.mOnTime && mSeconds <= job.mArrived + job.mAllowed) {
       job.mOnTime = mScheduler.Jobs().at(id).mPhase == JobPhase::Completed;
     }
@@ -298,7 +302,7 @@
     for (auto& worker : mManaged) {
       worker->mModel.Pass(kTickS, mSeconds);
       if (tick % kTicksPerFigure == 0) {
-        worker->mModel.TakeFigures(mRandom);
+        worker->mModel.UpdateFigures(mRandom);
       }
       Report(*worker);
     }
@@ -306,11 +310,11 @@
     for (auto& worker : mManaged) {
       CarryOut(*worker);
     }
-    NoteFinished();
+    OnFinished();
   }
   LoadOutcome outcome;
   double work = 0;
-  for (const auto& [id, job] : mLeftoverJobs) {
+  for (const auto& [id, job] : mBestEffortJobs) {
     if (!job.mCrashing && job.mArrived + job.mAllowed <= mSeconds) {
       work += job.mWork;
       outcome.mOnTime += job.mOnTime ? job.mWork : 0.0;
@@ -320,12 +324,12 @@
   double serving = 0;
   for (const auto& worker : mManaged) {
     serving += worker->mModel.ServingSeconds();
-    outcome.mPressed += worker->mModel.PressedSeconds();
+    outcome.mOverTarget += worker->mModel.OverTargetSeconds();
   }
-  outcome.mPressed /= serving;
+  outcome.mOverTarget /= serving;
   outcome.mServed = serving / (mPattern.mLengthS * mPattern.mStandingJobs *
                                mPattern.mStandingReplicas);
-  JudgeCrashes(outcome);
+  EvaluateCrashes(outcome);
   return outcome;
 }
 
@@ -335,7 +339,7 @@
   return mScheduler.Learned().WellKnown(kAll);
 }
 
-double MeanWorth(const LoadPolicy& aPolicy, int aSeeds)
+double MeanScore(const LoadPolicy& aPolicy, int aSeeds)
 {
   double sum = 0;
   for (int seed = 1; seed <= aSeeds; ++seed) {
@@ -347,7 +351,7 @@
       before.Play();
       replay.Adopt(before.Learned());
     }
-    sum += replay.Play().Worth();
+    sum += replay.Play().Score();
   }
   return sum / aSeeds;
 }
--- a/tests/load/LoadReplay.h
+++ b/tests/load/LoadReplay.h
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "src/core/cell/CellScheduler.h"
-#include "src/core/cell/PaceGovernor.h"
+#include "src/core/cell/ThrottleController.h"
 #include "tests/load/LoadPattern.h"
 #include "tests/load/ModelWorker.h"
 
@@ -16,7 +16,7 @@
 struct LoadPolicy
 {
   CellSettings mCell;
-  PaceSettings mPace;
+  ThrottleSettings mThrottle;
   /// Begin with what a replay of the same cell has learned.
   bool mKeepsLearned = false;
 };
@@ -43,14 +43,14 @@
   {
     AgentId mAgent;
     ModelWorker mModel;
-    PaceGovernor mGovernor;
+    ThrottleController mController;
     std::int64_t mSequence = 0;
     double mDownUntil = 0;
     WorkerState mLastState{}; ///< That its agent knows.
     double mAnsweredAt = 0;
   };
 
-  struct LeftoverJob
+  struct BestEffortJob
   {
     double mWork = 0; ///< Core-seconds.
     double mAllowed = 0;
@@ -62,18 +62,18 @@
 
   CellClock Clock() const;
   void AddStandingJobs();
-  void AddLeftoverJob();
+  void AddBestEffortJob();
   void Arrive(double aSeconds);
   void Add(const JobGraph& aGraph);
   void Record();
   void Report(ManagedWorker& aWorker);
   void CarryOut(ManagedWorker& aWorker);
-  void NoteFinished();
+  void OnFinished();
   void CrashWorker(ManagedWorker& aWorker);
   void CrashRack();
   void ReportDown(ManagedWorker& aWorker);
-  bool TakesDown(const TaskRef& aTask);
-  void JudgeCrashes(LoadOutcome& aOutcome) const;
+  bool CrashesWorker(const TaskRef& aTask);
+  void EvaluateCrashes(LoadOutcome& aOutcome) const;
   double WorkOf(const TaskRef& aTask, const StepSpec& aSpec);
 
   LoadPattern mPattern;
@@ -82,13 +82,13 @@
   HiddenWeights mWeights;
   CellScheduler mScheduler;
   std::vector<std::unique_ptr<ManagedWorker>> mManaged;
-  std::map<JobId, LeftoverJob> mLeftoverJobs;
+  std::map<JobId, BestEffortJob> mBestEffortJobs;
   double mSeconds = 0;
   Revision mRevision = 1;
   int mJobs = 0;
 };
 
 /// Mean worth over `aSeeds` replays.
-double MeanWorth(const LoadPolicy& aPolicy, int aSeeds);
+double MeanScore(const LoadPolicy& aPolicy, int aSeeds);
 
 } // namespace foxtailbarrow::cell::test
--- a/tests/load/LoadReplayTest.cpp
+++ b/tests/load/LoadReplayTest.cpp
@@ -28,55 +28,63 @@
   const LoadPolicy with;
   LoadPolicy without;
   GetParam().mWithout(without);
-  EXPECT_GT(MeanWorth(with, kSeeds),
-            MeanWorth(without, kSeeds) + GetParam().mLeastGain);
+  EXPECT_GT(MeanScore(with, kSeeds),
+            MeanScore(without, kSeeds) + GetParam().mLeastGain);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
   LoadGainTest,
-  testing::Values(
-    GainCase{
-      "WorkersAreFilledAboveWhatIsLeft",
-      [](LoadPolicy& aPolicy) { aPolicy.mCell.mMaxLeftoverRatio = 1.0; },
-      0.02 },
-    GainCase{
-      "ButNotFarAbove",
-      [](LoadPolicy& aPolicy) { aPolicy.mCell.mMaxLeftoverRatio = 1.8; },
-      0.02 },
-    GainCase{
-      "RoomIsPlannedNearTheTarget",
-      [](LoadPolicy& aPolicy) { aPolicy.mCell.mPlannedLatencyShare = 0.65; },
-      0.02 },
-    GainCase{
-      "ButNotBeyondIt",
-      [](LoadPolicy& aPolicy) { aPolicy.mCell.mPlannedLatencyShare = 1.0; },
-      0.02 },
-    GainCase{ "OnlyWhatPressesIsHeldDown",
-              [](LoadPolicy& aPolicy) { aPolicy.mPace.mHarmless = 0.01; },
-              0.02 },
-    GainCase{ "ASwingMayPassBeforeAllStops",
-              [](LoadPolicy& aPolicy) {
-                aPolicy.mPace.mHardAfter = milliseconds(900);
-                aPolicy.mPace.mAllAfter = milliseconds(1800);
-              },
-              0.01 },
-    GainCase{ "ASwingIsNotTakenForPressure",
-              [](LoadPolicy& aPolicy) {
-                constexpr double kNone = 1e-7;
-                InterferenceSettings& learning = aPolicy.mCell.mInterference;
-                learning.mLoadVariance = kNone;
-                learning.mLoadTrack.mRateVariance = kNone;
-                learning.mLoadTrack.mBend = kNone;
-                learning.mNoise = 0.4;
-                learning.mMaxError = 2.0;
-              },
-              0.02 },
-    GainCase{ "StalledTasksMove",
-              [](LoadPolicy& aPolicy) {
-                aPolicy.mCell.mMoveStalledAfter = std::chrono::hours(1);
-              },
-              0.015 }),
+  testing::Values(GainCase{ "WorkersAreFilledAboveWhatIsLeft",
+                            [](LoadPolicy& aPolicy) {
+                              aPolicy.mCell.mMaxBestEffortRatio = 1.0;
+                            },
+                            0.02 },
+                  GainCase{ "ButNotFarAbove",
+                            [](LoadPolicy& aPolicy) {
+                              aPolicy.mCell.mMaxBestEffortRatio = 1.8;
+                            },
+                            0.02 },
+                  GainCase{ "RoomIsPlannedNearTheTarget",
+                            [](LoadPolicy& aPolicy) {
+                              aPolicy.mCell.mPlannedLatencyShare = 0.65;
+                            },
+                            0.02 },
+                  GainCase{ "ButNotBeyondIt",
+                            [](LoadPolicy& aPolicy) {
+                              aPolicy.mCell.mPlannedLatencyShare = 1.0;
+                            },
+                            0.02 },
+                  GainCase{ "OnlyWhatPressesIsHeldDown",
+                            [](LoadPolicy& aPolicy) {
+                              aPolicy.mThrottle.mHarmlessWeight = 0.01;
+                            },
+                            0.02 },
+                  GainCase{ "ASwingMayPassBeforeAllStops",
+                            [](LoadPolicy& aPolicy) {
+                              aPolicy.mThrottle.mStopAfter = milliseconds(900);
+                              aPolicy.mThrottle.mStopAllAfter =
+                                milliseconds(1800);
+                            },
+                            0.01 },
+                  GainCase{ "ASwingIsNotTakenForPressure",
+                            [](LoadPolicy& aPolicy) {
+                              constexpr double kNone = 1e-7;
+                              InterferenceSettings& learning =
+                                aPolicy.mCell.mInterference;
+                              learning.mLoadVariance = kNone;
+                              learning.mLoadFilter.mRateVariance = kNone;
+                              learning.mLoadFilter.mRateNoiseDensity = kNone;
+                              learning.mNoise = 0.4;
+                              learning.mMaxError = 2.0;
+                            },
+                            0.02 },
+                  GainCase{ "StalledTasksMove",
+                            [](LoadPolicy& aPolicy) {
+                              aPolicy.mCell.mMoveStalledAfter =
+                                std::chrono::hours(1);
+                            },
+                            0.015 }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 /// An owner that begins with what the one before it learned.
@@ -84,7 +92,7 @@
 {
   LoadPolicy keeps;
   keeps.mKeepsLearned = true;
-  EXPECT_GT(MeanWorth(keeps, kSeeds), MeanWorth({}, kSeeds) + 0.06);
+  EXPECT_GT(MeanScore(keeps, kSeeds), MeanScore({}, kSeeds) + 0.06);
 }
 
 } // namespace
--- a/tests/load/ModelWorker.cpp
+++ b/tests/load/ModelWorker.cpp
@@ -26,7 +26,7 @@
 
 void ModelWorker::Crash()
 {
-  ++mLife;
+  ++mRestarts;
   mTasks.clear();
   mEnded.clear();
   mLastEnd = 0;
@@ -56,7 +56,7 @@
   }
 }
 
-void ModelWorker::Pace(const TaskRef& aTask, std::int32_t aPercent)
+void ModelWorker::Throttle(const TaskRef& aTask, std::int32_t aPercent)
 {
   if (const auto task = mTasks.find(aTask); task != mTasks.end()) {
     task->second.mShare = aPercent / kFull;
@@ -125,7 +125,7 @@
       continue;
     }
     const double own =
-      std::log(mPattern.mCalmShare) + mPattern.mSwing * LoadOf(task, aNow);
+      std::log(mPattern.mBaselineShare) + mPattern.mSwing * LoadOf(task, aNow);
     double pressure = 0;
     for (const auto& [other, leftover] : mTasks) {
       if (!leftover.mStanding) {
@@ -137,11 +137,11 @@
     double& sum = mLatencySum[task.mOrder.mImage];
     sum = std::max(sum, std::exp(own + pressure));
     mServingSeconds += aSeconds;
-    mPressedSeconds += own <= 0 && own + pressure > 0 ? aSeconds : 0.0;
+    mOverTargetSeconds += own <= 0 && own + pressure > 0 ? aSeconds : 0.0;
   }
 }
 
-void ModelWorker::TakeFigures(std::mt19937& aRandom)
+void ModelWorker::UpdateFigures(std::mt19937& aRandom)
 {
   std::normal_distribution<double> noise(0, mPattern.mNoise);
   for (auto& [ref, task] : mTasks) {
@@ -162,7 +162,7 @@
 {
   WorkerState state;
   state.mInfo.mIncarnation = WorkerIncarnation(
-    "life" + std::to_string(mNumber) + "-" + std::to_string(mLife));
+    "life" + std::to_string(mNumber) + "-" + std::to_string(mRestarts));
   state.mInfo.mService = ServiceId("service");
   state.mInfo.mCapacity = { mPattern.mWorkerMillicores,
                             mPattern.mWorkerMemoryMb,
--- a/tests/load/ModelWorker.h
+++ b/tests/load/ModelWorker.h
@@ -30,18 +30,18 @@
   /// `aWork`: core-seconds until it is done; 0 = lasts.
   void Start(const StartOrder& aOrder, const StepSpec& aSpec, double aWork);
   void Stop(const StopOrder& aOrder);
-  void Pace(const TaskRef& aTask, std::int32_t aPercent);
+  void Throttle(const TaskRef& aTask, std::int32_t aPercent);
 
   /// Lets `aSeconds` pass; `aNow` is the end of them.
   void Pass(double aSeconds, double aNow);
   /// Brings the figures up to date: they cover the time since the last call.
-  void TakeFigures(std::mt19937& aRandom);
+  void UpdateFigures(std::mt19937& aRandom);
 
   WorkerState State() const;
   void Acknowledge(std::int64_t aNumber);
 
   double ServingSeconds() const { return mServingSeconds; }
-  double PressedSeconds() const { return mPressedSeconds; }
+  double OverTargetSeconds() const { return mOverTargetSeconds; }
 
 private:
   struct Task
@@ -65,7 +65,7 @@
   LoadPattern mPattern;
   const HiddenWeights* mWeights;
   int mNumber;
-  int mLife = 0;
+  int mRestarts = 0;
   double mNow = 0;
   std::map<TaskRef, Task> mTasks;
   std::vector<EndedTask> mEnded;
@@ -73,7 +73,7 @@
   std::map<std::string, double> mLatencySum; ///< Logarithms, by image.
   double mCovered = 0;                       ///< Seconds of the figures.
   double mServingSeconds = 0;
-  double mPressedSeconds = 0;
+  double mOverTargetSeconds = 0;
 };
 
 } // namespace foxtailbarrow::cell::test
--- a/tests/load/NearlyReservedCellTest.cpp
+++ b/tests/load/NearlyReservedCellTest.cpp
@@ -33,13 +33,13 @@
   pattern.mStandingJobs = 10;
   pattern.mStandingReplicas = 7;
   pattern.mServingImages = 10;
-  pattern.mCalmShare = 0.42;
+  pattern.mBaselineShare = 0.42;
   pattern.mSwing = 0.5;
   pattern.mSwingPeriodS = 14;
-  pattern.mLeftoverImages = 18;
-  pattern.mLeftoverJobsPerS = 0.5;
+  pattern.mBestEffortImages = 18;
+  pattern.mBestEffortJobsPerS = 0.5;
   pattern.mBurstFromS = 10;
-  pattern.mMostReplicas = 38;
+  pattern.mMaxReplicas = 38;
   pattern.mTaskS = 2.2;
   pattern.mHeavyShare = 0.25;
   pattern.mHeavyPerCore = 0.05;
@@ -56,12 +56,12 @@
     pattern.mSeed = static_cast<std::uint32_t>(seed);
     const LoadOutcome outcome = LoadReplay(pattern, {}).Play();
     mean.mOnTime += outcome.mOnTime / kSeeds;
-    mean.mPressed += outcome.mPressed / kSeeds;
+    mean.mOverTarget += outcome.mOverTarget / kSeeds;
   }
   // Ten replays: 0.469 and 0.009 with room planned from the image's mean, 0.595
   // and 0.006 with it planned from the load of each job.
   EXPECT_GT(mean.mOnTime, 0.53);
-  EXPECT_LT(mean.mPressed, 0.008);
+  EXPECT_LT(mean.mOverTarget, 0.008);
 }
 
 } // namespace
--- a/tests/load/ServingTargetTest.cpp
+++ b/tests/load/ServingTargetTest.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/load/PressedWorker.h"
+#include "tests/load/ColocatedWorker.h"
 
 namespace foxtailbarrow::cell::test {
 
@@ -13,7 +13,7 @@
 constexpr double kLongestOver = 4.0;
 constexpr int kReplays = 1000;
 
-class ServingTargetTest : public testing::TestWithParam<PressedWorkerPattern>
+class ServingTargetTest : public testing::TestWithParam<ColocatedWorkerPattern>
 {};
 
 TEST_P(ServingTargetTest, NoTaskStaysOverItsTargetByWhatRunsBesideIt)
@@ -23,12 +23,12 @@
   double work = 0;
   int reached = 0;
   for (int seed = 1; seed <= kReplays; ++seed) {
-    const PressedWorkerOutcome outcome =
-      PressedWorker(GetParam(), static_cast<std::uint32_t>(seed)).Play();
-    longest = std::max(longest, outcome.mLongestOver);
+    const ColocatedWorkerOutcome outcome =
+      ColocatedWorker(GetParam(), static_cast<std::uint32_t>(seed)).Play();
+    longest = std::max(longest, outcome.mLongestOverTarget);
     over += outcome.mOver / kReplays;
     work += outcome.mWork / kReplays;
-    reached += outcome.mLongestOver >= kLongestOver ? 1 : 0;
+    reached += outcome.mLongestOverTarget >= kLongestOver ? 1 : 0;
   }
   RecordProperty("longestOver", std::to_string(longest));
   RecordProperty("over", std::to_string(over));
@@ -40,19 +40,19 @@
   Agents,
   ServingTargetTest,
   testing::Values(
-    PressedWorkerPattern{ .mName = "InTime", .mLookEvery = 0.1 },
-    PressedWorkerPattern{ .mName = "SlowLooks" },
-    PressedWorkerPattern{ .mName = "RoughFigures", .mNoise = 0.2 },
-    PressedWorkerPattern{ .mName = "ShortTasks", .mTaskLength = 0.7 },
-    PressedWorkerPattern{ .mName = "LateLooks",
-                          .mLateLooks = 0.3,
-                          .mTaskLength = 2 },
-    PressedWorkerPattern{ .mName = "LatePaces", .mLatePaces = 0.1 },
-    PressedWorkerPattern{ .mName = "RoughAndLate",
-                          .mNoise = 0.2,
-                          .mLateLooks = 0.3,
-                          .mTaskLength = 0.7,
-                          .mLatePaces = 0.1 }),
+    ColocatedWorkerPattern{ .mName = "InTime", .mPollEvery = 0.1 },
+    ColocatedWorkerPattern{ .mName = "SlowLooks" },
+    ColocatedWorkerPattern{ .mName = "RoughFigures", .mNoise = 0.2 },
+    ColocatedWorkerPattern{ .mName = "ShortTasks", .mTaskLength = 0.7 },
+    ColocatedWorkerPattern{ .mName = "LateLooks",
+                            .mLatePolls = 0.3,
+                            .mTaskLength = 2 },
+    ColocatedWorkerPattern{ .mName = "LatePaces", .mLateThrottles = 0.1 },
+    ColocatedWorkerPattern{ .mName = "RoughAndLate",
+                            .mNoise = 0.2,
+                            .mLatePolls = 0.3,
+                            .mTaskLength = 0.7,
+                            .mLateThrottles = 0.1 }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 } // namespace
--- a/tests/ownership/Chaos.cpp
+++ b/tests/ownership/Chaos.cpp
@@ -11,7 +11,7 @@
 constexpr unsigned kAllEntries = (1U << kFirstAgent) - 1;
 constexpr unsigned kOtherSide = 2;
 
-bool Hits(unsigned aTargets, std::size_t aBit)
+bool IsTarget(unsigned aTargets, std::size_t aBit)
 {
   return ((aTargets >> aBit) & 1U) != 0;
 }
@@ -33,7 +33,7 @@
 void ChaosFleet::ForEntries(unsigned aTargets, Action aAction)
 {
   for (std::size_t entry = 0; entry < Size(); ++entry) {
-    if (Hits(aTargets, entry)) {
+    if (IsTarget(aTargets, entry)) {
       aAction(entry);
     }
   }
@@ -43,7 +43,7 @@
 void ChaosFleet::ForAgents(unsigned aTargets, Action aAction)
 {
   for (std::size_t agent = 0; agent < Agents(); ++agent) {
-    if (Hits(aTargets, kFirstAgent + agent)) {
+    if (IsTarget(aTargets, kFirstAgent + agent)) {
       aAction(AgentNode(agent));
     }
   }
@@ -58,24 +58,24 @@
   ForAgents(aTargets, [=](Node& aNode) { aNode.mSides = aSides; });
 }
 
-void ChaosFleet::Befall(const Fault& aFault)
+void ChaosFleet::Inject(const Fault& aFault)
 {
   const Duration span = std::chrono::seconds(aFault.mSpan);
   const unsigned targets = aFault.mTargets;
   const auto undo = [this, span](Task aTask) { At(Now() + span, aTask); };
   switch (aFault.mKind) {
     case FaultKind::StoreDown:
-      mWeather.mStoreDown = true;
-      undo([this] { mWeather.mStoreDown = false; });
+      mNetwork.mStoreDown = true;
+      undo([this] { mNetwork.mStoreDown = false; });
       return;
     case FaultKind::LostReplies:
-      mWeather.mLostReplies = 0.3;
-      mWeather.mLost = 0.1;
-      undo([this] { mWeather.mLostReplies = mWeather.mLost = 0.0; });
+      mNetwork.mLostReplies = 0.3;
+      mNetwork.mLost = 0.1;
+      undo([this] { mNetwork.mLostReplies = mNetwork.mLost = 0.0; });
       return;
     case FaultKind::Stragglers:
-      mWeather.mStraggling = 0.2;
-      undo([this] { mWeather.mStraggling = 0.0; });
+      mNetwork.mStraggling = 0.2;
+      undo([this] { mNetwork.mStraggling = 0.0; });
       return;
     case FaultKind::EntriesLoseStore:
       ForEntries(targets, [&](std::size_t aEntry) {
--- a/tests/ownership/Chaos.h
+++ b/tests/ownership/Chaos.h
@@ -36,7 +36,7 @@
 public:
   using TaskFleet::TaskFleet;
 
-  void Befall(const Fault& aFault);
+  void Inject(const Fault& aFault);
 
 private:
   template<typename Action>
--- a/tests/ownership/Fleet.cpp
+++ b/tests/ownership/Fleet.cpp
@@ -43,10 +43,10 @@
   Node& node = mEntries[aEntry];
   node.mUp = true;
   node.mPausedUntil = {};
-  ++node.mLife;
+  ++node.mIncarnation;
   mDrained.erase(aEntry);
   const EntryRecord self{ EntryId(node.mName),
-                          static_cast<Incarnation>(node.mLife),
+                          static_cast<Incarnation>(node.mIncarnation),
                           { "127.0.0.1",
                             static_cast<std::uint16_t>(aEntry + 1) },
                           0 };
@@ -82,8 +82,8 @@
 void Fleet::Deliver(Node& aNode, Duration aDelay, Task aTask)
 {
   At(mNow + aDelay,
-     [this, &aNode, life = aNode.mLife, task = std::move(aTask)] {
-       if (!aNode.mUp || aNode.mLife != life) {
+     [this, &aNode, life = aNode.mIncarnation, task = std::move(aTask)] {
+       if (!aNode.mUp || aNode.mIncarnation != life) {
          return;
        }
        if (aNode.mPausedUntil > mNow) {
@@ -118,16 +118,16 @@
   Deliver(aNode, kStoreTimeout, [finish] {
     finish(CallFailed{ Verdict::MayHaveRun });
   });
-  if (Chance(mWeather.mLost)) {
+  if (Chance(mNetwork.mLost)) {
     return;
   }
   // A pause of the caller between deciding and sending holds the call back.
   Deliver(aNode, Delay(), [this, &aNode, finish, aCall] {
-    if (mWeather.mStoreDown || !aNode.mReachesStore) {
+    if (mNetwork.mStoreDown || !aNode.mReachesStore) {
       return;
     }
     const StoreResult result = mStore.Apply(aCall, mNow);
-    if (!Chance(mWeather.mLostReplies)) {
+    if (!Chance(mNetwork.mLostReplies)) {
       Deliver(aNode, Delay(), [finish, result] { finish(result); });
     }
   });
@@ -138,7 +138,7 @@
   ++mMessages;
   // A pause of the sender between deciding and sending holds it back.
   Deliver(aFrom, Delay(), [this, &aFrom, &aTo, task = std::move(aTask)] {
-    if ((aFrom.mSides & aTo.mSides) != 0 && !Chance(mWeather.mLost)) {
+    if ((aFrom.mSides & aTo.mSides) != 0 && !Chance(mNetwork.mLost)) {
       Deliver(aTo, Delay(), task);
     }
   });
@@ -147,10 +147,10 @@
 Duration Fleet::Delay()
 {
   std::exponential_distribution<double> spread(1.0);
-  const Duration late = Chance(mWeather.mStraggling)
+  const Duration late = Chance(mNetwork.mStraggling)
                           ? Duration(mRandom() % Duration(15s).count())
                           : 0us;
-  return late + std::chrono::duration_cast<Duration>(mWeather.mDelay *
+  return late + std::chrono::duration_cast<Duration>(mNetwork.mDelay *
                                                      spread(mRandom));
 }
 
--- a/tests/ownership/Fleet.h
+++ b/tests/ownership/Fleet.h
@@ -23,7 +23,7 @@
   std::string mName;
   double mRate = 1.0; ///< Of its clock.
   bool mUp = true;
-  int mLife = 0; ///< Raised at every start; older deliveries are void.
+  int mIncarnation = 0; ///< Raised at every start; older deliveries are void.
   unsigned mSides = kMainSide; ///< Nodes with a common bit reach each other.
   bool mReachesStore = true;
   Duration mPausedUntil{}; ///< True time.
@@ -35,7 +35,7 @@
 };
 
 /// How the network and the store behave.
-struct Weather
+struct NetworkConditions
 {
   Duration mDelay = 2ms;     ///< Mean, one way.
   double mLostReplies = 0.0; ///< Of the store, after the effect.
@@ -77,7 +77,7 @@
   std::size_t Holders(ShardId aShard) const;
 
   ModelStore mStore;
-  Weather mWeather;
+  NetworkConditions mNetwork;
   OwnershipSettings mSettings;
 
   /// Mutation: voters attest whatever they promised.
@@ -112,7 +112,7 @@
   void Act(std::size_t aEntry, const SendPromise& aAction);
   void Act(std::size_t, const ShardGained&) {}
   void Act(std::size_t, const ShardGivenUp&) {}
-  void Act(std::size_t, const EarlierLeasesOver&) {}
+  void Act(std::size_t, const EarlierLeasesExpired&) {}
   void Act(std::size_t aEntry, const Superseded&) { Kill(aEntry); }
   void Act(std::size_t aEntry, const Drained&) { mDrained.insert(aEntry); }
   std::size_t Index(const EntryId& aEntry) const;
--- a/tests/ownership/ModelStore.cpp
+++ b/tests/ownership/ModelStore.cpp
@@ -7,7 +7,7 @@
 StoreResult ModelStore::Apply(const StoreCommand& aCall, Duration aNow)
 {
   ++mCalls;
-  Lapse(aNow);
+  ExpireLeases(aNow);
   return std::visit([&](const auto& aAny) { return Run(aAny, aNow); }, aCall);
 }
 
@@ -21,7 +21,7 @@
 {
   const auto lease = mLeases.find(aCall.mLease);
   if (lease == mLeases.end()) {
-    return LeaseGone{};
+    return LeaseNotFound{};
   }
   lease->second.mEnds = aNow + lease->second.mTtl;
   return LeaseKept{};
@@ -31,7 +31,7 @@
 {
   if (const auto lease = mLeases.find(aCall.mLease); lease != mLeases.end()) {
     lease->second.mEnds = aNow;
-    Lapse(aNow);
+    ExpireLeases(aNow);
   }
   return LeaseRevoked{};
 }
@@ -78,7 +78,7 @@
   return StoreTransactionResult{ true, mRevision };
 }
 
-void ModelStore::Lapse(Duration aNow)
+void ModelStore::ExpireLeases(Duration aNow)
 {
   std::erase_if(mLeases, [aNow](const auto& aLease) {
     return aLease.second.mEnds <= aNow;
--- a/tests/ownership/ModelStore.h
+++ b/tests/ownership/ModelStore.h
@@ -24,7 +24,7 @@
   StoreResult Run(const RevokeLeaseCall& aCall, Duration aNow);
   StoreResult Run(const ListCall& aCall, Duration aNow);
   StoreResult Run(const CommitCall& aCall, Duration aNow);
-  void Lapse(Duration aNow);
+  void ExpireLeases(Duration aNow);
 
   struct Lease
   {
--- a/tests/ownership/RecordsTest.cpp
+++ b/tests/ownership/RecordsTest.cpp
@@ -73,7 +73,8 @@
     SettingsCase{ false,
                   [](S& aSettings) { aSettings.mAttestationValidity = 2s; } },
     SettingsCase{ false, [](S& aSettings) { aSettings.mRestartSilence = 8s; } },
-    SettingsCase{ false, [](S& aSettings) { aSettings.mHold = 105min; } }));
+    SettingsCase{ false,
+                  [](S& aSettings) { aSettings.mTenureTimeout = 105min; } }));
 
 } // namespace
 } // namespace foxtailbarrow
--- a/tests/ownership/SafetyPropertyTest.cpp
+++ b/tests/ownership/SafetyPropertyTest.cpp
@@ -46,9 +46,9 @@
 }
 
 /// The first task in two places under these faults; empty when there is none.
-std::string FirstDoubled(const SafetyCase& aCase,
-                         int aSeed,
-                         const std::vector<Fault>& aFaults)
+std::string FirstDoubleRun(const SafetyCase& aCase,
+                           int aSeed,
+                           const std::vector<Fault>& aFaults)
 {
   OwnershipSettings settings;
   settings.mShards = 2;
@@ -57,11 +57,11 @@
   aCase.mMutate(fleet);
   fleet.RunFor(20s);
   for (const Fault& fault : aFaults) {
-    fleet.Befall(fault);
+    fleet.Inject(fault);
     fleet.RunFor(std::chrono::seconds(fault.mGap));
   }
   fleet.RunFor(90s);
-  return fleet.mDoubled;
+  return fleet.mFirstDoubleRun;
 }
 
 class TaskSafety : public testing::TestWithParam<SafetyCase>
@@ -76,7 +76,7 @@
   params.disableShrinking = !GetParam().mSafe;
   const auto result = rc::detail::checkTestable(
     [](int aSeed, const std::vector<Fault>& aFaults) {
-      const std::string doubled = FirstDoubled(GetParam(), aSeed, aFaults);
+      const std::string doubled = FirstDoubleRun(GetParam(), aSeed, aFaults);
       RC_ASSERT(doubled == "");
     },
     rc::detail::TestMetadata(),
@@ -95,10 +95,11 @@
   TaskSafety,
   testing::Values(
     SafetyCase{ "AsDesigned", true, kAsIs, kNone },
-    SafetyCase{ "NoHold",
-                false,
-                [](OwnershipSettings& aSettings) { aSettings.mHold = 30s; },
-                kNone },
+    SafetyCase{
+      "NoHold",
+      false,
+      [](OwnershipSettings& aSettings) { aSettings.mTenureTimeout = 30s; },
+      kNone },
     SafetyCase{ "VotersForget",
                 false,
                 kAsIs,
--- a/tests/ownership/SplitTest.cpp
+++ b/tests/ownership/SplitTest.cpp
@@ -69,14 +69,14 @@
   EXPECT_FALSE(split.mFleet.RunsAt(0).has_value());
   split.mFleet.RunFor(25s);
   EXPECT_TRUE(split.mFleet.RunsAt(0).has_value());
-  EXPECT_EQ(split.mFleet.mDoubled, "");
+  EXPECT_EQ(split.mFleet.mFirstDoubleRun, "");
 }
 
 TEST(CutOffMajority, KeepsTheTaskUntilTheHoldEnds)
 {
   OwnershipSettings settings = OneShard();
-  settings.mStretchLimit = 10min;
-  settings.mHold = 11min;
+  settings.mMaxExtension = 10min;
+  settings.mTenureTimeout = 11min;
   Split split(settings, 3, 1);
   split.Move(split.mOthers[0], kOtherSide);
   split.mFleet.RunFor(9min);
@@ -85,7 +85,7 @@
   split.mFleet.RunFor(3min);
   EXPECT_FALSE(split.OwnerExtends());
   EXPECT_EQ(split.mFleet.Starts(0), 2);
-  EXPECT_EQ(split.mFleet.mDoubled, "");
+  EXPECT_EQ(split.mFleet.mFirstDoubleRun, "");
 }
 
 struct RestartCase
@@ -119,7 +119,7 @@
     split.mFleet.RunFor(500ms * gap);
     split.Restart(split.mOthers[0]);
     split.mFleet.RunFor(80s);
-    doubled += split.mFleet.mDoubled;
+    doubled += split.mFleet.mFirstDoubleRun;
   }
   EXPECT_EQ(doubled.empty(), GetParam().mSafe) << doubled;
 }
@@ -147,8 +147,8 @@
   split.mFleet.RunFor(20s);
   split.Move(others[1], kMainSide | kOtherSide);
   split.mFleet.RunFor(60s);
-  EXPECT_EQ(split.mFleet.mDoubled.empty(), GetParam().mSafe)
-    << split.mFleet.mDoubled;
+  EXPECT_EQ(split.mFleet.mFirstDoubleRun.empty(), GetParam().mSafe)
+    << split.mFleet.mFirstDoubleRun;
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/ownership/StandingWorkTest.cpp
+++ b/tests/ownership/StandingWorkTest.cpp
@@ -36,7 +36,7 @@
   TaskFleet fleet(Settings(), GetParam().mEntries, 3, 7);
   fleet.RunFor(30s);
   const std::vector<Epoch> before = AllStarts(fleet);
-  fleet.mWeather.mStoreDown = true;
+  fleet.mNetwork.mStoreDown = true;
   fleet.RunFor(60s);
   for (std::size_t entry = 0; entry < GetParam().mDead; ++entry) {
     fleet.Kill(entry);
@@ -49,9 +49,9 @@
   EXPECT_EQ(fleet.Owner(survivor).MayExtend(shard, fleet.LocalNow(survivor)),
             GetParam().mRunsOn);
 
-  fleet.mWeather.mStoreDown = false;
+  fleet.mNetwork.mStoreDown = false;
   fleet.RunFor(20s);
-  EXPECT_EQ(fleet.mDoubled, "");
+  EXPECT_EQ(fleet.mFirstDoubleRun, "");
   if (GetParam().mRunsOn) {
     EXPECT_EQ(fleet.Starts(shard), before[shard]);
   }
--- a/tests/ownership/StoreBudgetTest.cpp
+++ b/tests/ownership/StoreBudgetTest.cpp
@@ -38,7 +38,7 @@
   const char* mName;
   std::function<void(Fleet&)> mEvent;
   int mSeconds;
-  double mMostMean; ///< Calls a second, of the store's 2,000 reads a second.
+  double mMaxMean; ///< Calls a second, of the store's 2,000 reads a second.
 };
 
 class StoreBudget : public testing::TestWithParam<BudgetCase>
@@ -58,7 +58,7 @@
               static_cast<unsigned long>(load.mCalls),
               static_cast<unsigned long>(load.mMessages),
               GetParam().mSeconds);
-  EXPECT_LE(load.mMean, GetParam().mMostMean);
+  EXPECT_LE(load.mMean, GetParam().mMaxMean);
   for (ShardId shard = 0; shard < settings.mShards; ++shard) {
     EXPECT_LE(fleet.Holders(shard), 1);
   }
@@ -81,7 +81,7 @@
 
 void LoseStore(Fleet& aFleet)
 {
-  aFleet.mWeather.mStoreDown = true;
+  aFleet.mNetwork.mStoreDown = true;
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/ownership/TaskFleet.cpp
+++ b/tests/ownership/TaskFleet.cpp
@@ -34,7 +34,7 @@
     Node& node = mAgents[agent].mNode;
     node.mRate = rate(mRandom);
     mAgents[agent].mRuns.resize(aSettings.mShards);
-    Every(node, kHeartbeat, [this, agent] { Beat(agent); });
+    Every(node, kHeartbeat, [this, agent] { SendHeartbeat(agent); });
     Every(node, kRenewal, [this, agent] { Renew(agent); });
   }
 }
@@ -78,7 +78,7 @@
   }
 }
 
-void TaskFleet::Beat(std::size_t aAgent)
+void TaskFleet::SendHeartbeat(std::size_t aAgent)
 {
   Agent& agent = mAgents[aAgent];
   const Instant sent = agent.mNode.Local(Now());
@@ -102,7 +102,9 @@
     }
     Job& job = found->second;
     const Run& run = aRuns[shard];
-    job.mNews[aAgent] = { now, aSent, run.mSeen, run.mRunning, run.mFence };
+    job.mRunReports[aAgent] = {
+      now, aSent, run.mSeen, run.mRunning, run.mFence
+    };
     job.mExtended[aAgent] = now;
     Send(EntryNode(aEntry),
          AgentNode(aAgent),
@@ -165,7 +167,7 @@
       continue;
     }
     // Held back where the agent pauses after its check.
-    Deliver(agent.mNode, mWeather.mDelay, [=, this, epoch = run.mSeen] {
+    Deliver(agent.mNode, mNetwork.mDelay, [=, this, epoch = run.mSeen] {
       Run& atWorker = mAgents[aAgent].mRuns[shard];
       if (atWorker.mSeen != epoch) {
         return;
@@ -185,12 +187,13 @@
   run.mWorkerEnds = std::max(run.mWorkerEnds, Now() + kWorkerLease);
   for (std::size_t other = 0; other < mAgents.size(); ++other) {
     const Run& there = mAgents[other].mRuns[aShard];
-    if (other != aAgent && there.mWorkerEnds > Now() && mDoubled.empty()) {
+    if (other != aAgent && there.mWorkerEnds > Now() &&
+        mFirstDoubleRun.empty()) {
       std::ostringstream text;
       text << "shard " << aShard << " at agent " << aAgent << " epoch "
            << run.mSeen << " and agent " << other << " epoch " << there.mSeen
            << " after " << Now().count() / 1e6 << " s";
-      mDoubled = text.str();
+      mFirstDoubleRun = text.str();
     }
   }
 }
@@ -240,8 +243,8 @@
 {
   const Instant now = LocalNow(aEntry);
   if (aJob.mEpoch != 0) {
-    const auto news = aJob.mNews.find(aJob.mAgent);
-    const bool heard = news != aJob.mNews.end() &&
+    const auto news = aJob.mRunReports.find(aJob.mAgent);
+    const bool heard = news != aJob.mRunReports.end() &&
                        now < news->second.mAt + kSilent &&
                        news->second.mFence == aJob.mGeneration;
     const bool ended =
@@ -264,7 +267,7 @@
     }
   }
   std::vector<std::size_t> live;
-  for (const auto& [agent, news] : aJob.mNews) {
+  for (const auto& [agent, news] : aJob.mRunReports) {
     if (now < news.mAt + 2 * kHeartbeat) {
       live.push_back(agent);
     }
@@ -285,7 +288,7 @@
   }
   const auto extended = aJob.mExtended.find(aJob.mAgent);
   const Duration wait =
-    OwnershipSettings::WaitFor(mSettings.mTaskLease) + mSettings.mMargin;
+    OwnershipSettings::WithClockError(mSettings.mTaskLease) + mSettings.mMargin;
   return extended == aJob.mExtended.end() || now >= extended->second + wait;
 }
 
--- a/tests/ownership/TaskFleet.h
+++ b/tests/ownership/TaskFleet.h
@@ -37,7 +37,7 @@
   Epoch Starts(ShardId aShard) const { return mStarts.at(aShard); }
 
   /// Empty, or a description of the first task in two places.
-  std::string mDoubled;
+  std::string mFirstDoubleRun;
   TaskMutations mMutations;
 
 private:
@@ -58,7 +58,7 @@
   };
 
   /// A heartbeat's news of one shard.
-  struct News
+  struct RunReport
   {
     Instant mAt{};
     Instant mSent{}; ///< By the agent's clock.
@@ -78,13 +78,13 @@
     std::size_t mAgent = 0;
     Revision mRevision = 0;
     std::map<std::size_t, Instant> mExtended;
-    std::map<std::size_t, News> mNews;
+    std::map<std::size_t, RunReport> mRunReports;
   };
 
   void OnShards(std::size_t aEntry, const OwnershipActions& aActions) override;
   void OnTick(std::size_t aEntry) override;
 
-  void Beat(std::size_t aAgent);
+  void SendHeartbeat(std::size_t aAgent);
   void OnHeartbeat(std::size_t aEntry,
                    std::size_t aAgent,
                    Instant aSent,
--- a/tests/platform/AdviceCodecTest.cpp
+++ b/tests/platform/AdviceCodecTest.cpp
@@ -31,7 +31,7 @@
   ASSERT_EQ(reply->mGranted.size(), 1U);
   EXPECT_EQ(reply->mGranted[0].mWorker, cell::WorkerIncarnation("i-1"));
   EXPECT_EQ(reply->mGranted[0].mTicket, "c81e");
-  EXPECT_EQ(reply->mValid, milliseconds(3000));
+  EXPECT_EQ(reply->mTicketLifetime, milliseconds(3000));
 }
 
 class BadAdvice : public testing::TestWithParam<const char*>
--- a/tests/platform/CodecTest.cpp
+++ b/tests/platform/CodecTest.cpp
@@ -78,7 +78,7 @@
   EXPECT_EQ(FormatStart({ kTask, 2, "text", "", "", 486000, 7 }),
             R"({"DeadlineMs":486000,"Fence":7,"Run":2,"Spec":"text",)"
             R"("Task":"5c0e7a21d94b36f8.0.1.17"})");
-  cell::LookCall look;
+  cell::PollCall look;
   look.mFence = 7;
   look.mAcknowledged = 57;
   look.mWait = std::chrono::milliseconds(1000);
@@ -105,8 +105,8 @@
 INSTANTIATE_TEST_SUITE_P(
   Table,
   Refusals,
-  testing::Values(RefusalCase{ "room", cell::StartOutcome::NoRoom },
-                  RefusalCase{ "old", cell::StartOutcome::OldRun },
+  testing::Values(RefusalCase{ "room", cell::StartOutcome::NoFreeCapacity },
+                  RefusalCase{ "old", cell::StartOutcome::StaleRun },
                   RefusalCase{ "late", cell::StartOutcome::NoLease },
                   RefusalCase{ "fence", cell::StartOutcome::NotStarted },
                   RefusalCase{ "new", cell::StartOutcome::NotStarted }));
--- a/tests/platform/JobApiTest.cpp
+++ b/tests/platform/JobApiTest.cpp
@@ -68,7 +68,7 @@
   EXPECT_EQ(graph.mSteps[0].mMaxPerWorker, 2);
   const cell::StepSpec& second = graph.mSteps[1];
   EXPECT_EQ(second.mAfter, std::vector<std::int32_t>{ 0 });
-  EXPECT_TRUE(second.mCheckpoints && second.mLeftover && second.mStanding &&
+  EXPECT_TRUE(second.mCheckpoints && second.mBestEffort && second.mStanding &&
               second.mGang && second.mSameRack);
   EXPECT_EQ(second.mLatencyTarget, std::chrono::milliseconds(18));
   EXPECT_EQ(second.mMaxUnavailable, 1);
@@ -199,7 +199,7 @@
     AnswerCase{ "Counted", cell::WaitingCounted{ 12 }, 200, R"("Waiting":12)" },
     AnswerCase{ "NoSuchJob", cell::NoSuchJob{}, 410, "{}" },
     AnswerCase{ "NotRun",
-                cell::JobRefused{ cell::RefusalCause::StoreAway,
+                cell::JobRefused{ cell::RefusalCause::StoreUnavailable,
                                   Verdict::NotRun,
                                   "away" },
                 503,
--- a/tests/scheduler/BusyOwnerTest.cpp
+++ b/tests/scheduler/BusyOwnerTest.cpp
@@ -97,8 +97,9 @@
   bool AllReport()
   {
     constexpr std::uint64_t kSeveral = 4;
-    return std::ranges::all_of(
-      mAgents, [](const auto& aAgent) { return aAgent->Taken() >= kSeveral; });
+    return std::ranges::all_of(mAgents, [](const auto& aAgent) {
+      return aAgent->AcceptedReports() >= kSeveral;
+    });
   }
 
   template<typename Condition>
--- a/tests/scheduler/ConfigurationWatchTest.cpp
+++ b/tests/scheduler/ConfigurationWatchTest.cpp
@@ -42,7 +42,7 @@
     ASSERT_NE(watch.Current(), nullptr);
     EXPECT_EQ(watch.Confirm(), Duration::zero());
     store.mSilent = true;
-    watch.Doubt();
+    watch.MarkStale();
     EXPECT_EQ(watch.Current(), nullptr);
     EXPECT_NE(watch.Newest(), nullptr); // Policies of jobs that are known.
     runtime.Spawn([&] { watch.Confirm(); });
--- a/tests/scheduler/JobDeskTest.cpp
+++ b/tests/scheduler/JobRequestHandlerTest.cpp
@@ -1,7 +1,7 @@
 #include <boost/fiber/operations.hpp>
 #include <gtest/gtest.h>
 
-#include "apps/scheduler/JobDesk.h"
+#include "apps/scheduler/JobRequestHandler.h"
 #include "src/core/cell/CellRecords.h"
 #include "src/net/HttpClient.h"
 #include "src/platform/store/MemoryStore.h"
@@ -22,7 +22,7 @@
 /// Until a silent store is known to be silent, and half a second for a busy
 /// machine; a write that nobody gives up waits for as long as the store.
 constexpr Duration kNoticed =
-  cell::StorePulse::kSilentAfter + milliseconds(500);
+  cell::StoreHealth::kSilentAfter + milliseconds(500);
 
 cell::JobRequest Submission(const std::string& aId)
 {
@@ -34,10 +34,10 @@
 }
 
 /// A scheduler's desk over a store that may fall silent.
-class JobDeskTest : public testing::Test
+class JobRequestHandlerTest : public testing::Test
 {
 protected:
-  JobDeskTest()
+  JobRequestHandlerTest()
     : mStore(mMemory)
     , mPulsed(mStore)
     , mClient(mRuntime)
@@ -47,7 +47,7 @@
         {},
         mPulsed,
         [](const cell::OwnerTerm&) { return std::shared_ptr<CellOwner>(); })
-    , mDesk(mRuntime, mPulsed, mRpc, mElection, {})
+    , mHandler(mRuntime, mPulsed, mRpc, mElection, {})
   {
   }
 
@@ -57,7 +57,7 @@
     std::pair<cell::JobAnswer, Duration> result;
     mRuntime.RunAndWait([&] {
       const Instant begin = MonotonicNow();
-      result.first = mDesk.Answer(aRequest);
+      result.first = mHandler.Answer(aRequest);
       result.second = MonotonicNow() - begin;
     });
     return result;
@@ -93,7 +93,7 @@
   net::RpcClient mRpc;
   SchedulerSettings mSettings;
   Election mElection;
-  JobDesk mDesk;
+  JobRequestHandler mHandler;
 };
 
 Verdict VerdictOf(const cell::JobAnswer& aAnswer)
@@ -102,7 +102,7 @@
   return refused == nullptr ? Verdict::Ran : refused->mVerdict;
 }
 
-TEST_F(JobDeskTest, AnAcceptedJobIsStored)
+TEST_F(JobRequestHandlerTest, AnAcceptedJobIsStored)
 {
   const auto [answer, took] = Ask(Submission("a"));
   EXPECT_TRUE(std::holds_alternative<cell::JobAccepted>(answer));
@@ -111,7 +111,8 @@
 
 /// The first request after the store fell silent used to be held for two
 /// seconds of its three, for a second try that could only fail.
-TEST_F(JobDeskTest, AWriteIntoSilenceIsGivenUpAsSoonAsTheSilenceIsNoticed)
+TEST_F(JobRequestHandlerTest,
+       AWriteIntoSilenceIsGivenUpAsSoonAsTheSilenceIsNoticed)
 {
   FallSilent();
   const auto [answer, took] = Ask(Submission("a"));
@@ -121,7 +122,7 @@
   EXPECT_TRUE(Stored("a")); // It may have run, and it has.
 }
 
-TEST_F(JobDeskTest, WhileTheStoreIsSilentAJobIsRefusedAtOnceAsNotRun)
+TEST_F(JobRequestHandlerTest, WhileTheStoreIsSilentAJobIsRefusedAtOnceAsNotRun)
 {
   FallSilent();
   Ask(Submission("a"));
@@ -141,7 +142,7 @@
 
 /// Its first submission may be stored yet: to say that it has not run would be
 /// untrue.
-TEST_F(JobDeskTest, AJobInDoubtIsNotSaidToHaveNotRun)
+TEST_F(JobRequestHandlerTest, AJobInDoubtIsNotSaidToHaveNotRun)
 {
   FallSilent();
   Ask(Submission("a"));
--- a/tests/scheduler/OwnMemoryTest.cpp
+++ b/tests/scheduler/OwnMemoryTest.cpp
@@ -1,7 +1,7 @@
 #include <boost/fiber/operations.hpp>
 #include <gtest/gtest.h>
 
-#include "apps/scheduler/JobDesk.h"
+#include "apps/scheduler/JobRequestHandler.h"
 #include "src/core/cell/CellRecords.h"
 #include "src/core/cell/JobForward.h"
 #include "src/net/HttpClient.h"
@@ -70,7 +70,7 @@
     if (GetParam().mAnswers) {
       mPeer = *std::move(server);
     }
-    mDesk = std::make_unique<JobDesk>(
+    mHandler = std::make_unique<JobRequestHandler>(
       mRuntime, mPulsed, mRpc, mElection, std::vector<Endpoint>{ peer });
   }
 
@@ -90,7 +90,7 @@
     submit.mGraph.mId = JobId(aId);
     submit.mGraph.mQueue = cell::QueueId("queue");
     submit.mGraph.mSteps.resize(1);
-    return mDesk->Answer({ std::move(submit), seconds(3) });
+    return mHandler->Answer({ std::move(submit), seconds(3) });
   }
 
   net::FiberRuntime mRuntime{ 1 };
@@ -104,7 +104,7 @@
   cell::Generation mPeerKnows = 0;
   net::RpcDispatcher mDispatcher;
   std::unique_ptr<net::HttpServer> mPeer;
-  std::unique_ptr<JobDesk> mDesk;
+  std::unique_ptr<JobRequestHandler> mHandler;
 };
 
 /// An owner was cut off from the store and replaced unawares. The next one told
@@ -124,7 +124,7 @@
     Submit("other"); // The silence is noticed.
     boost::this_fiber::sleep_for(kKeyLapsed);
     const auto answer =
-      mDesk->Answer({ cell::ReadJob{ JobId("job") }, seconds(3) });
+      mHandler->Answer({ cell::ReadJob{ JobId("job") }, seconds(3) });
     EXPECT_EQ(std::holds_alternative<cell::JobShown>(answer),
               GetParam().mShown);
   });
--- a/tests/scheduler/ReportingAgent.cpp
+++ b/tests/scheduler/ReportingAgent.cpp
@@ -77,13 +77,13 @@
   mBase.Fill(State(), MonotonicNow(), report);
   const auto reply = net::CallTyped<ReportReply>(
     mRpc, mOwner, kReportMethod, report, kReportTimeout);
-  if (!reply.ok() || !reply->mAttached || reply->mSendWhole ||
+  if (!reply.ok() || !reply->mAttached || reply->mSendFullState ||
       report.mSession != mSession) {
     mBase.Forget();
     return;
   }
-  mBase.NoteTaken(report);
-  ++mTaken;
+  mBase.OnAccepted(report);
+  ++mAcceptedReports;
 }
 
 } // namespace foxtailbarrow::scheduler::test
--- a/tests/scheduler/ReportingAgent.h
+++ b/tests/scheduler/ReportingAgent.h
@@ -2,7 +2,7 @@
 
 #include <memory>
 
-#include "src/core/cell/ReportBase.h"
+#include "src/core/cell/ReportEncoder.h"
 #include "src/net/HttpServer.h"
 #include "src/net/Rpc.h"
 
@@ -21,7 +21,7 @@
   /// One report; to be repeated.
   void Report();
 
-  std::uint64_t Taken() const { return mTaken; }
+  std::uint64_t AcceptedReports() const { return mAcceptedReports; }
 
 private:
   cell::WorkerState State();
@@ -31,11 +31,11 @@
   Endpoint mOwner;
   net::RpcDispatcher mDispatcher;
   std::unique_ptr<net::HttpServer> mServer;
-  cell::ReportBase mBase;
+  cell::ReportEncoder mBase;
   cell::Session mSession = 0;
   std::int64_t mSequence = 0;
   std::int64_t mFigure = 0;
-  std::uint64_t mTaken = 0;
+  std::uint64_t mAcceptedReports = 0;
 };
 
 } // namespace foxtailbarrow::scheduler::test
--- a/tests/scheduler/SilentPeerTest.cpp
+++ b/tests/scheduler/SilentPeerTest.cpp
@@ -4,7 +4,7 @@
 #include <boost/fiber/operations.hpp>
 #include <gtest/gtest.h>
 
-#include "apps/scheduler/JobDesk.h"
+#include "apps/scheduler/JobRequestHandler.h"
 #include "src/net/HttpClient.h"
 #include "src/net/HttpServer.h"
 #include "src/platform/store/MemoryStore.h"
@@ -55,7 +55,7 @@
       return net::HttpResponse();
     });
   ASSERT_TRUE(frozen.ok());
-  JobDesk desk(
+  JobRequestHandler desk(
     runtime, pulsed, rpc, election, { (*frozen)->ListeningEndpoint() });
   runtime.RunAndWait([&] {
     store.mSilent = true;
@@ -65,7 +65,7 @@
     runtime.Spawn([&] {
       EXPECT_EQ(VerdictOf(desk.Answer(Submission(100))), Verdict::MayHaveRun);
     });
-    boost::this_fiber::sleep_for(cell::PeerReach::kUsualAnswer * 2);
+    boost::this_fiber::sleep_for(cell::PeerAvailability::kUsualAnswerTime * 2);
     // Others do not wait until that one has timed out.
     Duration quickest = seconds(1);
     for (int i = 0; i < kTries; ++i) {
--- a/tests/soak/PromiseBookTest.cpp
+++ b/tests/soak/PromiseBookTest.cpp
@@ -61,14 +61,15 @@
 
   Story& Lapse(const char* aWorker)
   {
-    return Tell(aWorker, RunMoment::LeaseLapsed, {}, 0, RunEnd::Lapsed);
+    return Tell(aWorker, RunMoment::LeaseLapsed, {}, 0, RunEnd::LeaseExpired);
   }
 
   /// The worker goes down under the run.
   Story& StartAndLose(const std::string& aWorker, cell::RunNumber aRun)
   {
     Start(aWorker.c_str(), kFirst, aRun);
-    return Tell(aWorker.c_str(), RunMoment::Lost, kFirst, aRun, RunEnd::Lapsed);
+    return Tell(
+      aWorker.c_str(), RunMoment::Lost, kFirst, aRun, RunEnd::LeaseExpired);
   }
 
   Story& Show(JobPhase aPhase)
--- a/tests/soak/ServingMeterTest.cpp
+++ b/tests/soak/ServingMeterTest.cpp
@@ -19,7 +19,7 @@
 struct PressedCase
 {
   const char* mName;
-  std::int32_t mPercent; ///< Pace of the leftover tasks, after 1 s.
+  std::int32_t mPercent; ///< Throttle of the leftover tasks, after 1 s.
   std::size_t mMarks;    ///< Of a target missed for too long, in 7 s.
 };
 
@@ -45,11 +45,11 @@
 
   void Pass(Duration aTime)
   {
-    cell::LookCall look;
+    cell::PollCall look;
     for (const Instant end = mNow + aTime; mNow < end;) {
       mNow += milliseconds(20);
       look.mLeaseEnd = mWorker.Clock(mNow) + 6000;
-      mWorker.Look(look, mNow);
+      mWorker.Poll(look, mNow);
     }
   }
 
@@ -75,7 +75,7 @@
   }
   Pass(seconds(1));
   for (int index = 0; index < kLeftoverTasks; ++index) {
-    mWorker.Pace(
+    mWorker.Throttle(
       { { JobId("leftover"), 0, 0, index }, 1, GetParam().mPercent, 0 }, mNow);
   }
   Pass(seconds(6));
--- a/tests/soak/TaskWorkerModelTest.cpp
+++ b/tests/soak/TaskWorkerModelTest.cpp
@@ -60,7 +60,7 @@
 {
   Start(1, 1, "stands", milliseconds(500));
   mNow += milliseconds(500);
-  EXPECT_EQ(LastEnd(), RunEnd::Lapsed);
+  EXPECT_EQ(LastEnd(), RunEnd::LeaseExpired);
   EXPECT_EQ(mMarks[1].mMoment, RunMoment::LeaseLapsed);
 }
 
@@ -68,7 +68,7 @@
 {
   Start(1, 1, "stands", milliseconds(60'000));
   mNow += TaskWorkerSettings().mMaxLease;
-  EXPECT_EQ(LastEnd(), RunEnd::Lapsed);
+  EXPECT_EQ(LastEnd(), RunEnd::LeaseExpired);
 }
 
 TEST_F(TaskWorkerModelTest, ALowerFenceDoesNothing)
@@ -76,13 +76,13 @@
   EXPECT_EQ(Start(1, 7), StartOutcome::Started);
   EXPECT_EQ(Start(2, 6), StartOutcome::NotStarted);
   EXPECT_FALSE(mWorker.Stop({ kTask, 1, 6 }, mNow));
-  EXPECT_FALSE(mWorker.Look({ 6, 0, {}, {} }, mNow));
+  EXPECT_FALSE(mWorker.Poll({ 6, 0, {}, {} }, mNow));
 }
 
 TEST_F(TaskWorkerModelTest, ARunThatWasStoppedBeforeItCameIsRejected)
 {
   EXPECT_TRUE(mWorker.Stop({ kTask, 3, 1 }, mNow));
-  EXPECT_EQ(Start(3), StartOutcome::OldRun);
+  EXPECT_EQ(Start(3), StartOutcome::StaleRun);
   EXPECT_EQ(Start(4), StartOutcome::Started);
 }
 
@@ -91,7 +91,7 @@
   Start(1, 1, "fails=100");
   mNow += milliseconds(100);
   EXPECT_EQ(LastEnd(), RunEnd::Failed);
-  EXPECT_TRUE(mWorker.Look({ 1, 1, {}, {} }, mNow));
+  EXPECT_TRUE(mWorker.Poll({ 1, 1, {}, {} }, mNow));
   EXPECT_TRUE(mWorker.View(mNow).mEnded.empty());
   EXPECT_EQ(mMarks.back().mMoment, RunMoment::Acknowledged);
 }
--- a/tests/taskagent/RestartedAgentTest.cpp
+++ b/tests/taskagent/RestartedAgentTest.cpp
@@ -6,7 +6,7 @@
 #include "apps/taskagent/WorkerControl.h"
 #include "src/net/FiberRuntime.h"
 #include "tests/cell/CellFixture.h"
-#include "tests/taskagent/PacedWorker.h"
+#include "tests/taskagent/ThrottledWorker.h"
 
 namespace foxtailbarrow::taskagent::test {
 
@@ -22,7 +22,7 @@
   /// A session of the scheduler with an agent that knows nothing.
   cell::OrderRequest Begin(WorkerControl& aControl)
   {
-    aControl.TakeInfo(State("life").mInfo);
+    aControl.UpdateInfo(State("life").mInfo);
     Attach(kAgent, *aControl.Attach((mSession + 1) << 8));
     Grant(kAgent);
     cell::OrderRequest orders = Orders(kAgent);
@@ -30,7 +30,7 @@
     return orders;
   }
 
-  PacedWorker mWorker;
+  ThrottledWorker mWorker;
 };
 
 TEST_F(RestartedAgentTest, ProtectsTheServingTasksThatRanOn)
@@ -40,7 +40,7 @@
   serving.mImage = "serving";
   serving.mLatencyTarget = std::chrono::milliseconds(20);
   cell::StepSpec leftover = Step(1);
-  leftover.mLeftover = true;
+  leftover.mBestEffort = true;
   leftover.mImage = "leftover";
   net::FiberRuntime runtime(1);
   runtime.RunAndWait([&] {
@@ -53,20 +53,20 @@
       Started(kAgent, orders);
       for (const cell::StartOrder& order : orders.mStarts) {
         mWorker.mTasks[order.mTask] = { order.mRun,
-                                        order.mLeftover ? 900 : 60 };
+                                        order.mBestEffort ? 900 : 60 };
       }
       ASSERT_EQ(mWorker.mTasks.size(), 2U);
     }
     WorkerControl restarted(mWorker, [] {});
     ASSERT_TRUE(restarted.CarryOut(Begin(restarted)).mAccepted);
     const Instant end = MonotonicNow() + kPatience;
-    const PacedWorker::Task& task =
+    const ThrottledWorker::Task& task =
       mWorker.mTasks.at({ JobId("leftover"), 0, 0, 0 });
-    while (task.mPace > 0 && MonotonicNow() < end) {
-      restarted.Look();
+    while (task.mThrottle > 0 && MonotonicNow() < end) {
+      restarted.Poll();
       boost::this_fiber::sleep_for(std::chrono::milliseconds(25));
     }
-    EXPECT_EQ(task.mPace, 0);
+    EXPECT_EQ(task.mThrottle, 0);
   });
 }
 
--- a/tests/taskagent/UnknownTaskTimerTest.cpp
+++ b/tests/taskagent/UnknownTaskTimerTest.cpp
@@ -26,8 +26,8 @@
   UnknownTaskTimer timer;
   std::vector<int> asked;
   for (int second = 0; second <= 20; ++second) {
-    if (timer.Take(second != GetParam().mKnownAt,
-                   Instant(seconds(100 + second)))) {
+    if (timer.Update(second != GetParam().mKnownAt,
+                     Instant(seconds(100 + second)))) {
       asked.push_back(second);
     }
   }
--- a/tests/taskagent/WorkerControlTest.cpp
+++ b/tests/taskagent/WorkerControlTest.cpp
@@ -23,15 +23,15 @@
 {
 public:
   bool mAnswers = false;
-  int mStarts = 0;     ///< Calls.
-  bool mLoses = false; ///< Neither does anything nor answers.
-  bool mGone = false;  ///< Nothing listens at its address.
+  int mStarts = 0;          ///< Calls.
+  bool mDropsCalls = false; ///< Neither does anything nor answers.
+  bool mGone = false;       ///< Nothing listens at its address.
 
   void Expect(const cell::WorkerIncarnation&) override {}
 
-  absl::StatusOr<bool> IsThere(const cell::WorkerIncarnation&,
-                               cell::Fence,
-                               Duration) override
+  absl::StatusOr<bool> IsPresent(const cell::WorkerIncarnation&,
+                                 cell::Fence,
+                                 Duration) override
   {
     return true;
   }
@@ -40,7 +40,7 @@
                                          Duration) override
   {
     ++mStarts;
-    if (mLoses) {
+    if (mDropsCalls) {
       return Lost();
     }
     return cell::StartReply{};
@@ -51,12 +51,12 @@
     return absl::OkStatus();
   }
 
-  absl::Status Pace(const cell::PaceCall&, Duration) override
+  absl::Status Throttle(const cell::ThrottleCall&, Duration) override
   {
     return absl::OkStatus();
   }
 
-  absl::StatusOr<cell::LookReply> Look(const cell::LookCall&, Duration) override
+  absl::StatusOr<cell::PollReply> Poll(const cell::PollCall&, Duration) override
   {
     while (!mAnswers) {
       boost::this_fiber::sleep_for(milliseconds(1));
@@ -65,10 +65,10 @@
       return net::WithConnectionRefused(WithVerdict(
         absl::UnavailableError("connection refused"), Verdict::NotRun));
     }
-    if (mLoses) {
+    if (mDropsCalls) {
       return Lost();
     }
-    cell::LookReply reply;
+    cell::PollReply reply;
     reply.mRunning.emplace_back().mTask = kTask;
     return reply;
   }
@@ -98,7 +98,7 @@
       WorkerControl control(mWorker, [] {});
       mControl = &control;
       mInfo.mIncarnation = cell::WorkerIncarnation("life");
-      control.TakeInfo(mInfo);
+      control.UpdateInfo(mInfo);
       aTest();
     });
   }
@@ -107,13 +107,13 @@
   {
     mWorker.mAnswers = true;
     ASSERT_TRUE(mControl->Attach(aSession).ok());
-    mControl->TakeGrant(aSession, MonotonicNow(), std::chrono::seconds(30), 0);
+    mControl->OnGrant(aSession, MonotonicNow(), std::chrono::seconds(30), 0);
   }
 
-  void ComeBackAs(const std::string& aIncarnation)
+  void RestartAs(const std::string& aIncarnation)
   {
     mInfo.mIncarnation = cell::WorkerIncarnation(aIncarnation);
-    mControl->TakeInfo(mInfo);
+    mControl->UpdateInfo(mInfo);
   }
 
   cell::OrderRequest Orders(cell::Session aSession = kSession) const
@@ -155,8 +155,8 @@
 {
   Play([&] {
     Attach();
-    ComeBackAs("next");
-    mControl->Greet();
+    RestartAs("next");
+    mControl->PollFirst();
     cell::OrderRequest orders = Orders();
     AddStart(orders, kTask);
     ExpectStarted(orders);
@@ -168,15 +168,15 @@
 {
   Play([&] {
     Attach();
-    ComeBackAs("next");
+    RestartAs("next");
     const cell::WorkerState state = mControl->Snapshot().mState;
     ASSERT_EQ(state.mCrashes.size(), 1U);
     ASSERT_EQ(state.mCrashes[0].mRuns.size(), 1U);
     EXPECT_EQ(state.mCrashes[0].mRuns[0].mTask, kTask);
     mInfo.mDraining = true;
-    mControl->TakeInfo(mInfo);
+    mControl->UpdateInfo(mInfo);
     mInfo.mDraining = false;
-    ComeBackAs("third");
+    RestartAs("third");
     EXPECT_EQ(mControl->Snapshot().mState.mCrashes.size(), 1U);
   });
 }
@@ -187,9 +187,9 @@
   Play([&] {
     Attach();
     mWorker.mGone = true;
-    mControl->Look();
+    mControl->Poll();
     EXPECT_FALSE(mControl->Snapshot().mEnded); // One may be of a race.
-    mControl->Look();
+    mControl->Poll();
     const WorkerSnapshot ended = mControl->Snapshot();
     EXPECT_TRUE(ended.mEnded);
     EXPECT_FALSE(ended.mAnswers);
@@ -199,7 +199,7 @@
     // The next owner need not wait for it.
     EXPECT_TRUE(mControl->Attach(kNextSession).ok());
     mWorker.mGone = false;
-    ComeBackAs("next");
+    RestartAs("next");
     const WorkerSnapshot next = mControl->Snapshot();
     EXPECT_FALSE(next.mEnded);
     EXPECT_EQ(next.mState.mCrashes.size(), 1U); // It is told once.
@@ -210,9 +210,9 @@
 {
   Play([&] {
     Attach();
-    mWorker.mLoses = true;
+    mWorker.mDropsCalls = true;
     for (int look = 0; look < 4; ++look) {
-      mControl->Look();
+      mControl->Poll();
     }
     EXPECT_FALSE(mControl->Snapshot().mEnded);
     EXPECT_EQ(mControl->Snapshot().mState.mRunning.size(), 1U);
@@ -231,7 +231,7 @@
     EXPECT_EQ(first.mAnsweredAt, since);
     boost::this_fiber::sleep_for(milliseconds(2));
     EXPECT_EQ(mControl->Snapshot().mAnsweredAt, since);
-    mControl->Look();
+    mControl->Poll();
     const WorkerSnapshot second = mControl->Snapshot();
     EXPECT_EQ(second.mState.mRunning[0].mSince, since);
     EXPECT_GE(second.mAnsweredAt - since, milliseconds(2));
@@ -267,9 +267,9 @@
   Play([&] {
     Attach();
     mInfo.mCapacity.mMillicores = GetParam().mMillicores;
-    mControl->TakeInfo(mInfo);
+    mControl->UpdateInfo(mInfo);
     cell::OrderRequest orders = Orders();
-    orders.mTraits.push_back(
+    orders.mMetadata.push_back(
       { kTask, {}, false, "", { GetParam().mRunning, 1000, 0 } });
     for (int index = 1; index <= 4; ++index) {
       AddStart(orders, { JobId("job"), 0, 0, index }, { 1000, 1000, 0 });
@@ -306,9 +306,9 @@
     Attach();
     cell::OrderRequest late = Orders();
     AddStart(late, { JobId("late"), 0, 0, 0 }, { 1000, 1000, 0 });
-    mWorker.mLoses = true;
+    mWorker.mDropsCalls = true;
     EXPECT_FALSE(mControl->CarryOut(late).mAccepted);
-    mWorker.mLoses = false;
+    mWorker.mDropsCalls = false;
     ASSERT_TRUE(mControl->Attach(kNextSession).ok());
     cell::OrderRequest next = Orders(kNextSession);
     AddStart(next, { JobId("next"), 0, 0, 0 }, { 1000, 1000, 0 });
