--- a/src/core/cell/Candidate.h
+++ b/src/core/cell/Candidate.h
@@ -8,18 +8,18 @@
 
 namespace foxtailbarrow::cell {
 
-/// A step with tasks to place, and its place in the queue.
+/// A step with tasks to place, and its position in the placement order.
 struct CellScheduler::Candidate
 {
   bool mBestEffort = false;
   std::int32_t mPriority = 0;
   Timeliness mTimeliness = Timeliness::OnTime;
-  /// Leftover work is short: what has begun is finished first, and then the
-  /// smallest job, so that as many as possible are on time.
+  /// Best-effort work is short: begun jobs come first, then the smallest, so
+  /// that as many as possible are on time.
   bool mNotBegun = false;
   double mRemainingWork = 0;
   Instant mDeadline{};
-  TaskRef mFirstTask; ///< Of the step; the index is 0.
+  TaskRef mFirstTask; ///< First task of the step; its index is 0.
 
   auto Key() const
   {
--- a/src/core/cell/CellScheduler.cpp
+++ b/src/core/cell/CellScheduler.cpp
@@ -84,7 +84,7 @@
   job.mInherited = aProgressRevision != 0;
   job.mProgressRevision = aProgressRevision;
   if (job.Final()) {
-    // Not told one by one: at a takeover they would push out other lines.
+    // Not logged: at a takeover one line per ended job would crowd out others.
     return;
   }
   mSink({ .mEvent = "job-known",
@@ -162,19 +162,19 @@
 std::vector<UnsavedProgress> CellScheduler::UnsavedJobs(
   std::size_t aMaxJobs) const
 {
-  std::vector<UnsavedProgress> unrecorded;
+  std::vector<UnsavedProgress> unsaved;
   for (const JobId& id : mUnsaved) {
-    if (unrecorded.size() == aMaxJobs) {
+    if (unsaved.size() == aMaxJobs) {
       break;
     }
     const JobEntry& job = mJobs.at(id);
-    unrecorded.push_back({ id,
-                           job.mVersion,
-                           ProgressOf(job),
-                           job.mProgressRevision,
-                           job.mUnsavedSince });
+    unsaved.push_back({ id,
+                        job.mVersion,
+                        ProgressOf(job),
+                        job.mProgressRevision,
+                        job.mUnsavedSince });
   }
-  return unrecorded;
+  return unsaved;
 }
 
 void CellScheduler::OnProgressSaved(const JobId& aJob,
@@ -232,9 +232,10 @@
     return std::nullopt;
   }
   const JobEntry& job = found->second;
-  const bool ahead = job.mSavedVersion < job.mVersion;
-  if (ahead && job.Final()) {
-    // A caller who read the store may have seen the end already.
+  const bool isUnsaved = job.mSavedVersion < job.mVersion;
+  if (isUnsaved && job.Final()) {
+    // The write may have arrived: a caller who read the store may already know
+    // the end.
     return job.mSaveInDoubt ? std::nullopt : std::optional(JobPhase::Running);
   }
   return job.mPhase;
@@ -267,11 +268,11 @@
                                 std::string_view aReason,
                                 std::int64_t aAgeMs) const
 {
-  // Without a task it is about the worker.
-  const bool task = !aTask.mJob.Empty();
+  // Without a task the decision concerns the worker.
+  const bool hasTask = !aTask.mJob.Empty();
   mSink({ aEvent,
           aTask.mJob,
-          task ? ToString(aTask) : std::string(),
+          hasTask ? ToString(aTask) : std::string(),
           aAgent,
           aRun,
           aReason,
--- a/src/core/cell/CellScheduler.h
+++ b/src/core/cell/CellScheduler.h
@@ -23,16 +23,17 @@
 
 namespace foxtailbarrow::cell {
 
-/// Decides what runs where in one cell, as its one owner: jobs, workers and
-/// their reports go in; orders for agents, progress to record and ends to
-/// acknowledge come out. Pure: no I/O, the clock is passed in.
+/// Decides which tasks run on which workers of one cell, on behalf of the
+/// cell's single owner. Input: jobs, workers and their reports. Output: orders
+/// for agents, progress to save and ends to acknowledge. Pure: no I/O, the
+/// clock is passed in.
 ///
-/// Promises: a task without copies has one run at most that may be alive; a
-/// worker's reservations never pass its capacity; a step starts after the steps
-/// it waits for; an end is acknowledged after its job's progress is recorded.
-/// Survives lost and repeated reports, agents that restart, workers that crash,
-/// and its own replacement by an owner of a higher generation, which learns
-/// from the store and from the agents what was done and what runs.
+/// Guarantees: a task without copies has at most one run that may be alive; the
+/// reservations on a worker never exceed its capacity; a step starts after the
+/// steps that it depends on; an end is acknowledged only after its job's
+/// progress is saved. Tolerates lost and repeated reports, restarts of agents,
+/// crashes of workers, and its own replacement by an owner of a higher
+/// generation, which restores the state from the store and the agents.
 class CellScheduler
 {
 public:
@@ -42,15 +43,15 @@
 
   // Configuration.
 
-  /// Replaces the policies; a job of a queue that is gone keeps its last one.
+  /// Replaces the policies; a job of a removed queue keeps its last one.
   void SetQueues(const std::vector<QueuePolicy>& aQueues);
 
   // Jobs.
 
-  /// Takes a job from the store. Without a progress record (revision 0) no task
-  /// of it has ever started, since none starts before the record is written;
-  /// with one, an earlier owner may have started some. A job that is known
-  /// already only takes over a cancellation.
+  /// Adds a job read from the store. Without a progress record (revision 0) no
+  /// task of it has ever started, since none starts before the record is
+  /// written; with one, an earlier owner may have started some. For a known job
+  /// only a cancellation is applied.
   void AddJob(const StoredJob& aStored,
               const StoredProgress& aProgress,
               Revision aProgressRevision,
@@ -60,27 +61,26 @@
 
   // Workers.
 
-  /// Agents that the previous owner had: until each has attached, or until
+  /// Sets the agents of the previous owner. Until each has attached, or until
   /// `aUntil`, inherited tasks that no agent reports may be running.
   void ExpectAgents(const std::set<AgentId>& aAgents, Instant aUntil);
 
-  /// A session with the agent begins; its state is the whole truth about the
-  /// worker.
+  /// Begins a session with the agent. `aState` is the worker's full state.
   void AttachWorker(const AgentId& aAgent,
                     const Endpoint& aEndpoint,
                     Session aSession,
                     const WorkerState& aState,
                     const CellClock& aClock);
 
-  /// False when the report belongs to no session in force, and when the worker
-  /// has left for good, which ends its session. One that builds on another
-  /// report than the newest is not taken: NeedsFullState() then is true.
+  /// Returns false when the report belongs to no current session, and when the
+  /// worker has left for good, which ends its session. A report that is not
+  /// based on the newest one is ignored: NeedsFullState() is true afterwards.
   bool HandleReport(const ReportRequest& aReport, const CellClock& aClock);
 
-  /// The agent's next report must tell the whole state.
+  /// True when the agent's next report must contain the full state.
   bool NeedsFullState(const AgentId& aAgent) const;
 
-  /// The session broke; tasks may run until their leases are over.
+  /// Ends the session; its tasks may run until their leases expire.
   void DetachWorker(const AgentId& aAgent, const CellClock& aClock);
 
   void OnStartResults(const AgentId& aAgent,
@@ -88,71 +88,70 @@
                       const std::vector<StartResult>& aResults,
                       const CellClock& aClock);
 
-  /// True when nothing runs at the agent's worker and nothing will before the
-  /// agent attaches again: a next owner need not know of it.
+  /// True when nothing runs on the agent's worker and nothing can start there
+  /// before the agent attaches again: the next owner need not expect it.
   bool RunsNothing(const AgentId& aAgent) const;
 
-  /// Notes that the agent may hold leases until `aUntil`.
+  /// The agent may hold leases until `aUntil`.
   void OnGrant(const AgentId& aAgent, Instant aUntil);
 
   // Advice.
 
-  /// The next question to the service that chooses workers, for a step that
-  /// cannot be placed without an answer.
+  /// The next query to the service that chooses workers, for a step that cannot
+  /// be placed without its reply.
   std::optional<AdviceQuery> NextAdviceQuery(const CellClock& aClock);
-  /// Nothing: the service did not answer.
+  /// `aReply` is nullopt when the service did not answer.
   void OnAdvice(const AdviceQuery& aQuery,
                 const std::optional<AdviceReply>& aReply,
                 const CellClock& aClock);
 
   // Output.
 
-  /// Ends what has lapsed and places what may run. Orders are then found by
-  /// TakeOrders().
+  /// Expires workers whose leases have ended and places tasks. TakeOrders()
+  /// then returns the orders.
   void Schedule(const CellClock& aClock);
 
-  /// True when more may be placed than at the last round: room became free, a
-  /// step may begin, a worker is there again. Reports without such news, most
-  /// of them, need no round of their own.
+  /// True when more may be placed than in the last round: capacity became free,
+  /// a step became ready, or a worker is reachable again. Most reports contain
+  /// no such change and need no round of their own.
   bool NeedsPlacement() const { return mNeedsPlacement; }
 
   bool HasOrders(const AgentId& aAgent) const
   {
     return mOrders.contains(aAgent);
   }
-  /// Agents with orders to carry out.
   std::vector<AgentId> AgentsWithOrders() const;
-  /// Removes and returns the orders of an agent, in its session.
+  /// Removes and returns the orders of an agent, for its current session.
   OrderRequest TakeOrders(const AgentId& aAgent);
 
-  /// When the first of the orders' starts was decided on.
+  /// When the first start of the orders was decided.
   std::optional<Instant> OrderedAt(const OrderRequest& aOrders);
 
-  /// At most `aMaxJobs` jobs whose progress must be recorded.
+  /// At most `aMaxJobs` jobs whose progress must be saved.
   std::vector<UnsavedProgress> UnsavedJobs(std::size_t aMaxJobs) const;
   bool HasUnsavedJobs() const { return !mUnsaved.empty(); }
   void OnProgressSaved(const JobId& aJob,
                        std::uint64_t aVersion,
                        Revision aRevision);
-  /// A write of the record was sent and is not answered yet.
+  /// A write of the progress record was sent and is not answered yet.
   void OnProgressSaveInDoubt(const JobId& aJob);
-  /// The store has another revision of the record than was thought.
+  /// The store holds another revision of the progress record than expected.
   void SetProgressRevision(const JobId& aJob, Revision aRevision);
 
-  /// What is known of the images on this agent's worker, for its pacing.
+  /// Weights of the images on this agent's worker, which it throttles by.
   std::vector<InterferenceWeight> InterferenceWeightsOn(
     const AgentId& aAgent) const;
 
-  /// Ends of this agent's worker up to this number are recorded.
+  /// Ends of this agent's worker up to this number are saved.
   std::int64_t Acknowledged(const AgentId& aAgent);
 
   // Views.
 
-  /// What a caller is told; nullopt for an unknown job, and for one whose end
-  /// only the store can tell. Never ahead of what is recorded.
+  /// Phase to report to a caller; nullopt for an unknown job, and for one whose
+  /// end is known to the store alone. Never ahead of the saved progress.
   std::optional<JobPhase> PhaseOf(const JobId& aJob) const;
   std::int64_t WaitingJobs(const QueueId& aQueue) const;
-  /// Jobs that ended and were recorded before `aUnixMs`.
+  /// Jobs that ended before `aUnixMs`, are saved and have no runs left.
   std::vector<JobId> EndedBefore(std::int64_t aUnixMs) const;
 
   const std::map<JobId, JobEntry>& Jobs() const { return mJobs; }
@@ -231,7 +230,7 @@
                  const TaskRef& aTask,
                  RunNumber aRun,
                  std::string_view aReason);
-  /// `aAnsweredAt`: the worker's answer that shows them, by the agent's clock.
+  /// `aAnsweredAt`: time of the worker's answer, by the agent's clock.
   void OnRunningTasks(WorkerEntry& aWorker,
                       const std::vector<RunningTask>& aRunning,
                       Duration aAnsweredAt,
@@ -248,7 +247,7 @@
                       const std::vector<RunningTask>& aRunning,
                       std::int64_t aOrdersDone,
                       const CellClock& aClock);
-  /// Nothing runs on the worker any more. Unexplained: it may have crashed.
+  /// Removes all runs of the worker. Unexplained: it may have crashed.
   void OnRunsLost(WorkerEntry& aWorker,
                   std::string_view aReason,
                   LossCause aCause,
@@ -366,7 +365,7 @@
 
   // Orders (CellSchedulerOrders.cpp).
   TaskRun* FindRun(const AgentId& aAgent, const StartOrder& aOrder);
-  /// Leaves out a start that has not been sent. No effect on one that has.
+  /// Removes a start that has not been sent. No effect on one that has.
   void WithdrawStart(const AgentId& aAgent,
                      const TaskRef& aTask,
                      RunNumber aRun);
@@ -380,7 +379,7 @@
   CellSettings mSettings;
   DecisionSink mSink;
   std::map<QueueId, QueuePolicy> mQueues;
-  /// Mean run time of the tasks of a queue that ended done.
+  /// Mean run time of the queue's tasks that ended as done.
   std::map<QueueId, Duration> mMeanRunTime;
   std::map<JobId, JobEntry> mJobs;
   std::set<JobId> mActiveJobs; ///< Jobs that have not ended.
@@ -391,12 +390,12 @@
   CrashCounters mCrashCounters;
   Instant mRunsReviewedAt{};
   Instant mWaitingLoggedAt{};
-  RefusedDemands mRefusedDemands; ///< Of the present round of placing.
+  RefusedDemands mRefusedDemands; ///< Of the current placement round.
   double mReservedShare = 0;      ///< At the beginning of that round.
-  /// Something ended or joined since: another round may place more.
+  /// See NeedsPlacement().
   bool mNeedsPlacement = false;
   std::map<AgentId, OrderRequest> mOrders;
-  std::set<AgentId> mExpectedAgents; ///< Not attached yet since the takeover.
+  std::set<AgentId> mExpectedAgents; ///< Not attached since the takeover.
   Instant mExpectedUntil{};
 };
 
--- a/src/core/cell/CellSchedulerAdvice.cpp
+++ b/src/core/cell/CellSchedulerAdvice.cpp
@@ -6,38 +6,38 @@
 
 namespace {
 
-/// Workers asked about at a time: the service takes 100 at most, and each makes
-/// the answer later.
+/// The service accepts at most 100 workers per query, and each one delays the
+/// reply.
 constexpr std::size_t kMaxWorkersPerQuery = 30;
-/// On top of the time that the service says it takes.
+/// Added to the response time that the service states.
 constexpr Duration kAdviceSlack = std::chrono::milliseconds(1000);
-/// After a question without an answer.
+/// After a query without a reply.
 constexpr Duration kQueryRetryDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
-/// Workers that might run the step and of which the service has not said no,
-/// without a ticket; those with most room first.
+/// Workers that could run the step, that the service has not denied and that
+/// have no ticket; those with the most free capacity first.
 std::vector<WorkerIncarnation> CellScheduler::WorkersToQuery(
   JobEntry& aJob,
   const TaskRef& aStep,
   Instant aNow) const
 {
   const StepAdvice& advice = aJob.StepOf(aStep).mAdvice;
-  std::vector<const WorkerEntry*> open;
+  std::vector<const WorkerEntry*> eligible;
   for (const auto& [id, worker] : mWorkers) {
     const WorkerIncarnation& incarnation = worker.mInfo.mIncarnation;
     if (worker.mLink == WorkerLink::Attached && worker.mAnswers &&
         CouldRun(worker, aJob, aStep) && !advice.Denied(incarnation) &&
         advice.Ticket(incarnation, aNow) == nullptr) {
-      open.push_back(&worker);
+      eligible.push_back(&worker);
     }
   }
-  std::ranges::stable_sort(open, {}, [](const WorkerEntry* aWorker) {
+  std::ranges::stable_sort(eligible, {}, [](const WorkerEntry* aWorker) {
     return aWorker->mUse.mReserved.mMillicores;
   });
   std::vector<WorkerIncarnation> workers;
-  for (const WorkerEntry* worker : open) {
+  for (const WorkerEntry* worker : eligible) {
     if (workers.size() == kMaxWorkersPerQuery) {
       break;
     }
@@ -62,9 +62,9 @@
     if (query.mWorkers.empty()) {
       continue;
     }
-    const auto asked = static_cast<Duration::rep>(query.mWorkers.size());
+    const auto count = static_cast<Duration::rep>(query.mWorkers.size());
     query.mTimeout =
-      policy->mDecisionTime + policy->mTimePerWorker * asked + kAdviceSlack;
+      policy->mDecisionTime + policy->mTimePerWorker * count + kAdviceSlack;
     return query;
   }
   return std::nullopt;
--- a/src/core/cell/CellSchedulerEnds.cpp
+++ b/src/core/cell/CellSchedulerEnds.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Ends of what was stopped for a job that has ended need no record.
+/// Ends of runs that were stopped because their job ended need no saved
+/// progress.
 constexpr std::uint64_t kNeedsNoSave = 0;
 
 } // namespace
@@ -25,7 +26,7 @@
   }
 }
 
-/// Returns the version of the job's progress that covers this end.
+/// Returns the version of the job's progress that includes this end.
 std::uint64_t CellScheduler::OnEndedTask(WorkerEntry& aWorker,
                                          const EndedTask& aEnded,
                                          const CellClock& aClock)
@@ -46,10 +47,10 @@
     return kNeedsNoSave;
   }
   const TaskRun* run = task->FindRun(aWorker.mId, aEnded.mRun);
-  const bool ours = run != nullptr || IsEndOfInheritedRun(job, *task, aEnded);
+  const bool counts = run != nullptr || IsEndOfInheritedRun(job, *task, aEnded);
   const std::int64_t ageMs =
     run == nullptr ? 0 : WholeMilliseconds(aClock.mNow - run->mOrderedAt);
-  LogDecision(ours ? "task-end" : "task-end-ignored",
+  LogDecision(counts ? "task-end" : "task-end-ignored",
               aEnded.mTask,
               aWorker.mId,
               aEnded.mRun,
@@ -61,7 +62,7 @@
   if (run != nullptr) {
     RemoveRun(job, aEnded.mTask, aWorker.mId, aEnded.mRun, aClock);
   }
-  if (ours && !job.Final()) {
+  if (counts && !job.Final()) {
     if (aEnded.mEnd == RunEnd::Done) {
       ClearCrashes(job, aEnded.mTask, aWorker.mId, aEnded.mRun, aClock);
     }
@@ -73,16 +74,16 @@
 
 void CellScheduler::RecordRunTime(const QueueId& aQueue, Duration aRunTime)
 {
-  constexpr int kMeanWindow = 10; // Runs that the mean is taken over, about.
+  constexpr int kMeanWindow = 10; // Approximate number of runs in the mean.
   const auto [entry, first] = mMeanRunTime.try_emplace(aQueue, aRunTime);
   if (!first) {
     entry->second += (aRunTime - entry->second) / kMeanWindow;
   }
 }
 
-/// An end of a run that an earlier owner started and that this one never saw
-/// running, in whatever order the agents report. A run that this owner wrote
-/// off does not count: its lease lapsed.
+/// True for the end of a run that an earlier owner started and that was never
+/// reported to this one as running, whatever the order of the agents' reports.
+/// False for a run that this owner has given up after its lease expired.
 bool CellScheduler::IsEndOfInheritedRun(const JobEntry& aJob,
                                         const TaskEntry& aTask,
                                         const EndedTask& aEnded) const
@@ -120,7 +121,7 @@
     MarkTaskDone(aJob, aTask, aClock);
     return;
   }
-  // The members of a gang end done together.
+  // All members of a gang are done when one is.
   TaskRef member = aTask;
   for (member.mIndex = 0; member.mIndex < aJob.Spec(aTask).mReplicas;
        ++member.mIndex) {
@@ -137,7 +138,7 @@
     return;
   }
   task.mDone = true;
-  aJob.mSuspects.erase(aTask); // A member of a gang may end by another's end.
+  aJob.mSuspects.erase(aTask); // The end may be that of another gang member.
   mNeedsPlacement = true;
   if (!aJob.Spec(aTask).mGang) {
     for (TaskRun& run : task.mRuns) {
@@ -169,7 +170,7 @@
   TaskEntry& task = *aJob.Find(aEnded.mTask);
   if (std::ranges::find(task.mFailedRuns, aEnded.mRun) !=
       task.mFailedRuns.end()) {
-    return; // Recorded by an earlier owner, which did not acknowledge it.
+    return; // Saved by an earlier owner, which did not acknowledge it.
   }
   task.mFailedRuns.push_back(aEnded.mRun);
   task.mFailedOn.push_back(aAgent);
@@ -180,7 +181,8 @@
   }
 }
 
-/// Of the task, or of its gang: members that fail in one run count once.
+/// Failed runs of the task or its gang; members that fail in one run count
+/// once.
 std::size_t CellScheduler::FailuresOf(JobEntry& aJob,
                                       const TaskRef& aTask) const
 {
@@ -208,7 +210,7 @@
   }
   ++aWorker.mFailuresInRow;
   aWorker.mFailingJobs.insert(aEnded.mTask.mJob);
-  // A job that always fails says nothing about the worker; two jobs do.
+  // A job that always fails is no evidence against the worker; two jobs are.
   if (aWorker.mFailuresInRow >= mSettings.mFailuresToAvoid &&
       aWorker.mFailingJobs.size() > 1) {
     aWorker.mAvoidUntil = aClock.mNow + mSettings.mAvoidFor;
--- a/src/core/cell/CellSchedulerLearning.cpp
+++ b/src/core/cell/CellSchedulerLearning.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// The serving tasks of one job in a look at a worker.
+/// Latencies of one job's serving tasks in one report of a worker.
 struct ServingSample
 {
   std::string mImage;
-  std::vector<double> mLogLatencies; ///< Over the target.
+  std::vector<double> mLogLatencies; ///< Logarithms of latency over target.
 };
 
 void CountTime(TaskRun& aRun,
@@ -69,23 +69,23 @@
                running.mPercent == kAtWork && running.mFigure > 0) {
       const std::chrono::duration<double, std::milli> target =
         spec.mLatencyTarget;
-      ServingSample& look = latencies[running.mTask.mJob];
-      look.mImage = spec.mImage;
-      look.mLogLatencies.push_back(std::log(figure / target.count()));
+      ServingSample& sample = latencies[running.mTask.mJob];
+      sample.mImage = spec.mImage;
+      sample.mLogLatencies.push_back(std::log(figure / target.count()));
     }
   }
-  std::vector<ImageLoad> beside;
-  beside.reserve(cores.size());
+  std::vector<ImageLoad> colocated;
+  colocated.reserve(cores.size());
   for (const auto& [image, used] : cores) {
-    beside.push_back({ image, used });
+    colocated.push_back({ image, used });
   }
-  for (const auto& [job, look] : latencies) {
-    const std::vector<double>& list = look.mLogLatencies;
+  for (const auto& [job, sample] : latencies) {
+    const std::vector<double>& list = sample.mLogLatencies;
     const double sum = std::accumulate(list.begin(), list.end(), 0.0);
     mInterference.Observe(job,
-                          look.mImage,
+                          sample.mImage,
                           sum / static_cast<double>(list.size()),
-                          beside,
+                          colocated,
                           aClock.mNow);
   }
 }
@@ -93,20 +93,20 @@
 std::vector<InterferenceWeight> CellScheduler::InterferenceWeightsOn(
   const AgentId& aAgent) const
 {
-  std::vector<InterferenceWeight> pressures;
+  std::vector<InterferenceWeight> weights;
   const auto found = mWorkers.find(aAgent);
   if (found == mWorkers.end()) {
-    return pressures;
+    return weights;
   }
   const WorkerUse& use = found->second.mUse;
   for (const std::string_view image : ServingImages(use)) {
     const std::string serving(image);
-    for (const auto& [leftover, millicores] : use.mBestEffortByImage) {
-      pressures.push_back(
-        { serving, leftover, mInterference.PerCore(serving, leftover) });
+    for (const auto& [bestEffort, millicores] : use.mBestEffortByImage) {
+      weights.push_back(
+        { serving, bestEffort, mInterference.PerCore(serving, bestEffort) });
     }
   }
-  return pressures;
+  return weights;
 }
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/CellSchedulerMoves.cpp
+++ b/src/core/cell/CellSchedulerMoves.cpp
@@ -21,8 +21,8 @@
   }
 }
 
-/// True for a task that is stalled here, loses nothing by a stop, and would be
-/// taken by another worker.
+/// True for a task that is stalled here, resumes from a checkpoint, and would
+/// be accepted by another worker.
 bool CellScheduler::MayMove(const WorkerEntry& aWorker,
                             const TaskRef& aTask,
                             RunNumber aRun,
@@ -42,8 +42,8 @@
            aTask);
 }
 
-/// Stops stalled tasks that can run elsewhere; they are placed again when their
-/// ends are listed.
+/// Stops stalled tasks that can run on another worker; they are placed again
+/// once their ends are reported.
 void CellScheduler::MoveStalledTasks(const CellClock& aClock)
 {
   for (auto& [id, worker] : mWorkers) {
--- a/src/core/cell/CellSchedulerOrders.cpp
+++ b/src/core/cell/CellSchedulerOrders.cpp
@@ -3,12 +3,12 @@
 
 #include "src/core/cell/CellScheduler.h"
 
-/// Orders for agents: what they say, and that they have left.
+/// Builds and hands out the orders for agents.
 namespace foxtailbarrow::cell {
 
 namespace {
 
-/// All members of a gang resume from one checkpoint; that of any is valid.
+/// All members of a gang resume from one checkpoint; any member's is valid.
 std::string GangCheckpoint(const std::vector<TaskEntry>& aMembers)
 {
   const auto saved =
--- a/src/core/cell/CellSchedulerPlacing.cpp
+++ b/src/core/cell/CellSchedulerPlacing.cpp
@@ -47,8 +47,8 @@
     return false;
   }
   const TaskRun& run = aTask.mRuns.front();
-  // What has taken its worker down stands still, too, and a copy of it would
-  // take down another one.
+  // A run that crashed its worker makes no progress either, and a copy of it
+  // would crash another worker.
   if (run.mUptime < kProvenUptime) {
     return false;
   }
@@ -62,18 +62,18 @@
   if (aNow - run.mPercentChangedAt > mSettings.mCopyAfter) {
     return true;
   }
-  const auto typical = mMeanRunTime.find(aJob.Graph().mQueue);
+  const auto mean = mMeanRunTime.find(aJob.Graph().mQueue);
   const Duration age = aNow - run.mRunningSince;
-  if (typical == mMeanRunTime.end() || age < typical->second) {
+  if (mean == mMeanRunTime.end() || age < mean->second) {
     return false;
   }
   constexpr double kFull = 100.0;
   const std::chrono::duration<double> expected =
     std::chrono::duration<double>(age) * kFull / std::max(run.mPercent, 1);
-  return expected > typical->second * mSettings.mCopySlowness;
+  return expected > mean->second * mSettings.mCopySlowness;
 }
 
-/// Starts copies of tasks that stand still or are slow, where copies may run.
+/// Starts copies of stalled and slow tasks that allow copies.
 void CellScheduler::PlaceCopies(const CellClock& aClock)
 {
   int copies = 0;
@@ -100,15 +100,15 @@
   }
 }
 
-/// True when an agent that has not reported since the takeover may run a task
-/// of this job that we know nothing of.
+/// True when an agent that has not reported since the takeover may run an
+/// unknown task of this job.
 bool CellScheduler::MayRunUnreported(const JobEntry& aJob, Instant aNow) const
 {
   return aJob.mInherited && !mExpectedAgents.empty() && aNow < mExpectedUntil;
 }
 
-/// True when no task of the step's occurrence runs and this one has waited for
-/// a while.
+/// True when no task of the step's occurrence has run for mStarvingAfter and
+/// the cell is not busy.
 bool CellScheduler::Starving(const JobEntry& aJob,
                              const TaskRef& aTask,
                              Instant aNow) const
@@ -134,7 +134,8 @@
   std::vector<Candidate> candidates;
   for (const JobId& id : mActiveJobs) {
     JobEntry& job = mJobs.at(id);
-    // Before its record is there, a next owner would take it for not started.
+    // Without a progress record, the next owner would assume that no task of
+    // the job has started.
     if (job.mProgressRevision == 0 || MayRunUnreported(job, aClock.mNow)) {
       continue;
     }
@@ -153,16 +154,16 @@
         if (entry.mReleasedAt == Instant{}) {
           entry.mReleasedAt = aClock.mNow;
         }
-        const bool leftover = job.Graph().mSteps[step].mBestEffort;
+        const bool bestEffort = job.Graph().mSteps[step].mBestEffort;
         const bool begun = HasBegun(occurrence);
         candidates.push_back(
-          { leftover,
+          { bestEffort,
             job.mPolicy.mPriority,
             job.Graph().mSteps[step].mStanding
               ? kStandingTimeliness
               : TimelinessOf(job, occurrence, begun, aClock.mNow),
-            leftover && !begun,
-            leftover ? RemainingWork(job.Graph(), occurrence) : 0.0,
+            bestEffort && !begun,
+            bestEffort ? RemainingWork(job.Graph(), occurrence) : 0.0,
             job.mDeadline,
             { id,
               static_cast<std::int32_t>(number),
@@ -213,7 +214,7 @@
   }
 }
 
-/// All members or none, under one run number.
+/// Places all members or none, under one run number.
 void CellScheduler::PlaceGang(JobEntry& aJob,
                               const TaskRef& aFirst,
                               const CellClock& aClock)
@@ -238,7 +239,7 @@
   if (task.mIndex == aJob.Spec(aFirst).mReplicas) {
     return;
   }
-  // Not all fit. Nothing was sent yet, so that what was placed is taken back.
+  // Not all fit. Nothing has been sent yet, so the placed runs are removed.
   while (task.mIndex-- > 0) {
     const AgentId agent = aJob.Find(task)->mRuns.front().mAgent;
     RemoveRun(aJob, task, agent, run, aClock);
@@ -250,7 +251,8 @@
                               RunNumber aRun,
                               const CellClock& aClock)
 {
-  // Placed in the next round by what is known then; the job may have ended.
+  // A forgotten start adds a crash, which may end the job; otherwise the task
+  // is placed in the next round.
   if (CountForgottenStart(aTask, aClock) || aJob.Final()) {
     return false;
   }
@@ -264,23 +266,23 @@
                         aClock.mNow)) {
     return false;
   }
-  const bool compared =
+  const bool comparable =
     !starving && !suspect && RefusedDemands::Covers(aJob, spec);
-  if (compared && mRefusedDemands.Refuses(aJob, spec)) {
+  if (comparable && mRefusedDemands.Refuses(aJob, spec)) {
     return false;
   }
-  // The members of a gang start together or never, wherever there is room.
-  const bool apart = NeedsIsolatedTrial(suspected) && !spec.mGang;
+  // The members of a gang start together, wherever capacity is free.
+  const bool isolated = NeedsIsolatedTrial(suspected) && !spec.mGang;
   PlacementView view{ mWorkers,    mInterference, mSettings, mTrials,
-                      aClock.mNow, starving,      apart };
+                      aClock.mNow, starving,      isolated };
   const auto agent = ChooseWorker(view, aJob, aTask);
   if (!agent) {
     view.mNoRecentStartOnly = false;
-    if (const auto best = apart ? ChooseWorker(view, aJob, aTask) : agent;
+    if (const auto best = isolated ? ChooseWorker(view, aJob, aTask) : agent;
         best && mTrials.Reserve(*best, aTask, mWorkers.size(), aClock.mNow)) {
       LogDecision("worker-reserved", aTask, *best, aRun, "trial");
     }
-    if (compared && aJob.Find(aTask)->mStalledUntil <= aClock.mNow) {
+    if (comparable && aJob.Find(aTask)->mStalledUntil <= aClock.mNow) {
       mRefusedDemands.RecordRefusal(aJob, spec);
     }
     return false;
--- a/src/core/cell/CellSchedulerRuns.cpp
+++ b/src/core/cell/CellSchedulerRuns.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// A task that runs on so long after its stop was ordered is stopped again.
-/// Above the platform's longest stop.
+/// The stop of a task that still runs is ordered again after this time. Above
+/// the longest stop of the platform.
 constexpr Duration kStopRetryDelay = std::chrono::milliseconds(800);
 
-TaskMetadata TraitsOf(const TaskRef& aTask, const StepSpec& aSpec)
+TaskMetadata MetadataOf(const TaskRef& aTask, const StepSpec& aSpec)
 {
   return { aTask,
            aSpec.mLatencyTarget,
@@ -55,7 +55,7 @@
   if (removed == 0) {
     return;
   }
-  // Left there, it would be sent to the worker's next incarnation.
+  // Otherwise the start would be sent to the worker's next incarnation.
   WithdrawStart(aAgent, aTask, aRun);
   task.mIdleSince = aClock.mNow;
   WorkerEntry& worker = mWorkers.at(aAgent);
@@ -77,7 +77,8 @@
   OrderStop(mWorkers.at(aRun.mAgent), aTask, aRun.mNumber, aReason);
 }
 
-/// A member of a gang is not there: the others would wait for it in vain.
+/// Stops the other members of a gang when one is missing: they would wait until
+/// they time out.
 void CellScheduler::StopGang(JobEntry& aJob,
                              const TaskRef& aMember,
                              RunNumber aRun,
@@ -103,7 +104,7 @@
                               std::string_view aReason)
 {
   if (aWorker.mLink != WorkerLink::Attached) {
-    return; // Its next session lists what runs, and stops are ordered then.
+    return; // The next session lists the running tasks; stops are ordered then.
   }
   OrderRequest& orders = mOrders[aWorker.mId];
   const bool ordered =
@@ -128,19 +129,19 @@
       return aTask.mTask == aForeign.first;
     });
   });
-  std::size_t lived = 0;
+  std::size_t pastFreshUptime = 0;
   for (const RunningTask& running : aRunning) {
-    const Duration known = running.mSince == Duration::zero()
-                             ? Duration::zero()
-                             : aAnsweredAt - running.mSince;
-    if (OnRunningTask(aWorker, running, known, aClock)) {
-      lived += known >= kFreshUptime ? 1 : 0;
+    const Duration uptime = running.mSince == Duration::zero()
+                              ? Duration::zero()
+                              : aAnsweredAt - running.mSince;
+    if (OnRunningTask(aWorker, running, uptime, aClock)) {
+      pastFreshUptime += uptime >= kFreshUptime ? 1 : 0;
     }
   }
-  aWorker.mAllPastFreshUptime = lived == aWorker.mRuns.size();
+  aWorker.mAllPastFreshUptime = pastFreshUptime == aWorker.mRuns.size();
 }
 
-/// False when no run of ours is there.
+/// Returns false when the run is not one of this owner's.
 bool CellScheduler::OnRunningTask(WorkerEntry& aWorker,
                                   const RunningTask& aRunning,
                                   Duration aUptime,
@@ -173,14 +174,15 @@
   }
   if (run->mPhase == RunPhase::Stopping &&
       aClock.mNow - run->mStopOrderedAt > kStopRetryDelay) {
-    // Ordered before a session that broke, or lost: a stop is idempotent.
+    // The stop was lost, or ordered in an earlier session. Stops are
+    // idempotent.
     StopRun(*run, aRunning.mTask, "again", aClock);
   }
   return true;
 }
 
-/// Takes over a run that an earlier owner started. False when it must not go
-/// on: its job has ended, or another run of the task may be alive.
+/// Adopts a run that an earlier owner started. Returns false when it must be
+/// stopped: its job has ended, or another run of the task may be alive.
 bool CellScheduler::Adopt(WorkerEntry& aWorker,
                           const RunningTask& aRunning,
                           const CellClock& aClock)
@@ -224,20 +226,20 @@
     job.mPhase = JobPhase::Running;
   }
   mOrders[aWorker.mId].mMetadata.push_back(
-    TraitsOf(aRunning.mTask, job.Spec(aRunning.mTask)));
+    MetadataOf(aRunning.mTask, job.Spec(aRunning.mTask)));
   return true;
 }
 
-/// An agent that has restarted knows nothing of what its worker runs.
+/// Sends the metadata of all runs: a restarted agent does not have it.
 void CellScheduler::SendMetadata(const WorkerEntry& aWorker)
 {
   if (aWorker.mRuns.empty()) {
     return;
   }
-  std::vector<TaskMetadata>& traits = mOrders[aWorker.mId].mMetadata;
-  traits.clear();
+  std::vector<TaskMetadata>& metadata = mOrders[aWorker.mId].mMetadata;
+  metadata.clear();
   for (const auto& [task, number] : aWorker.mRuns) {
-    traits.push_back(TraitsOf(task, mJobs.at(task.mJob).Spec(task)));
+    metadata.push_back(MetadataOf(task, mJobs.at(task.mJob).Spec(task)));
   }
 }
 
@@ -248,27 +250,28 @@
 {
   std::vector<RunRef> missing;
   for (const auto& entry : aWorker.mRuns) {
-    const RunRef ours{ entry.first, entry.second };
-    const bool shown =
-      std::ranges::any_of(aRunning, [&ours](const RunningTask& aShown) {
-        return aShown.mRun == ours.mRun && aShown.mTask == ours.mTask;
+    const RunRef expected{ entry.first, entry.second };
+    const bool reported =
+      std::ranges::any_of(aRunning, [&expected](const RunningTask& aReported) {
+        return aReported.mRun == expected.mRun &&
+               aReported.mTask == expected.mTask;
       });
-    if (!shown) {
-      missing.push_back(ours);
+    if (!reported) {
+      missing.push_back(expected);
     }
   }
   for (const auto& [task, number] : missing) {
     JobEntry& job = mJobs.at(task.mJob);
     const TaskRun* run = job.Find(task)->FindRun(aWorker.mId, number);
     if (run == nullptr) {
-      continue; // It went with another member of its gang.
+      continue; // Removed together with another member of its gang.
     }
-    // A report may be older than the orders that started the run; one whose
-    // orders are not answered yet is judged by the answer.
-    const bool open =
+    // The report may be older than the orders that started the run. A run whose
+    // orders are not answered yet is decided by their answer.
+    const bool undecided =
       run->mOrderNumber > aOrdersDone ||
       (run->mPhase == RunPhase::Ordered && aOrdersDone != kAllOrders);
-    if (open) {
+    if (undecided) {
       continue;
     }
     LogDecision("task-lost", task, aWorker.mId, number, "not-there");
--- a/src/core/cell/CellSchedulerWaiting.cpp
+++ b/src/core/cell/CellSchedulerWaiting.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr double kMillicores = 1000.0;
-/// Between two rounds of lines on steps that wait: one line an image.
+/// Waiting steps are logged this often, one line per image.
 constexpr Duration kLogWaitingInterval = std::chrono::seconds(1);
 
 std::string ToText(const RefusalCounts& aCounts)
@@ -29,7 +29,7 @@
 
 } // namespace
 
-/// Tells where the time of a leftover step's last task went.
+/// Logs how the last task of a best-effort step spent its time.
 void CellScheduler::OnStepDone(JobEntry& aJob, const TaskRef& aTask)
 {
   const StepSpec& spec = aJob.Spec(aTask);
@@ -47,9 +47,9 @@
                            spec.mReplicas));
 }
 
-/// Tells what the workers leave to leftover tasks, how much of it these want,
-/// stand still with and use, in cores; and workers by the number of serving
-/// images on them.
+/// Logs, in cores, what the workers leave to best-effort tasks and how much of
+/// it these demand, are stalled with and use; and the number of workers by
+/// their count of serving images.
 void CellScheduler::LogLoad() const
 {
   double left = 0;
@@ -88,8 +88,8 @@
                            images));
 }
 
-/// Tells of the first waiting step of each leftover image why no worker takes
-/// it.
+/// Logs, for the first waiting step of each best-effort image, why no worker
+/// accepts it.
 void CellScheduler::LogWaiting(const std::vector<Candidate>& aCandidates,
                                const CellClock& aClock)
 {
@@ -98,14 +98,14 @@
   }
   mWaitingLoggedAt = aClock.mNow;
   LogLoad();
-  std::set<std::string> told;
+  std::set<std::string> loggedImages;
   for (const Candidate& candidate : aCandidates) {
     JobEntry& job = mJobs.at(candidate.mFirstTask.mJob);
     const StepSpec& spec = job.Spec(candidate.mFirstTask);
     std::vector<TaskEntry>& tasks = job.StepOf(candidate.mFirstTask).mTasks;
     const auto idle = std::ranges::find_if(tasks, &TaskEntry::Idle);
     if (!spec.mBestEffort || idle == tasks.end() ||
-        !told.insert(spec.mImage).second) {
+        !loggedImages.insert(spec.mImage).second) {
       continue;
     }
     TaskRef task = candidate.mFirstTask;
--- a/src/core/cell/CellSettings.h
+++ b/src/core/cell/CellSettings.h
@@ -5,71 +5,73 @@
 
 namespace foxtailbarrow::cell {
 
-/// Times and weights of the owner's decisions.
+/// Times and thresholds of the owner's decisions.
 struct CellSettings
 {
-  /// Longest lease of a task beyond its agent's last word with the owner. A
-  /// lost worker's tasks restart after it; a shorter cut is survived.
+  /// Longest lease of a task after the last contact of its agent with the
+  /// owner. Tasks of a lost worker restart after it; tasks survive a shorter
+  /// interruption.
   Duration mMaxTaskLease = std::chrono::milliseconds(3500);
   /// Longest time that an owner grants leases without a confirmation of its
-  /// ownership by the store. A store outage of this length is survived. A new
-  /// owner waits it out for workers that do not answer.
+  /// ownership by the store. Tasks survive a store outage of this length. A new
+  /// owner waits this long for workers that do not answer.
   Duration mOwnershipTimeout = std::chrono::milliseconds(5600);
-  /// Added to every waited lease: slow clocks of workers (2 %) and the time
-  /// that a worker takes to end what has lapsed.
+  /// Added to every lease that is waited for: covers slow clocks of workers
+  /// (2 %) and the time that a worker takes to end tasks whose lease expired.
   Duration mLeaseMargin = std::chrono::milliseconds(350);
-  /// How long nothing is started on a worker that fails all it starts.
+  /// How long nothing is started on a worker whose tasks all fail.
   Duration mAvoidFor = std::chrono::seconds(3);
   /// Failures in a row, of two jobs or more, after which a worker is avoided.
   int mFailuresToAvoid = 3;
-  /// Before a start is tried again at a worker that refused it.
+  /// Before a refused start is retried.
   Duration mRefusalPause = std::chrono::milliseconds(100);
-  /// Before a suspect is tried whose worker has just gone: about the time after
-  /// which a crashed worker is back.
+  /// Before the next trial of a suspect whose worker was just lost: about the
+  /// time that a crashed worker takes to restart.
   Duration mSuspectPause = std::chrono::milliseconds(2500);
-  /// Before a draining worker leaves, tasks with checkpoints are stopped.
+  /// Tasks with checkpoints are stopped so long before a draining worker
+  /// leaves.
   Duration mEvacuateBefore = std::chrono::milliseconds(900);
-  /// Demand of leftover tasks on a worker over what it has for them. Some are
-  /// held down at any moment, and the others use what these leave; far above
-  /// it all are late together.
+  /// Demand of best-effort tasks on a worker over what it has for them. Some
+  /// are throttled at any moment, and the others use what these leave; at a far
+  /// higher ratio all of them are late.
   double mMaxBestEffortRatio = 1.3;
-  /// Share of its target that a serving task's latency may come to by plan, at
-  /// the load that its job is expected to have. The rest is for what is not
-  /// known: new pairs of images, rough figures.
+  /// Share of its target that a serving task's latency may reach by plan, at
+  /// the expected load of its job. The rest covers unknown pairs of images and
+  /// imprecise measurements.
   double mPlannedLatencyShare = 0.75;
-  /// Pressure over what was planned, in the logarithm of the latency, from
-  /// which on no further leftover task is placed: such a task would hardly run.
+  /// Interference beyond the planned one, in the logarithm of the latency, from
+  /// which on no further best-effort task is placed: it would hardly run.
   double mMaxExcessInterference = 0.05;
-  /// Share of its reservation that a standing task is taken to use.
+  /// Share of its reservation that a standing task is assumed to use.
   double mStandingUseShare = 0.5;
-  /// Without any running task for so long, a job takes any worker with room,
-  /// unless more than mBusyShare of the cell's processors are reserved.
+  /// After so long without any running task, a job may use any worker with free
+  /// capacity, unless at least mBusyShare of the cell's processors is reserved.
   Duration mStarvingAfter = std::chrono::milliseconds(1500);
   double mBusyShare = 0.6;
   /// A task that may have copies gets one when it has made no progress for so
-  /// long, or when its worker has been silent.
+  /// long, or when its worker is unreachable,
   Duration mCopyAfter = std::chrono::milliseconds(900);
-  /// Or when it is expected to last so many times as long as its like.
+  /// or when it is expected to run this many times the queue's mean run time.
   double mCopySlowness = 2.5;
-  /// Copies of a cell at a time.
+  /// Concurrent copies in the cell.
   int mMaxCopies = 24;
-  /// Between two looks over all runs for copies and moves. These wait for about
-  /// a second, while rounds of placing are many times as frequent.
+  /// Between two reviews of all runs for copies and moves. These wait for about
+  /// a second, while placement rounds are many times as frequent.
   Duration mRunReviewInterval = std::chrono::milliseconds(100);
-  /// A leftover task that uses less than this share of its demand, later than
-  /// so long after its start, is stalled: slowed down for a serving task.
+  /// A best-effort task that uses less than this share of its demand, after a
+  /// grace period from its start, is stalled: throttled for a serving task.
   double mStalledShare = 0.3;
   Duration mStalledGrace = std::chrono::milliseconds(900);
   /// A task that was stalled for so long is stopped, with a checkpoint, when
-  /// another worker would take it. A move costs a stop and a restore.
+  /// another worker would accept it. A move costs a stop and a restore.
   Duration mMoveStalledAfter = std::chrono::milliseconds(1200);
-  /// Between two such stops on one worker: the others may go faster after one.
+  /// Between two such stops on one worker: other tasks may speed up after one.
   Duration mMovePause = std::chrono::milliseconds(500);
-  /// How long the task is not placed there again.
+  /// How long the task is not placed on that worker again.
   Duration mStalledAvoid = std::chrono::seconds(4);
-  /// Between two looks at one worker that interference is learned from: its
-  /// figures cover half a second. Shorter than between two reports of figures,
-  /// or every second one would be passed over.
+  /// Between two samples of one worker for the interference estimator. Its
+  /// measurements cover half a second. Shorter than the interval between two
+  /// reports of them, or every second one would be skipped.
   Duration mObserveInterval = std::chrono::milliseconds(450);
   InterferenceSettings mInterference;
 };
