--- a/apps/scheduler/CellOwnerAgents.cpp
+++ b/apps/scheduler/CellOwnerAgents.cpp
@@ -71,7 +71,7 @@
   reply.mAcknowledged = mLogic.Acknowledged(aReport.mAgent);
   if (now - link.mWeightsSentAt >= kWeightsInterval) {
     link.mWeightsSentAt = now;
-    reply.mPressures = mLogic.InterferenceWeightsOn(aReport.mAgent);
+    reply.mInterferenceWeights = mLogic.InterferenceWeightsOn(aReport.mAgent);
   }
   // Most reports bring nothing that a round of placing could answer.
   if (mLogic.NeedsPlacement()) {
--- a/apps/taskagent/OwnerLink.cpp
+++ b/apps/taskagent/OwnerLink.cpp
@@ -154,7 +154,7 @@
   if (aReply.mAttached && mBase.Incarnation() == mWorker.Info().mIncarnation) {
     mWorker.OnGrant(
       aReport.mSession, aSentAt, aReply.mGrant, aReply.mAcknowledged);
-    mWorker.SetInterferenceWeights(aReply.mPressures);
+    mWorker.SetInterferenceWeights(aReply.mInterferenceWeights);
   }
 }
 
--- a/src/core/cell/CellClock.h
+++ b/src/core/cell/CellClock.h
@@ -6,8 +6,8 @@
 
 namespace foxtailbarrow::cell {
 
-/// Moments as both clocks show them: intervals are judged by the monotonic
-/// one, due times by the time of day.
+/// The current time by both clocks: the monotonic one for intervals, the time
+/// of day for due times.
 struct CellClock
 {
   Instant mNow{};
--- a/src/core/cell/CellDecision.h
+++ b/src/core/cell/CellDecision.h
@@ -10,16 +10,16 @@
 
 namespace foxtailbarrow::cell {
 
-/// One decision of the scheduler with what it rests on, for the log.
+/// A decision of the scheduler and its reason, for the log.
 struct CellDecision
 {
   std::string_view mEvent{}; ///< For example "task-start".
   JobId mJob{};
-  std::string mTask{}; ///< Empty when it concerns the whole job.
-  AgentId mAgent{};    ///< Empty when no worker is concerned.
+  std::string mTask{}; ///< Empty for a decision on the whole job.
+  AgentId mAgent{};    ///< Empty for a decision that concerns no worker.
   RunNumber mRun = 0;
   std::string_view mReason{};
-  std::int64_t mAgeMs = 0; ///< Of the input that decided it.
+  std::int64_t mAgeMs = 0; ///< Age of the input that it is based on.
 };
 
 using DecisionSink = std::function<void(const CellDecision&)>;
--- a/src/core/cell/CellMessages.h
+++ b/src/core/cell/CellMessages.h
@@ -21,8 +21,8 @@
 
 /// Number of a scheduler's term as owner of the cell; rises with each owner.
 using Generation = std::int64_t;
-/// One agreement between an owner and an agent on what runs; rises over all
-/// agents and owners. Orders of an earlier session are dead at the worker.
+/// Number of a session between an owner and an agent; rises over all agents and
+/// owners. The worker rejects orders of earlier sessions.
 using Session = std::int64_t;
 
 /// What an agent needs to start a task.
@@ -32,11 +32,11 @@
   RunNumber mRun = 0;
   std::string mPayload;
   std::string mCheckpoint;
-  std::string mTicket; ///< Where another service chooses workers; else empty.
+  std::string mTicket;       ///< Empty unless another service chooses workers.
   Duration mLatencyTarget{}; ///< 0 = not a serving task.
-  bool mBestEffort = false;  ///< May be slowed to protect serving tasks.
+  bool mBestEffort = false;  ///< May be throttled to protect serving tasks.
   std::string mImage;
-  Resources mReserved{}; ///< Of the worker's capacity.
+  Resources mReserved{}; ///< Reserved part of the worker's capacity.
 };
 
 struct StopOrder
@@ -45,7 +45,7 @@
   RunNumber mRun = 0;
 };
 
-/// What an agent must know of a task that it did not start itself.
+/// Metadata that an agent needs of a task that it did not start itself.
 struct TaskMetadata
 {
   TaskRef mTask;
@@ -58,13 +58,13 @@
 enum class StartOutcome : std::uint8_t
 {
   Started,
-  NoFreeCapacity, ///< The worker refused for lack of room.
-  StaleRun,       ///< A run as high has ended or been stopped there.
-  Unhealthy,  ///< The worker is unhealthy, draining, or another incarnation.
-  NoLease,    ///< The agent's grant has run out.
-  NoTicket,   ///< The worker rejected the ticket.
+  NoFreeCapacity, ///< The worker has too little free capacity.
+  StaleRun,  ///< A run with this or a higher number ended or was stopped there.
+  Unhealthy, ///< The worker is unhealthy, draining, or another incarnation.
+  NoLease,   ///< The agent's grant has expired.
+  NoTicket,  ///< The worker rejected the ticket.
   NotStarted, ///< Certainly not started, for another reason.
-  /// It does not fit the newest capacity that the agent knows: not sent.
+  /// Not sent: it exceeds the newest capacity that the agent knows of.
   OverCapacity,
 };
 
@@ -77,7 +77,7 @@
   StartOutcome mOutcome = StartOutcome::Started;
 };
 
-/// `agent.attach`: owner to agent. All orders of earlier sessions end.
+/// `agent.attach`: owner to agent. Invalidates all orders of earlier sessions.
 struct AttachRequest
 {
   Generation mGeneration = 0;
@@ -97,7 +97,7 @@
 {
   Session mSession = 0;
   std::int64_t mNumber = 0;       ///< Rises by one within a session, from 1.
-  WorkerIncarnation mIncarnation; ///< The orders are for this one alone.
+  WorkerIncarnation mIncarnation; ///< The orders are valid for this one only.
   std::vector<StartOrder> mStarts;
   std::vector<StopOrder> mStops;
   std::vector<TaskMetadata> mMetadata;
@@ -109,55 +109,56 @@
   std::vector<StartResult> mStarts;
 };
 
-/// Stands for the number of orders in a state that is newer than all of them.
+/// Number of orders done for a state that is newer than all orders.
 inline constexpr std::int64_t kAllOrders =
   std::numeric_limits<std::int64_t>::max();
 
-/// `cell.report`: agent to owner, on news and at intervals.
+/// `cell.report`: agent to owner, on changes and periodically.
 struct ReportRequest
 {
   AgentId mAgent;
   Endpoint mEndpoint;
-  Session mSession = 0;       ///< 0 = asks to be attached.
+  Session mSession = 0;       ///< 0 = requests to be attached.
   std::int64_t mSequence = 0; ///< Rises within a session.
   /// Orders of the session up to this number were carried out before the state
-  /// was taken: what they started and the state does not show is not there.
+  /// was read: runs that they started and that it lacks have ended.
   std::int64_t mOrdersDone = 0;
-  /// Number of the report of this session that `mChange` builds on; 0 = the
-  /// state is told whole.
+  /// Number of the report of this session that `mChange` is based on; 0 =
+  /// `mState` holds the full state.
   std::int64_t mBase = 0;
-  WorkerState mState;                  ///< Where there is no base.
-  std::optional<WorkerChange> mChange; ///< Where there is one.
-  /// The worker has answered lately. While it does not, its leases are not
+  WorkerState mState;                  ///< Set without a base.
+  std::optional<WorkerChange> mChange; ///< Set with a base.
+  /// The worker has answered recently. While it does not, its leases are not
   /// extended.
   bool mWorkerAnswers = true;
-  /// Its process is gone, and with it all that it ran.
+  /// Its process has ended, and with it all its runs.
   bool mWorkerEnded = false;
-  /// By the agent's clock, as RunningTask::mSince, so that the time that the
-  /// report takes does not count: the newest answer, which the state is of.
+  /// Time of the worker's answer with this state. By the agent's clock, as
+  /// RunningTask::mSince, so that the delay of the report does not count.
   Duration mAnsweredAt{};
-  Duration mLeaseLeft{}; ///< Until the last lease that it may hold is over.
-  /// How long the reply to the report before took: it waited in the owner.
+  Duration mLeaseLeft{}; ///< Until the last lease that it may hold expires.
+  /// Time to the reply to the previous report, which includes its wait in the
+  /// owner.
   Duration mReplyTook{};
 };
 
 struct ReportReply
 {
   bool mOwner = false;    ///< The answering process owns the cell.
-  bool mAttached = false; ///< The session is in force.
+  bool mAttached = false; ///< The session is current.
   Generation mGeneration = 0;
-  std::vector<Endpoint> mOwnerAt; ///< Where the owner is; empty = unknown.
-  /// Leases may be held so much longer, from the sending of the request.
+  std::vector<Endpoint> mOwnerAt; ///< Endpoint of the owner; empty = unknown.
+  /// Extends leases by this time from the sending of the request.
   Duration mGrant{};
-  std::int64_t mAcknowledged = 0; ///< Ends up to this one are recorded.
-  /// The report's base was not the newest report taken: the next one must tell
-  /// the whole state.
+  std::int64_t mAcknowledged = 0; ///< Ends up to this one are saved.
+  /// The report's base was not the newest report: the next one must contain the
+  /// full state.
   bool mSendFullState = false;
-  std::vector<InterferenceWeight>
-    mPressures; ///< Of the images on the agent's worker.
+  /// Of the images on the agent's worker.
+  std::vector<InterferenceWeight> mInterferenceWeights;
 };
 
-/// `cell.find`: anyone to a scheduler.
+/// `cell.find`: any process to a scheduler.
 struct FindOwner
 {};
 
--- a/src/core/cell/CellRecords.h
+++ b/src/core/cell/CellRecords.h
@@ -14,8 +14,8 @@
 /// Records that the cell keeps in the store, and their keys.
 namespace foxtailbarrow::cell {
 
-/// `j/<id>`: written by the scheduler that accepted the job, once more when it
-/// is cancelled.
+/// `j/<id>`: written by the scheduler that accepted the job, and again when the
+/// job is cancelled.
 struct StoredJob
 {
   JobGraph mGraph;
@@ -25,8 +25,8 @@
   bool operator==(const StoredJob&) const = default;
 };
 
-/// `cell.changed`: a scheduler tells the owner what it has just written. A hint
-/// for speed: the owner's watch brings the same.
+/// `cell.changed`: a scheduler sends the owner the record that it has just
+/// written. Only saves time: the owner's watch reports the same change.
 struct RecordChanged
 {
   StoredJob mJob;
@@ -35,8 +35,8 @@
 struct RecordChangedReply
 {};
 
-/// Failed runs of a task. Numbers and not a count, so that an end which is seen
-/// again after a change of owner counts once.
+/// Failed runs of a task. Numbers rather than a count, so that an end that is
+/// reported again after a change of owner counts once.
 struct StoredFailures
 {
   std::int32_t mIndex = 0;
@@ -53,8 +53,8 @@
   bool operator==(const StoredCheckpoint&) const = default;
 };
 
-/// Crashes of workers that speak against a task, by run, and its newest start
-/// (CrashHistory).
+/// Worker crashes that are evidence against a task, by run, and its newest
+/// start (CrashHistory).
 struct StoredCrashes
 {
   std::int32_t mIndex = 0;
@@ -65,12 +65,12 @@
   bool operator==(const StoredCrashes&) const = default;
 };
 
-/// What is recorded of the tasks of one step.
+/// Saved progress of the tasks of one step.
 struct StoredStep
 {
   std::int32_t mOccurrence = 0;
   std::int32_t mStep = 0;
-  std::string mDone; ///< A character a task: '1' = ended done, '0' = not.
+  std::string mDone; ///< One character per task: '1' = done, '0' = not.
   std::vector<StoredFailures> mFailures;
   std::vector<StoredCheckpoint> mCheckpoints;
   std::vector<StoredCrashes> mCrashes{};
@@ -78,8 +78,8 @@
   bool operator==(const StoredStep&) const = default;
 };
 
-/// `p/<id>`: written by the owner before it acknowledges the ends that it
-/// covers. Steps without an end are left out.
+/// `p/<id>`: written by the owner before it acknowledges the ends that the
+/// record includes. Steps with nothing to save are omitted.
 struct StoredProgress
 {
   JobPhase mPhase = JobPhase::Queued;
@@ -89,18 +89,18 @@
   bool operator==(const StoredProgress&) const = default;
 };
 
-/// What a caller is told by the records alone. A final phase only by the
-/// owner's record: a job may have ended before its cancellation reached the
-/// owner, so that its cancellation in the store does not tell how it ends.
+/// Phase of a job by the records alone. Only the owner's progress record makes
+/// it final: the job may have ended before its cancellation reached the owner,
+/// so that a cancellation in the store does not determine how it ends.
 JobPhase SavedPhase(const std::optional<StoredProgress>& aProgress);
 
-/// `owner`, under a lease: who owns the cell now.
+/// `owner`, under a lease: the current owner of the cell.
 struct OwnerRecord
 {
   EntryId mScheduler;
   Endpoint mEndpoint;
   Generation mGeneration = 0;
-  std::int64_t mToken = 0; ///< Tells the owner's own writes from another's.
+  std::int64_t mToken = 0; ///< Identifies the owner's own writes.
 };
 
 /// `cell`, under no lease: the newest generation. Every write of the owner
@@ -119,7 +119,7 @@
 };
 
 /// Under no lease: a LearnedInterference, written every few seconds by the
-/// owner. Only saves a next owner time: it may be old or absent.
+/// owner. Only saves time for the next owner: it may be outdated or absent.
 inline constexpr std::string_view kLearnedKey = "foxtailbarrow/learned";
 inline constexpr std::string_view kOwnerKey = "foxtailbarrow/owner";
 inline constexpr std::string_view kCellKey = "foxtailbarrow/cell";
--- a/src/core/cell/EndAcknowledger.cpp
+++ b/src/core/cell/EndAcknowledger.cpp
@@ -16,10 +16,10 @@
   mPending.push_back({ aNumber, aJob, aVersion });
 }
 
-std::int64_t EndAcknowledger::Acknowledge(const SavedVersion& aRecorded)
+std::int64_t EndAcknowledger::Acknowledge(const SavedVersion& aSavedVersion)
 {
   while (!mPending.empty() &&
-         aRecorded(mPending.front().mJob) >= mPending.front().mVersion) {
+         aSavedVersion(mPending.front().mJob) >= mPending.front().mVersion) {
     mAcknowledged = mPending.front().mNumber;
     mPending.pop_front();
   }
--- a/src/core/cell/EndAcknowledger.h
+++ b/src/core/cell/EndAcknowledger.h
@@ -9,28 +9,28 @@
 
 namespace foxtailbarrow::cell {
 
-/// Decides which ends of one worker may be acknowledged: those up to the first
-/// one whose job's progress is not recorded yet. Acknowledged ends are
-/// forgotten by the worker, so that the record must come first.
+/// Decides which ends of one worker may be acknowledged: those before the first
+/// one whose job's progress is not saved yet. The worker forgets acknowledged
+/// ends, so that the progress must be saved first.
 class EndAcknowledger
 {
 public:
-  /// Returns the recorded version of a job's progress; the greatest number for
-  /// a job that needs no record.
+  /// Returns the saved version of a job's progress; the greatest number for a
+  /// job that needs no saving.
   using SavedVersion = std::function<std::uint64_t(const JobId&)>;
 
-  /// A worker of another incarnation numbers its ends from 1.
+  /// Starts over for a new incarnation, which numbers its ends from 1.
   void Reset(const WorkerIncarnation& aIncarnation);
   const WorkerIncarnation& Incarnation() const { return mIncarnation; }
 
-  /// False when this end was taken before.
+  /// False for an end that was added before.
   bool IsNew(std::int64_t aNumber) const { return aNumber > mLastNumber; }
 
-  /// Takes an end that is covered once `aJob` is recorded at `aVersion`.
+  /// Adds an end that may be acknowledged once `aJob` is saved at `aVersion`.
   void Add(std::int64_t aNumber, const JobId& aJob, std::uint64_t aVersion);
 
   /// Highest number that may be acknowledged.
-  std::int64_t Acknowledge(const SavedVersion& aRecorded);
+  std::int64_t Acknowledge(const SavedVersion& aSavedVersion);
 
   bool Empty() const { return mPending.empty(); }
 
--- a/src/core/cell/JobEntry.cpp
+++ b/src/core/cell/JobEntry.cpp
@@ -89,7 +89,8 @@
   }
 }
 
-/// Longest chain of declared run times over the steps that count.
+/// Length of the longest dependency path, over the steps that `aCounts`
+/// selects.
 template<typename Counts>
 Duration PathLength(const JobGraph& aGraph, Counts aCounts)
 {
@@ -173,7 +174,7 @@
   progress.mPhase = aJob.mPhase;
   progress.mEndedUnixMs = aJob.mEndedUnixMs;
   if (aJob.Final()) {
-    return progress; // Nothing of it runs again, so that the rest is not read.
+    return progress; // No task of it runs again: the steps are not needed.
   }
   for (std::size_t number = 0; number < aJob.mOccurrences.size(); ++number) {
     const OccurrenceEntry& occurrence = aJob.mOccurrences[number];
--- a/src/core/cell/JobEntry.h
+++ b/src/core/cell/JobEntry.h
@@ -17,11 +17,11 @@
 {
   std::vector<TaskEntry> mTasks;
   std::int32_t mTasksLeft = 0; ///< Tasks that are not done.
-  Instant mReleasedAt{};       ///< It was first found free to start.
-  StepAdvice mAdvice;          ///< Where the queue's policy asks for it.
+  Instant mReleasedAt{};       ///< When its dependencies were found done.
+  StepAdvice mAdvice;          ///< Used where the queue's policy requires it.
 };
 
-/// One time that the steps of a job run.
+/// One execution of the steps of a job.
 struct OccurrenceEntry
 {
   std::int64_t mDueUnixMs = 0; ///< 0 = at once.
@@ -29,7 +29,7 @@
   std::int32_t mStepsLeft = 0;
 };
 
-/// What the owner knows of one job.
+/// The owner's state of one job.
 struct JobEntry
 {
   StoredJob mStored;
@@ -43,13 +43,13 @@
   /// reported yet may run them.
   bool mInherited = false;
   std::int64_t mEndedUnixMs = 0;
-  std::set<TaskRef> mSuspects; ///< Tasks that crashes speak against.
+  std::set<TaskRef> mSuspects; ///< Tasks suspected of crashing workers.
 
-  std::uint64_t mVersion = 0;      ///< Of what the progress record must say.
-  std::uint64_t mSavedVersion = 0; ///< Version that the store has.
-  Instant mUnsavedSince{};         ///< While the store has an older version.
+  std::uint64_t mVersion = 0;      ///< Of the progress.
+  std::uint64_t mSavedVersion = 0; ///< Of the progress in the store.
+  Instant mUnsavedSince{};         ///< Valid while that one is older.
   Revision mProgressRevision = 0;  ///< Of the progress record; 0 = none.
-  /// A write of the record is not answered yet: the store may have it.
+  /// A write of the progress record is unanswered: it may have been applied.
   bool mSaveInDoubt = false;
 
   const JobGraph& Graph() const { return mStored.mGraph; }
@@ -73,15 +73,15 @@
   }
 };
 
-/// A job as it is after its acceptance, with what the store recorded of it.
+/// Restores a job from its record and its saved progress.
 JobEntry MakeJobEntry(StoredJob aStored,
                       const StoredProgress& aProgress,
                       QueuePolicy aPolicy);
 
-/// What the store is to record of the job now.
+/// The progress to save for the job now.
 StoredProgress ProgressOf(const JobEntry& aJob);
 
-/// Longest chain of declared run times over the steps' dependencies.
+/// Length of the longest path of declared run times through the dependencies.
 Duration CriticalPath(const JobGraph& aGraph);
 
 /// As CriticalPath(), over the steps of the occurrence that are not done.
@@ -92,10 +92,10 @@
 double RemainingWork(const JobGraph& aGraph,
                      const OccurrenceEntry& aOccurrence);
 
-/// True when a task of the occurrence runs or has ended done.
+/// True when a task of the occurrence runs or is done.
 bool HasBegun(const OccurrenceEntry& aOccurrence);
 
-/// True when every step that `aStep` waits for is done.
+/// True when every step that `aStep` depends on is done.
 bool Released(const JobGraph& aGraph,
               const OccurrenceEntry& aOccurrence,
               std::size_t aStep);
--- a/src/core/cell/JobGraph.h
+++ b/src/core/cell/JobGraph.h
@@ -18,19 +18,19 @@
 inline constexpr std::size_t kMaxSteps = 64;
 inline constexpr std::int32_t kMaxOccurrences = 10'000;
 
-/// A set of like tasks of a job.
+/// A set of identical tasks of a job.
 struct StepSpec
 {
   std::int32_t mReplicas = 1; ///< Tasks of the step.
   Resources mDemand;          ///< Of each task.
-  Duration mEstimate{};       ///< Declared run time of a task; may be far off.
+  Duration mEstimate{};       ///< Declared run time of a task; may be wrong.
   std::vector<std::int32_t> mAfter; ///< Earlier steps that must be done first.
   bool mCheckpoints = false;        ///< Resumes from a saved checkpoint.
   bool mGang = false;        ///< All tasks run together and end together.
   bool mSameRack = false;    ///< Slower when spread over several racks.
   bool mSpeculative = false; ///< Copies may run; the first to finish counts.
   bool mStanding = false;    ///< Lasts until cancelled; restarted when it ends.
-  /// Processors are not reserved: the task gets what the others leave.
+  /// Processors are not reserved: the task uses what other tasks leave.
   bool mBestEffort = false;
   std::string mRequiredLabel; ///< The worker must have it; empty = any worker.
   RackId mDataRack;           ///< Faster there; empty = no preference.
@@ -42,30 +42,30 @@
   bool operator==(const StepSpec&) const = default;
 };
 
-/// Repeats of a job at due times. A job without repeats has one occurrence.
+/// Repetitions of a job at due times. Without any, it has one occurrence.
 struct Recurrence
 {
-  std::int32_t mCount = 0; ///< 0 = runs once, at once.
+  std::int32_t mCount = 0; ///< 0 = runs once, immediately.
   std::int64_t mFirstDueUnixMs = 0;
   std::int64_t mIntervalMs = 0;
 
   bool operator==(const Recurrence&) const = default;
 };
 
-/// What a caller asked for: steps with dependencies. Never changes after it was
-/// accepted. A job of one task is a graph of one step with one replica.
+/// A submitted job: steps with dependencies. Immutable after acceptance. A job
+/// of one task is a graph of one step with one replica.
 struct JobGraph
 {
   JobId mId;
   QueueId mQueue;
-  std::string mPayload; ///< Handed to each task; opaque to us.
+  std::string mPayload; ///< Passed to each task; opaque to the scheduler.
   std::vector<StepSpec> mSteps;
   Recurrence mRecurrence;
 
   bool operator==(const JobGraph&) const = default;
 };
 
-/// Number of times that the steps run, at least 1.
+/// Number of executions of the steps, at least 1.
 inline std::int32_t Occurrences(const JobGraph& aGraph)
 {
   return aGraph.mRecurrence.mCount > 0 ? aGraph.mRecurrence.mCount : 1;
--- a/src/core/cell/TaskEntry.h
+++ b/src/core/cell/TaskEntry.h
@@ -18,31 +18,31 @@
 {
   Ordered, ///< The agent has not answered yet: it may or may not run.
   Running,
-  Stopping, ///< Holds its room until its end is listed.
+  Stopping, ///< Holds its capacity until its end is reported.
 };
 
-/// One run of a task that may be there.
+/// One run of a task that may be alive.
 struct TaskRun
 {
   AgentId mAgent{};
   RunNumber mNumber = 0;
   RunPhase mPhase = RunPhase::Ordered;
   Instant mOrderedAt{};
-  /// Of the orders that started it in the session in force; 0 = it was there
-  /// when the session began.
+  /// Number of the orders that started it in the current session; 0 = it ran
+  /// before the session began.
   std::int64_t mOrderNumber = 0;
-  bool mSent = false; ///< The order has left: it may have run.
+  bool mSent = false; ///< The order was sent: it may have run.
   Instant mRunningSince{};
-  /// It was alive for so long at least, by its agent's clock.
+  /// Least time that it has been alive, by its agent's clock.
   Duration mUptime{};
   std::int32_t mPercent = 0;
   Instant mPercentChangedAt{};
   Instant mStopOrderedAt{};
-  /// A leftover task's, that is hardly at work; nullopt while it is.
+  /// Start of the stall of a best-effort task; nullopt while it makes progress.
   std::optional<Instant> mStalledSince{};
-  Instant mFigureAt{}; ///< Its newest figure was counted.
+  Instant mFigureAt{}; ///< When its newest measurement was counted.
 
-  /// Its worker has said that it runs.
+  /// Its worker has reported that it runs.
   void Confirm(Instant aNow)
   {
     if (mPhase == RunPhase::Ordered) {
@@ -54,7 +54,7 @@
   bool Confirmed() const { return mRunningSince != Instant{}; }
 };
 
-/// What the owner knows of one task.
+/// The owner's state of one task.
 struct TaskEntry
 {
   bool mDone = false;
@@ -64,17 +64,17 @@
   RunNumber mLastRun = 0;
   Instant mNotBefore{}; ///< No start before; set after a refusal.
   Instant mIdleSince{};
-  TaskTime mTime; ///< Of a leftover task.
+  TaskTime mTime; ///< Best-effort tasks only.
   std::vector<AgentId> mFailedOn;
   AgentId mStalledOn;      ///< Not placed there again
-  Instant mStalledUntil{}; ///< before this.
-  /// Runs of earlier owners whose leases this owner has waited out.
+  Instant mStalledUntil{}; ///< before this time.
+  /// Runs of earlier owners whose leases have expired.
   std::vector<RunNumber> mExpiredRuns;
   CrashHistory mCrashes;
-  bool mProven = false; ///< A run of it has lived for kProvenUptime.
-  /// Version of the job's progress that must be recorded before a start.
+  bool mProven = false; ///< A run of it has reached kProvenUptime.
+  /// Version of the job's progress that must be saved before a start.
   std::uint64_t mCrashVersion = 0;
-  Instant mCrashedAt{}; ///< The newest crash was noted.
+  Instant mCrashedAt{}; ///< When the newest crash was recorded.
 
   bool Idle() const { return !mDone && mRuns.empty(); }
 
--- a/src/core/cell/TaskRef.cpp
+++ b/src/core/cell/TaskRef.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Takes ".number" off the end of the text.
+/// Removes ".number" from the end of the text.
 bool TakeNumber(std::string_view& aText, std::int32_t& aNumber)
 {
   const std::size_t dot = aText.rfind('.');
--- a/src/core/cell/TaskRef.h
+++ b/src/core/cell/TaskRef.h
@@ -10,18 +10,18 @@
 
 namespace foxtailbarrow::cell {
 
-/// Numbers the starts of a task; every start has a higher one than all before.
+/// Number of a start of a task, higher than those of all earlier starts.
 using RunNumber = std::int64_t;
 
-/// Runs that an owner of this generation starts have this number or a higher
-/// one, and so are above those of all earlier owners.
+/// Lower bound of the run numbers of an owner of this generation, above those
+/// of all earlier owners.
 constexpr RunNumber FirstRunOf(std::int64_t aGeneration)
 {
   constexpr int kRunBits = 20;
   return aGeneration << kRunBits;
 }
 
-/// Names one task of a job.
+/// Identifies one task of a job.
 struct TaskRef
 {
   JobId mJob;
@@ -43,7 +43,7 @@
   }
 };
 
-/// Names one run of a task.
+/// Identifies one run of a task.
 struct RunRef
 {
   TaskRef mTask;
@@ -56,11 +56,12 @@
 /// "job.occurrence.step.index", in messages and logs.
 std::string ToString(const TaskRef& aTask);
 
-/// Reverse of ToString(); nullopt for any other text. The job's identifier may
-/// hold dots itself.
+/// Inverse of ToString(); nullopt for any other text. The job's identifier may
+/// contain dots itself.
 std::optional<TaskRef> ParseTaskRef(std::string_view aText);
 
-/// The same for messages; false leaves the task as it was.
+/// The same for messages. Returns false and leaves the task unchanged for any
+/// other text.
 inline bool ParseText(std::string_view aText, TaskRef& aTask)
 {
   if (auto task = ParseTaskRef(aText)) {
--- a/src/core/cell/UnsavedProgress.h
+++ b/src/core/cell/UnsavedProgress.h
@@ -8,14 +8,14 @@
 
 namespace foxtailbarrow::cell {
 
-/// A change of a job's progress that the store does not have yet.
+/// A job's progress that the store does not have yet.
 struct UnsavedProgress
 {
   JobId mJob;
   std::uint64_t mVersion = 0;
   StoredProgress mProgress;
   Revision mRevision = 0; ///< Of the record that it replaces; 0 = none.
-  Instant mSince{};       ///< Since when the store lacks a part of it.
+  Instant mSince{};       ///< Since when the stored progress is older.
 };
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/WorkerEntry.h
+++ b/src/core/cell/WorkerEntry.h
@@ -20,12 +20,12 @@
 
 enum class WorkerLink : std::uint8_t
 {
-  Detached, ///< No session; its tasks may run until their leases are over.
+  Detached, ///< No session; its tasks may run until their leases expire.
   Attached,
-  Lost, ///< Its leases are over: nothing of it runs.
+  Lost, ///< Its leases have expired: nothing runs there.
 };
 
-/// What the owner knows of one worker.
+/// The owner's state of one worker.
 struct WorkerEntry
 {
   AgentId mId;
@@ -34,51 +34,51 @@
   Session mSession = 0;
   std::int64_t mLastSequence = 0;
   WorkerState mReported;       ///< As of that report.
-  bool mSendFullState = false; ///< The last report built on another one.
+  bool mSendFullState = false; ///< The last report had an unknown base.
   std::int64_t mLastOrder = 0; ///< Number of the newest orders of the session.
   WorkerInfo mInfo;
   WorkerUse mUse;
-  WorkerInterference mWorkerInterference; ///< Of that use.
+  WorkerInterference mWorkerInterference; ///< Caused by that use.
   std::map<TaskRef, RunNumber> mRuns;
-  /// Runs that are there and that no job of ours accounts for; they are being
-  /// stopped, and nothing is started while there is any.
+  /// Runs on the worker that belong to no job of this owner. They are stopped,
+  /// and nothing is started while there are any.
   std::map<TaskRef, RunNumber> mForeign;
   EndAcknowledger mEnds;
-  /// Runs lost while it was silent; whether it crashed is not known yet.
+  /// Runs lost while it did not answer; it is not known yet whether it crashed.
   std::vector<CrashedRun> mUnexplained;
   Instant mGrantedUntil{}; ///< End of the newest grant of this owner.
   /// Latest end of a lease that this or an earlier owner may have granted.
   Instant mLeasedUntil{};
-  Instant mCrashedAt{};     ///< It was heard of its newest crash.
-  Instant mStalledStopAt{}; ///< A stalled task was stopped last.
-  Instant mLeavesAt{};      ///< While it drains.
-  Instant mObservedAt{};    ///< Figures were last learned from.
-  bool mAnswers = true;     ///< To its agent.
-  /// The newest report shows all that may run there to have lived for
-  /// kFreshUptime.
+  Instant mCrashedAt{};     ///< When its newest crash was reported.
+  Instant mStalledStopAt{}; ///< When a stalled task was last stopped.
+  Instant mLeavesAt{};      ///< Valid while it drains.
+  Instant mObservedAt{};    ///< When interference was last observed.
+  bool mAnswers = true;     ///< It answers its agent.
+  /// By the newest report, every run has an uptime of kFreshUptime or more.
   bool mAllPastFreshUptime = false;
-  /// Its newest answer that its agent told of, by the agent's clock.
+  /// Its newest answer that its agent reported, by the agent's clock.
   Duration mAnsweredAt{};
-  /// That, when it last refused a start as unwell.
+  /// mAnsweredAt at the time of its last refusal of a start as unhealthy.
   std::optional<Duration> mUnhealthyAfter{};
-  /// Its agent knows of a smaller capacity than the last report told.
+  /// Its agent knows of a smaller capacity than the last report stated.
   bool mAwaitsReport = false;
-  Instant mSilentLeaseEnd{}; ///< While it does not answer.
-  bool mEnded = false;       ///< This incarnation is gone, as its agent tells.
+  Instant mSilentLeaseEnd{}; ///< Valid while it does not answer.
+  bool mEnded = false;       ///< Its agent reported this incarnation as ended.
 
   std::set<JobId> mFailingJobs; ///< Since the last task that ended done.
   std::int32_t mFailuresInRow = 0;
-  Instant mAvoidUntil{}; ///< Nothing is started before, after failures.
+  Instant mAvoidUntil{}; ///< No start before, because of failures.
 
-  /// It has refused a start and not answered since, as one that is gone does
-  /// before its agent knows. Each start that is refused leaves its room free.
+  /// It has refused a start and not answered since, as an ended worker does
+  /// until its agent notices. A refused start leaves its capacity free, so more
+  /// starts would follow.
   bool Unhealthy() const
   {
     return mUnhealthyAfter && mAnsweredAt <= *mUnhealthyAfter;
   }
 
-  /// Nothing of what runs there has started lately: a crash would speak against
-  /// a next start alone.
+  /// No run there has started recently: a crash would be evidence against the
+  /// next start alone.
   bool HasNoRecentStart() const { return mRuns.empty() || mAllPastFreshUptime; }
 };
 
--- a/src/core/message/detail/CellFields.h
+++ b/src/core/message/detail/CellFields.h
@@ -131,7 +131,7 @@
   aVisitor.Optional("grantUs", aMessage.mGrant);
   aVisitor.Optional("acknowledged", aMessage.mAcknowledged);
   aVisitor.Optional("sendWhole", aMessage.mSendFullState);
-  aVisitor.Optional("pressures", aMessage.mPressures);
+  aVisitor.Optional("pressures", aMessage.mInterferenceWeights);
 }
 
 template<typename Visitor, Is<cell::FindOwner> Message>
