--- a/tests/cell/AdviceTest.cpp
+++ b/tests/cell/AdviceTest.cpp
@@ -8,8 +8,8 @@
 const WorkerIncarnation kWorkerA("a-life");
 const WorkerIncarnation kWorkerB("b-life");
 
-/// A queue whose workers another service chooses; workers a and b; a job of one
-/// task.
+/// A queue whose workers are chosen by another service, workers a and b, and a
+/// job of one task.
 class AdviceTest : public CellFixture
 {
 protected:
@@ -24,17 +24,17 @@
     mScheduler.Schedule(Clock());
   }
 
-  AdviceQuery Ask()
+  AdviceQuery Query()
   {
     const auto query = mScheduler.NextAdviceQuery(Clock());
     EXPECT_TRUE(query.has_value());
     return query.value_or(AdviceQuery());
   }
 
-  void Answer(std::vector<AdviceGrant> aGranted)
+  void Reply(std::vector<AdviceGrant> aGranted)
   {
     mScheduler.OnAdvice(
-      Ask(), AdviceReply{ std::move(aGranted), seconds(3) }, Clock());
+      Query(), AdviceReply{ std::move(aGranted), seconds(3) }, Clock());
   }
 };
 
@@ -44,49 +44,49 @@
   EXPECT_TRUE(Orders("b").mStarts.empty());
 }
 
-TEST_F(AdviceTest, AsksAboutAllWorkersInTime)
+TEST_F(AdviceTest, QueriesAllWorkersWithATimeout)
 {
-  const AdviceQuery query = Ask();
+  const AdviceQuery query = Query();
   EXPECT_EQ(query.mStep, kFirst);
   EXPECT_EQ(query.mWorkers,
             (std::vector<WorkerIncarnation>{ kWorkerA, kWorkerB }));
   EXPECT_GT(query.mTimeout, milliseconds(120)); // 100 and 10 a worker
 }
 
-TEST_F(AdviceTest, ATaskStartsWhereItMayWithTheTicket)
+TEST_F(AdviceTest, ATaskStartsOnTheGrantedWorkerWithItsTicket)
 {
-  Answer({ { kWorkerB, "ticket-b" } });
+  Reply({ { kWorkerB, "ticket-b" } });
   EXPECT_TRUE(Orders("a").mStarts.empty());
   const OrderRequest orders = Orders("b");
   ASSERT_EQ(orders.mStarts.size(), 1U);
   EXPECT_EQ(orders.mStarts[0].mTicket, "ticket-b");
 }
 
-TEST_F(AdviceTest, ADeniedWorkerIsNotAskedAboutAgain)
+TEST_F(AdviceTest, ADeniedWorkerIsNotQueriedAgain)
 {
-  Answer({});
+  Reply({});
   EXPECT_FALSE(mScheduler.NextAdviceQuery(Clock()));
   AdvanceClock(seconds(10));
   EXPECT_FALSE(mScheduler.NextAdviceQuery(Clock()));
 }
 
-TEST_F(AdviceTest, ATicketThatRanOutIsAskedForAgain)
+TEST_F(AdviceTest, AnExpiredTicketIsRequestedAgain)
 {
   mScheduler.DetachWorker(AgentId("b"), Clock());
-  Answer({ { kWorkerA, "first" } });
+  Reply({ { kWorkerA, "first" } });
   AdvanceClock(seconds(3));
   Grant("a");
   EXPECT_TRUE(Orders("a").mStarts.empty());
-  Answer({ { kWorkerA, "second" } });
+  Reply({ { kWorkerA, "second" } });
   const OrderRequest orders = Orders("a");
   ASSERT_EQ(orders.mStarts.size(), 1U);
   EXPECT_EQ(orders.mStarts[0].mTicket, "second");
 }
 
-TEST_F(AdviceTest, ARejectedTicketIsAskedForAgain)
+TEST_F(AdviceTest, ARejectedTicketIsRequestedAgain)
 {
   mScheduler.DetachWorker(AgentId("b"), Clock());
-  Answer({ { kWorkerA, "first" } });
+  Reply({ { kWorkerA, "first" } });
   const OrderRequest orders = Orders("a");
   ASSERT_EQ(orders.mStarts.size(), 1U);
   mScheduler.OnStartResults(
@@ -94,12 +94,12 @@
     orders.mSession,
     { { kFirst, orders.mStarts[0].mRun, StartOutcome::NoTicket } },
     Clock());
-  EXPECT_EQ(Ask().mWorkers, std::vector<WorkerIncarnation>{ kWorkerA });
+  EXPECT_EQ(Query().mWorkers, std::vector<WorkerIncarnation>{ kWorkerA });
 }
 
-TEST_F(AdviceTest, AServiceWithoutAnAnswerIsAskedLater)
+TEST_F(AdviceTest, AServiceThatDoesNotReplyIsQueriedLater)
 {
-  mScheduler.OnAdvice(Ask(), std::nullopt, Clock());
+  mScheduler.OnAdvice(Query(), std::nullopt, Clock());
   EXPECT_FALSE(mScheduler.NextAdviceQuery(Clock()));
   AdvanceClock(milliseconds(200));
   EXPECT_TRUE(mScheduler.NextAdviceQuery(Clock()));
--- a/tests/cell/CellFixture.h
+++ b/tests/cell/CellFixture.h
@@ -19,7 +19,7 @@
 inline constexpr std::int64_t kManyOrders = 1'000'000;
 inline constexpr RunNumber kEarlierRun = (RunNumber{ 2 } << 20) + 1;
 
-/// A scheduler with helpers that play the store and the agents.
+/// A cell scheduler with helpers that act as the store and the agents.
 class CellFixture : public testing::Test
 {
 protected:
@@ -68,14 +68,14 @@
     mUnixMs += std::chrono::duration_cast<milliseconds>(aTime).count();
   }
 
-  /// A new job whose progress record is written.
+  /// Adds a new job and saves its progress record.
   void AddSavedJob(const JobGraph& aGraph)
   {
     mScheduler.AddJob({ aGraph, mUnixMs, false }, {}, 0, Clock());
     SaveProgress();
   }
 
-  /// A job of which an earlier owner may have started tasks.
+  /// Adds a job of which an earlier owner may have started tasks.
   void AddInherited(const JobGraph& aGraph,
                     const StoredProgress& aProgress = {})
   {
@@ -121,7 +121,7 @@
     Grant(aAgent);
   }
 
-  /// What the agent tells now, by default after all orders were carried out.
+  /// The agent's current report, by default after all orders were carried out.
   ReportRequest ReportOf(const std::string& aAgent,
                          const WorkerState& aState,
                          std::int64_t aOrdersDone = kManyOrders)
@@ -148,13 +148,14 @@
                                    Clock());
   }
 
-  /// All orders of an agent after a round of placing, its starts answered.
+  /// Runs a placement round and returns the orders of an agent.
   OrderRequest Orders(const std::string& aAgent)
   {
     mScheduler.Schedule(Clock());
     return mScheduler.TakeOrders(AgentId(aAgent));
   }
 
+  /// Reports all starts of the orders as successful.
   void Started(const std::string& aAgent, const OrderRequest& aOrders)
   {
     std::vector<StartResult> results;
@@ -182,7 +183,7 @@
     return task;
   }
 
-  /// When the agent first knew of the run.
+  /// When the agent first knew the run, by its own clock.
   Duration Since(const std::string& aAgent,
                  const TaskRef& aTask,
                  RunNumber aRun)
--- a/tests/cell/CellRecordsTest.cpp
+++ b/tests/cell/CellRecordsTest.cpp
@@ -12,26 +12,26 @@
 struct PhaseCase
 {
   const char* mName;
-  std::optional<JobPhase> mRecorded; ///< None: no progress record.
-  JobPhase mShown;
+  std::optional<JobPhase> mSaved; ///< None: no progress record.
+  JobPhase mExpected;
 };
 
-class RecordedPhaseTest : public testing::TestWithParam<PhaseCase>
+class SavedPhaseTest : public testing::TestWithParam<PhaseCase>
 {};
 
 /// Whether the job is cancelled does not matter.
-TEST_P(RecordedPhaseTest, IsWhatTheOwnerRecorded)
+TEST_P(SavedPhaseTest, IsWhatTheOwnerSaved)
 {
   std::optional<StoredProgress> progress;
-  if (GetParam().mRecorded) {
-    progress.emplace().mPhase = *GetParam().mRecorded;
+  if (GetParam().mSaved) {
+    progress.emplace().mPhase = *GetParam().mSaved;
   }
-  EXPECT_EQ(SavedPhase(progress), GetParam().mShown);
+  EXPECT_EQ(SavedPhase(progress), GetParam().mExpected);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  RecordedPhaseTest,
+  SavedPhaseTest,
   testing::Values(
     PhaseCase{ "NotRecorded", std::nullopt, JobPhase::Queued },
     PhaseCase{ "Running", JobPhase::Running, JobPhase::Running },
--- a/tests/cell/CellSchedulerTest.cpp
+++ b/tests/cell/CellSchedulerTest.cpp
@@ -9,7 +9,7 @@
 class CellSchedulerTest : public CellFixture
 {};
 
-TEST_F(CellSchedulerTest, NothingStartsBeforeTheProgressRecordIsThere)
+TEST_F(CellSchedulerTest, NothingStartsBeforeTheProgressIsSaved)
 {
   AttachAndGrant("a");
   mScheduler.AddJob(
@@ -19,7 +19,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-TEST_F(CellSchedulerTest, AStepWaitsForTheStepsBeforeIt)
+TEST_F(CellSchedulerTest, AStepWaitsForItsDependencies)
 {
   StepSpec second = Step(1);
   second.mAfter = { 0 };
@@ -46,14 +46,14 @@
   EXPECT_EQ(next.mStarts[0].mTask.mStep, 1);
 }
 
-TEST_F(CellSchedulerTest, ReservationsNeverPassTheCapacity)
+TEST_F(CellSchedulerTest, ReservationsNeverExceedTheCapacity)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(20, 1500) }));
   EXPECT_EQ(Orders("a").mStarts.size(), 5U); // 5 x 1500 of 8000 millicores
 }
 
-TEST_F(CellSchedulerTest, LeftoverTasksReserveMemoryAlone)
+TEST_F(CellSchedulerTest, BestEffortTasksReserveOnlyMemory)
 {
   StepSpec step = Step(30, 4000);
   step.mBestEffort = true;
@@ -63,7 +63,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 2U); // 2 x 32000 of 64000 MB
 }
 
-TEST_F(CellSchedulerTest, AnEndIsAcknowledgedAfterItsRecord)
+TEST_F(CellSchedulerTest, AnEndIsAcknowledgedAfterItsProgressIsSaved)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(2) }));
@@ -97,7 +97,7 @@
   EXPECT_TRUE(Orders("a").mStarts.empty());
 }
 
-TEST_F(CellSchedulerTest, AFailureThatAnEarlierOwnerRecordedCountsOnce)
+TEST_F(CellSchedulerTest, AFailureThatAnEarlierOwnerSavedCountsOnce)
 {
   mScheduler.SetQueues({ Policy(2) });
   StoredProgress progress;
@@ -148,15 +148,16 @@
   EXPECT_TRUE(Orders("b").mStarts.empty());
 }
 
-/// An agent that had restarted knew nothing of what its worker ran on: it paced
-/// no leftover task beside a serving one, and counted no room as taken.
-TEST_F(CellSchedulerTest, ANewSessionTellsTheTraitsOfWhatRuns)
+/// A restarted agent knows nothing of its worker's tasks. Without their
+/// metadata it throttles no best-effort task colocated with a serving one, and
+/// counts no capacity as reserved.
+TEST_F(CellSchedulerTest, ANewSessionSendsTheMetadataOfRunningTasks)
 {
   AttachAndGrant("a");
-  StepSpec leftover = Step(2);
-  leftover.mBestEffort = true;
-  leftover.mImage = "image";
-  AddSavedJob(Graph("job", { leftover }));
+  StepSpec bestEffort = Step(2);
+  bestEffort.mBestEffort = true;
+  bestEffort.mImage = "image";
+  AddSavedJob(Graph("job", { bestEffort }));
   const OrderRequest first = Orders("a");
   Started("a", first);
   ASSERT_EQ(first.mStarts.size(), 2U);
@@ -172,12 +173,12 @@
   EXPECT_EQ(next.mMetadata[0].mReserved, Resources({ 0, 1000, 0 }));
 }
 
-TEST_F(CellSchedulerTest, AnAdoptedRunOutlivesItsSessionByTheEarlierGrant)
+TEST_F(CellSchedulerTest, AnAdoptedRunKeepsTheEarlierGrantAfterItsSession)
 {
   AddInherited(Graph("job", { Step(1) }));
   Attach("a", State("a-life", { Running(kFirst, kEarlierRun) }));
   AttachAndGrant("b");
-  // It breaks before this owner has granted anything.
+  // The session breaks before this owner has granted anything.
   mScheduler.DetachWorker(AgentId("a"), Clock());
   EXPECT_TRUE(Orders("b").mStarts.empty());
   AdvanceClock(mSettings.mMaxTaskLease - milliseconds(10));
@@ -205,14 +206,14 @@
   EXPECT_EQ(Orders("b").mStarts.size(), 1U);
 }
 
-/// A fresh one may be the cause of the crash, and waits for the crash's record.
+/// A fresh task may have caused the crash, and waits until the crash is saved.
 TEST_F(CellSchedulerTest, ARestartedWorkersTasksStartAgainAtOnce)
 {
   for (const bool fresh : { true, false }) {
     SCOPED_TRACE(fresh ? "fresh" : "proven");
     const std::string job = fresh ? "fresh" : "proven";
-    const std::string life = job + "-life";
-    Attach("a", State(life));
+    const std::string incarnation = job + "-life";
+    Attach("a", State(incarnation));
     Grant("a");
     AddSavedJob(Graph(job, { Step(1) }));
     const OrderRequest orders = Orders("a");
@@ -222,7 +223,7 @@
       AdvanceClock(seconds(2));
       Grant("a");
       const StartOrder& order = orders.mStarts[0];
-      Report("a", State(life, { Running(order.mTask, order.mRun) }));
+      Report("a", State(incarnation, { Running(order.mTask, order.mRun) }));
     }
     Report("a", State(job + "-second-life"));
     if (fresh) {
@@ -242,7 +243,7 @@
   }
 }
 
-TEST_F(CellSchedulerTest, AnEndThatCameAfterTheLeaseIsIgnored)
+TEST_F(CellSchedulerTest, AnEndAfterTheLeaseExpiredIsIgnored)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
@@ -262,7 +263,7 @@
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Running);
 }
 
-TEST_F(CellSchedulerTest, AWorkerThatFailsJobAfterJobIsAvoided)
+TEST_F(CellSchedulerTest, AWorkerThatFailsSeveralJobsIsAvoided)
 {
   AttachAndGrant("a");
   std::vector<EndedTask> ended;
@@ -297,7 +298,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-TEST_F(CellSchedulerTest, ForeignTasksAreStoppedAndHoldTheWorker)
+TEST_F(CellSchedulerTest, ForeignTasksAreStoppedBeforeTheWorkerIsUsed)
 {
   Attach("a", State("a-life", { Running({ JobId("old"), 0, 0, 0 }, 5) }));
   Grant("a");
@@ -309,7 +310,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-TEST_F(CellSchedulerTest, ATaskThatStandsStillGetsACopyWhereCopiesMayRun)
+TEST_F(CellSchedulerTest, AStalledTaskGetsACopyIfCopiesAreAllowed)
 {
   StepSpec step = Step(1);
   step.mSpeculative = true;
--- a/tests/cell/CopyTest.cpp
+++ b/tests/cell/CopyTest.cpp
@@ -1,7 +1,7 @@
-// A task took its worker down 10 ms after its start. 0.85 s later a copy of it
-// was started, since it stood still, and took a second worker down, with the 29
-// runs that were there: `task-start run=1048578 reason=room`, 2.3 s before the
-// first crash was known.
+// Guards against copies of tasks that crash their worker. A run that crashes
+// its worker 10 ms after its start makes no progress, so that a copy of it was
+// started 0.85 s later, 2.3 s before the crash was known. The copy crashed a
+// second worker with its 29 runs.
 
 #include "tests/cell/CrashFixture.h"
 
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// What becomes of the worker of the first run.
-enum class Fate : std::uint8_t
+/// State of the first run's worker.
+enum class Reachability : std::uint8_t
 {
-  Answers, ///< The task stands still there.
-  Silent,  ///< It does not answer its agent.
-  Away,    ///< Its agent is silent.
+  Answers,       ///< The worker answers, and the task makes no progress.
+  Silent,        ///< The worker does not answer its agent.
+  AgentDetached, ///< The agent's session has ended.
 };
 
 struct CopyCase
 {
   const char* mName;
-  int mLivedMs; ///< That the agent has told of; negative = no answer at all.
-  Fate mFate;
+  int mUptimeMs; ///< As the agent reported; negative = start not answered.
+  Reachability mReachability;
   bool mCopied;
 };
 
@@ -30,55 +30,56 @@
   , public testing::WithParamInterface<CopyCase>
 {
 protected:
-  void Begin(int aLivedMs)
+  void StartFirstRun(int aUptimeMs)
   {
     StepSpec step = Step(1);
     step.mSpeculative = true;
     AttachAndGrant("a");
     AddSavedJob(Graph("job", { step }));
-    if (aLivedMs < 0) {
+    if (aUptimeMs < 0) {
       mRunning["a"].clear();
       ASSERT_EQ(Orders("a").mStarts.size(), 1U);
     } else {
-      RunFor("a", aLivedMs);
+      RunFor("a", aUptimeMs);
     }
     AttachAndGrant("b");
   }
 
-  void Suffer(Fate aFate)
+  void SetReachability(Reachability aReachability)
   {
     ReportRequest report =
       ReportOf("a", State(mWorkerIncarnation, mRunning["a"]), 0);
     AdvanceClock(mSettings.mCopyAfter + milliseconds(1));
-    if (aFate == Fate::Silent) {
+    if (aReachability == Reachability::Silent) {
       report.mWorkerAnswers = false;
       report.mLeaseLeft = seconds(3);
       mScheduler.HandleReport(report, Clock());
-    } else if (aFate == Fate::Away) {
+    } else if (aReachability == Reachability::AgentDetached) {
       mScheduler.DetachWorker(AgentId("a"), Clock());
     }
     Grant("b");
   }
 };
 
-TEST_P(CopyTest, IsMadeOnlyOfARunThatWillNotTakeItsWorkerDown)
+TEST_P(CopyTest, IsStartedOnlyForARunWithProvenUptime)
 {
-  Begin(GetParam().mLivedMs);
-  Suffer(GetParam().mFate);
+  StartFirstRun(GetParam().mUptimeMs);
+  SetReachability(GetParam().mReachability);
   EXPECT_EQ(Orders("b").mStarts.size(), GetParam().mCopied ? 1U : 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
   CopyTest,
-  testing::Values(CopyCase{ "ProvenStandsStill", 1200, Fate::Answers, true },
-                  CopyCase{ "ProvenOnASilentWorker", 1200, Fate::Silent, true },
-                  CopyCase{ "ProvenOfASilentAgent", 1200, Fate::Away, true },
-                  CopyCase{ "FreshStandsStill", 400, Fate::Answers, false },
-                  CopyCase{ "FreshOnASilentWorker", 400, Fate::Silent, false },
-                  CopyCase{ "FreshOfASilentAgent", 400, Fate::Away, false },
-                  CopyCase{ "Unanswered", -1, Fate::Answers, false },
-                  CopyCase{ "UnansweredBySilent", -1, Fate::Silent, false }),
+  testing::Values(
+    CopyCase{ "ProvenStandsStill", 1200, Reachability::Answers, true },
+    CopyCase{ "ProvenOnASilentWorker", 1200, Reachability::Silent, true },
+    CopyCase{ "ProvenOfASilentAgent", 1200, Reachability::AgentDetached, true },
+    CopyCase{ "FreshStandsStill", 400, Reachability::Answers, false },
+    CopyCase{ "FreshOnASilentWorker", 400, Reachability::Silent, false },
+    CopyCase{ "FreshOfASilentAgent", 400, Reachability::AgentDetached, false },
+    CopyCase{ "Unanswered", -1, Reachability::Answers, false },
+    CopyCase{ "UnansweredBySilent", -1, Reachability::Silent, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 } // namespace
--- a/tests/cell/ForgottenStartTest.cpp
+++ b/tests/cell/ForgottenStartTest.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// What the owner knew of the first start, and the agent tells the next one.
+/// What the first owner knew of a start, and what the agent reports to the next
+/// owner.
 struct ForgottenStartCase
 {
   const char* mName;
-  int mLivedMs;               ///< As the first owner was told.
-  std::optional<RunEnd> mEnd; ///< Listed to the first owner.
-  bool mFound;                ///< It still runs at the next owner.
-  std::size_t mCounted;       ///< Crashes, after the next owner has placed it.
+  int mUptimeMs;              ///< As reported to the first owner.
+  std::optional<RunEnd> mEnd; ///< Reported to the first owner.
+  bool mFound;                ///< Reported to the next owner as running.
+  std::size_t mCrashes;       ///< Counted once the next owner has placed it.
 };
 
 class ForgottenStartTest
@@ -21,14 +22,14 @@
   , public testing::WithParamInterface<ForgottenStartCase>
 {};
 
-/// A start whose owner and agent are lost with its worker was forgotten,
-/// however often that happened.
-TEST_P(ForgottenStartTest, CountsUnlessItsFateIsKnown)
+/// A start whose owner and agent are lost together with its worker must count
+/// as a crash, or it is forgotten however often that happens.
+TEST_P(ForgottenStartTest, CountsAsACrashUnlessItsOutcomeIsKnown)
 {
   const ForgottenStartCase& start = GetParam();
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(2) }));
-  const OrderRequest orders = RunFor("a", start.mLivedMs);
+  const OrderRequest orders = RunFor("a", start.mUptimeMs);
   ASSERT_EQ(orders.mStarts.size(), 2U);
   const RunNumber run = orders.mStarts[0].mRun;
   if (start.mEnd) {
@@ -39,7 +40,7 @@
   }
   const WorkerState found = State(mWorkerIncarnation, { Running(kFirst, run) });
   TakeOverAfterPowerLoss(start.mFound ? found : State("a-next"));
-  EXPECT_EQ(Crashes(kFirst).Count(), start.mCounted);
+  EXPECT_EQ(Crashes(kFirst).Count(), start.mCrashes);
   EXPECT_FALSE(Crashes(kFirst).Suspect());
 }
 
@@ -58,11 +59,11 @@
 class ForgottenStarts : public CrashFixture
 {};
 
-/// Soak seed 2603: each start was lost with its worker, owner and agent, so
-/// that the task was started six times and no line named it as a suspect.
+/// Each start is lost with its worker, owner and agent. Without the count the
+/// task was started six times and was never a suspect.
 TEST_F(ForgottenStarts, ATaskWhoseStartsAreAllForgottenIsGivenUp)
 {
-  constexpr int kMostStarts = 5;
+  constexpr int kMaxStarts = 5;
   constexpr int kOwners = 12;
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
@@ -75,11 +76,11 @@
     Grant("a");
     mScheduler.Schedule(Clock());
   }
-  EXPECT_LE(starts, kMostStarts);
+  EXPECT_LE(starts, kMaxStarts);
   EXPECT_EQ(mScheduler.PhaseOf(kFirst.mJob), JobPhase::Failed);
 }
 
-TEST_F(ForgottenStarts, AStartThatWasNotSentIsNotAnnounced)
+TEST_F(ForgottenStarts, AStartThatWasNotSentIsNotSaved)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
--- a/tests/cell/GangTest.cpp
+++ b/tests/cell/GangTest.cpp
@@ -10,7 +10,7 @@
 class GangTest : public CellFixture
 {};
 
-TEST_F(GangTest, AGangStartsWholeOrNotAtAll)
+TEST_F(GangTest, AGangStartsCompletelyOrNotAtAll)
 {
   StepSpec gang = Step(3, 4000);
   gang.mGang = true;
@@ -25,7 +25,7 @@
   EXPECT_EQ(first.mStarts[0].mRun, second.mStarts[0].mRun);
 }
 
-TEST_F(GangTest, AGangWithoutOneMemberIsStopped)
+TEST_F(GangTest, AGangThatLacksAMemberIsStopped)
 {
   StepSpec gang = Step(2, 5000);
   gang.mGang = true;
--- a/tests/cell/LateReportTest.cpp
+++ b/tests/cell/LateReportTest.cpp
@@ -1,9 +1,9 @@
-// A task that takes its worker down was started a sixth time. Its third start
-// was followed by a crash of the worker 0.1 s later; the agent's last report
-// before it was held up on its way for 3 s. The owner counted the answer's age
-// from when it read the report, and logged `task-cleared reason=lives` for a
-// run that had ended 3.2 s before: the crash before was forgotten, and this one
-// spoke against nobody.
+// Guards against counting the delay of a report as uptime of a run. The worker
+// crashed 0.1 s after the start of a task, and the agent's last report before
+// the crash was delayed by 3 s. An owner that uses its own time of reading the
+// report considers the run proven (`task-cleared reason=lives`) 3.2 s after its
+// end: it clears the crash before, this crash counts against no task, and the
+// task that crashes its worker was started a sixth time.
 
 #include "tests/cell/CrashFixture.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration kHeldUp = seconds(3);
+constexpr Duration kReportDelay = seconds(3);
 
 class LateReportTest : public CrashFixture
 {
@@ -22,21 +22,21 @@
     AddSavedJob(Graph("job", { Step(1) }));
   }
 
-  /// The agent tells what runs at once after its start; the owner hears of it
-  /// much later.
+  /// The agent reports the run right after its start; the owner receives the
+  /// report much later.
   void StartAndReportLate()
   {
     RunFor("a", 0);
     AdvanceClock(milliseconds(100));
     const ReportRequest report =
       ReportOf("a", State(mWorkerIncarnation, mRunning["a"]));
-    AdvanceClock(kHeldUp);
+    AdvanceClock(kReportDelay);
     Grant("a");
     mScheduler.HandleReport(report, Clock());
   }
 };
 
-TEST_F(LateReportTest, ARunIsNotProvenByTheTimeThatAReportTook)
+TEST_F(LateReportTest, TheDelayOfAReportDoesNotProveARun)
 {
   RunFor("a", 0);
   Crash("a", "a-second-life");
@@ -50,13 +50,13 @@
   EXPECT_EQ(Crashes(kFirst).Count(), 2U);
 }
 
-TEST_F(LateReportTest, AWorkerIsNotQuietByTheTimeThatAReportTook)
+TEST_F(LateReportTest, TheDelayOfAReportDoesNotHideARecentStart)
 {
   StartAndReportLate();
   EXPECT_FALSE(mScheduler.Workers().at(AgentId("a")).HasNoRecentStart());
 }
 
-TEST_F(LateReportTest, ANextOwnerKnowsHowLongARunHasLived)
+TEST_F(LateReportTest, TheNextOwnerKnowsTheUptimeOfARun)
 {
   RunFor("a", 3000);
   TakeOverAfterPowerLoss(State(mWorkerIncarnation, mRunning["a"]));
--- a/tests/cell/ReportOrderTest.cpp
+++ b/tests/cell/ReportOrderTest.cpp
@@ -6,7 +6,7 @@
 
 const TaskRef kFirst{ JobId("job"), 0, 0, 0 };
 
-/// Which runs a report can deny.
+/// Which runs a report that lacks them ends.
 class ReportOrderTest : public CellFixture
 {};
 
@@ -18,7 +18,7 @@
   const OrderRequest orders = Orders("a");
   ASSERT_EQ(orders.mStarts.size(), 1U);
   Started("a", orders);
-  // However late it comes, it was taken before the orders were carried out.
+  // However late it arrives, its state precedes the orders.
   AdvanceClock(seconds(3));
   Grant("a");
   Grant("b");
--- a/tests/cell/StalledTaskTest.cpp
+++ b/tests/cell/StalledTaskTest.cpp
@@ -12,8 +12,8 @@
   const char* mName;
   std::int64_t mUsed; ///< Millicores, of a demand of kDemand.
   bool mCheckpoints;
-  bool mOtherWorker; ///< There is one that would take the task.
-  milliseconds mFor;
+  bool mOtherWorker; ///< Another worker would accept the task.
+  milliseconds mDuration;
   bool mStopped;
 };
 
@@ -22,8 +22,8 @@
   , public testing::WithParamInterface<StallCase>
 {
 protected:
-  /// A leftover task runs on worker a.
-  void Run(bool aCheckpoints)
+  /// Starts a best-effort task on worker a.
+  void StartTask(bool aCheckpoints)
   {
     StepSpec step = Step(1, kDemand);
     step.mBestEffort = true;
@@ -36,8 +36,8 @@
     AdvanceClock(mSettings.mStalledGrace + milliseconds(1));
   }
 
-  /// It uses so much for a while; the orders that follow.
-  OrderRequest Use(std::int64_t aMillicores, Duration aTime)
+  /// Reports this usage of the task for `aTime` and returns the next orders.
+  OrderRequest ReportUsage(std::int64_t aMillicores, Duration aTime)
   {
     RunningTask running = Running(kFirst, mRun);
     running.mFigure = aMillicores;
@@ -53,13 +53,13 @@
   RunNumber mRun = 0;
 };
 
-TEST_P(StalledTaskTest, IsStoppedWhereItGainsByIt)
+TEST_P(StalledTaskTest, IsStoppedOnlyIfItCanResumeElsewhere)
 {
-  Run(GetParam().mCheckpoints);
+  StartTask(GetParam().mCheckpoints);
   if (GetParam().mOtherWorker) {
     AttachAndGrant("b");
   }
-  EXPECT_EQ(Use(GetParam().mUsed, GetParam().mFor).mStops.size(),
+  EXPECT_EQ(ReportUsage(GetParam().mUsed, GetParam().mDuration).mStops.size(),
             GetParam().mStopped ? 1U : 0U);
 }
 
@@ -77,11 +77,11 @@
 class MovedTaskTest : public StalledTaskTest
 {};
 
-TEST_F(MovedTaskTest, GoesElsewhereWithItsCheckpoint)
+TEST_F(MovedTaskTest, ResumesOnAnotherWorkerFromItsCheckpoint)
 {
-  Run(true);
+  StartTask(true);
   AttachAndGrant("b");
-  ASSERT_EQ(Use(0, milliseconds(1200)).mStops.size(), 1U);
+  ASSERT_EQ(ReportUsage(0, milliseconds(1200)).mStops.size(), 1U);
   EndedTask ended = Ended(1, kFirst, mRun, RunEnd::Stopped);
   ended.mCheckpoint = "saved";
   Report("a", State("a-life", {}, { ended }));
--- a/tests/cell/StandingJobOrderTest.cpp
+++ b/tests/cell/StandingJobOrderTest.cpp
@@ -1,5 +1,5 @@
-// Grown Trasówka, day deadly-task, seed 990018: tasks of old standing jobs that
-// were lost with their workers waited behind every newer job.
+// Guards the order of standing jobs: tasks of an old standing job that were
+// lost with their worker must not wait behind every newer job.
 
 #include <algorithm>
 #include <set>
@@ -26,8 +26,8 @@
   , public testing::WithParamInterface<NewerJob>
 {
 protected:
-  /// A standing job fills the worker for a minute, and is lost with it.
-  void LoseStandingJob()
+  /// A standing job uses the whole worker for a minute, and is lost with it.
+  void LoseWorkerOfStandingJob()
   {
     StepSpec step = Step(2, kHalfWorker);
     step.mStanding = true;
@@ -51,7 +51,7 @@
 /// Batch work that can be on time still comes first.
 TEST_P(StandingJobOrderTest, LostTasksComeBeforeNewerStandingJobs)
 {
-  LoseStandingJob();
+  LoseWorkerOfStandingJob();
   StepSpec step = Step(GetParam().mReplicas, kHalfWorker);
   step.mStanding = GetParam().mStanding;
   AddSavedJob(Graph("newer", { step }));
--- a/tests/cell/UnsentStartTest.cpp
+++ b/tests/cell/UnsentStartTest.cpp
@@ -1,5 +1,6 @@
-// Soak.Shrinking9101: starts that had not been sent when their worker crashed
-// were sent to its next incarnation, beside the runs that replaced them.
+// Guards against stale starts: starts that had not been sent when their worker
+// crashed were sent to its next incarnation, in addition to the runs that
+// replaced them.
 
 #include "tests/cell/CrashFixture.h"
 
@@ -10,7 +11,7 @@
 struct LossCase
 {
   const char* mName;
-  /// The report by which the owner learns that its runs are lost.
+  /// Of the report by which the owner learns that its runs are lost.
   const char* mIncarnation;
   bool mAnswers;
   bool mEnded;
@@ -22,9 +23,8 @@
   , public testing::WithParamInterface<LossCase>
 {
 protected:
-  /// The orders stay with the owner, as the agent has not answered the last
-  /// ones.
-  void LoseWorkerBeforeOrdersLeave()
+  /// The owner keeps the orders while the agent has not answered earlier ones.
+  void LoseWorkerBeforeOrdersAreSent()
   {
     AttachAndGrant("a");
     AddSavedJob(Graph("job", { Step(2) }));
@@ -45,13 +45,13 @@
 
 TEST_P(UnsentStartTest, IsNotSentAfterItsRunIsLost)
 {
-  LoseWorkerBeforeOrdersLeave();
+  LoseWorkerBeforeOrdersAreSent();
   EXPECT_TRUE(mScheduler.TakeOrders(AgentId("a")).mStarts.empty());
 }
 
 TEST_P(UnsentStartTest, IsPlacedAgainOnce)
 {
-  LoseWorkerBeforeOrdersLeave();
+  LoseWorkerBeforeOrdersAreSent();
   AttachAndGrant("b");
   AdvanceClock(mSettings.mSuspectPause);
   Grant("a");
