--- a/src/core/cell/CellSchedulerMoves.cpp
+++ b/src/core/cell/CellSchedulerMoves.cpp
@@ -57,7 +57,7 @@
       }
       TaskEntry& entry = *mJobs.at(task.mJob).Find(task);
       entry.mStalledOn = id;
-      entry.mStalledUntil = aClock.mNow + mSettings.mStalledAvoid;
+      entry.mStalledUntil = aClock.mNow + mSettings.mStalledAvoidFor;
       worker.mStalledStopAt = aClock.mNow;
       StopRun(*entry.FindRun(id, number), task, "stalled", aClock);
       break;
--- a/src/core/cell/CellSettings.h
+++ b/src/core/cell/CellSettings.h
@@ -68,7 +68,7 @@
   /// Between two such stops on one worker: other tasks may speed up after one.
   Duration mMovePause = std::chrono::milliseconds(500);
   /// How long the task is not placed on that worker again.
-  Duration mStalledAvoid = std::chrono::seconds(4);
+  Duration mStalledAvoidFor = std::chrono::seconds(4);
   /// Between two samples of one worker for the interference estimator. Its
   /// measurements cover half a second. Shorter than the interval between two
   /// reports of them, or every second one would be skipped.
