--- a/src/core/cell/CellScheduler.h
+++ b/src/core/cell/CellScheduler.h
@@ -256,12 +256,12 @@
   RunNumber NextRun(const TaskEntry& aTask) const;
 
   // Workers (CellSchedulerWorkers.cpp).
-  /// It refused a start, and takes none until it has answered again.
+  /// The worker refused a start: it gets none until it has answered again.
   void MarkUnhealthy(WorkerEntry& aWorker);
   void UpdateInfo(WorkerEntry& aWorker,
                   const WorkerInfo& aInfo,
                   const CellClock& aClock);
-  /// What the worker's newest report, already carried out, says.
+  /// Applies the worker's newest report, already merged into its state.
   void ApplyReport(WorkerEntry& aWorker,
                    const ReportRequest& aReport,
                    const CellClock& aClock);
@@ -290,7 +290,7 @@
   void OnWorkerCrash(const AgentId& aAgent,
                      const CrashedWorker& aCrash,
                      const CellClock& aClock);
-  /// Its worker does not answer.
+  /// True when the agent's worker does not answer.
   bool IsUnreachable(const AgentId& aAgent) const;
   void RecordCrash(const AgentId& aAgent,
                    const CrashedRun& aRun,
--- a/src/core/cell/CellSchedulerCrashes.cpp
+++ b/src/core/cell/CellSchedulerCrashes.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// A store that refuses writes for a while takes one within this.
+/// Longest wait for the store to accept the record of a first crash.
 constexpr Duration kFirstCrashSaveTime = std::chrono::seconds(3);
 
 } // namespace
 
-/// The task, where a crash may count against it.
+/// Returns the task if a crash can still count against it, else null.
 TaskEntry* CellScheduler::FindOpenTask(const TaskRef& aTask)
 {
   const auto found = mJobs.find(aTask.mJob);
@@ -25,7 +25,7 @@
   return task == nullptr || task->mDone ? nullptr : task;
 }
 
-/// What the owner itself knows of the runs that a crashed worker took along.
+/// Runs lost in the worker's crash, as far as this owner knows them.
 CrashedWorker CellScheduler::CrashOf(const WorkerEntry& aWorker)
 {
   CrashedWorker crash{ aWorker.mUnexplained };
@@ -43,14 +43,14 @@
                                   const CrashedWorker& aCrash,
                                   const CellClock& aClock)
 {
-  std::vector<RunAtCrash> witnesses;
-  witnesses.reserve(aCrash.mRuns.size());
+  std::vector<RunAtCrash> runs;
+  runs.reserve(aCrash.mRuns.size());
   for (const CrashedRun& run : aCrash.mRuns) {
     const TaskEntry* task = FindOpenTask(run.mTask);
-    witnesses.push_back(
+    runs.push_back(
       { run.mUptime, task != nullptr && task->mCrashes.Suspect() });
   }
-  const std::vector<CrashBlame> blames = AssignBlame(witnesses);
+  const std::vector<CrashBlame> blames = AssignBlame(runs);
   for (std::size_t i = 0; i < blames.size(); ++i) {
     const CrashedRun& run = aCrash.mRuns[i];
     const bool counts = run.mConfirmed || blames[i] == CrashBlame::None;
@@ -82,7 +82,7 @@
     task->mFailedOn.push_back(aAgent);
     job.mSuspects.insert(aRun.mTask);
     if (IsUnreachable(aAgent)) {
-      // A second worker is not risked meanwhile.
+      // Do not risk a second worker while the first one is unreachable.
       task->mNotBefore = aClock.mNow + mSettings.mSuspectPause;
     }
   }
@@ -123,7 +123,8 @@
   FinishJob(aJob, JobPhase::Failed, aClock);
 }
 
-/// The run ended by itself, or has lived for long.
+/// Clears the task's crashes after a run that ended by itself or reached
+/// kProvenUptime.
 void CellScheduler::ClearCrashes(JobEntry& aJob,
                                  const TaskRef& aTask,
                                  const AgentId& aAgent,
@@ -140,15 +141,15 @@
   LogDecision("task-cleared", aTask, aAgent, aRun, "lives");
 }
 
-/// A report shows the run alive.
+/// A report lists the run as running.
 void CellScheduler::OnRunAlive(JobEntry& aJob,
                                const TaskRef& aTask,
                                const TaskRun& aRun,
                                const CellClock& aClock)
 {
   TaskEntry& task = *aJob.Find(aTask);
-  const Duration lived = aRun.mUptime;
-  if (lived >= kProvenUptime) {
+  const Duration uptime = aRun.mUptime;
+  if (uptime >= kProvenUptime) {
     task.mProven = true;
     task.mCrashes.Settle(aRun.mNumber);
   }
@@ -157,17 +158,18 @@
   }
   const Duration trial =
     task.mCrashes.Suspected() == Suspicion::Weak ? kFreshUptime : kProvenUptime;
-  if (lived >= trial && mTrials.IsTrial(aRun.mAgent, { aTask, aRun.mNumber })) {
+  if (uptime >= trial &&
+      mTrials.IsTrial(aRun.mAgent, { aTask, aRun.mNumber })) {
     mTrials.End(aRun.mAgent, { aTask, aRun.mNumber });
     mNeedsPlacement = true;
   }
-  if (lived >= kProvenUptime) {
+  if (uptime >= kProvenUptime) {
     ClearCrashes(aJob, aTask, aRun.mAgent, aRun.mNumber, aClock);
   }
 }
 
-/// The worker fell silent and its leases were waited out: whether it crashed is
-/// known when it is there again.
+/// The worker stopped answering and its leases expired. Whether it crashed is
+/// only known once it answers again.
 void CellScheduler::RecordUnexplainedLoss(WorkerEntry& aWorker,
                                           const TaskRef& aTask,
                                           const TaskRun& aRun,
@@ -195,10 +197,10 @@
   aWorker.mUnexplained.clear();
 }
 
-/// Has the start recorded behind its order, without a wait. If all that know of
-/// the run are lost, the next owner counts it as a crash; otherwise a task that
-/// takes its worker down could be started without end. A task with a run that
-/// has lived is not the cause of crashes.
+/// Saves the start with the job's progress; its order does not wait for that.
+/// If this owner and the agent are both lost, the next owner counts the start
+/// as a crash. Otherwise a task that crashes its worker could be restarted
+/// without limit. A proven task is not the cause of crashes and is skipped.
 void CellScheduler::RecordStart(JobEntry& aJob,
                                 const TaskRef& aTask,
                                 const TaskRun& aRun)
@@ -211,9 +213,10 @@
   MarkUnsaved(aJob, aRun.mOrderedAt);
 }
 
-/// An earlier owner sent a start of the task, and no agent knows of that run:
-/// all that knew of it were lost. It may also never have arrived, so that the
-/// first one makes no suspect. True when it was counted now.
+/// Counts a start that an earlier owner sent and no agent knows of as a crash:
+/// all processes that knew of the run were lost. The start may also never have
+/// arrived, so the first one does not make the task a suspect. Returns true if
+/// it was counted now.
 bool CellScheduler::CountForgottenStart(const TaskRef& aTask,
                                         const CellClock& aClock)
 {
@@ -235,15 +238,15 @@
   return true;
 }
 
-/// False while another start of the task could be one too many, or while the
-/// store, and so a next owner, lacks a crash of it.
+/// Returns false while one more start could exceed the crash limit, or while a
+/// crash of the task is not saved, so that a next owner would not count it.
 bool CellScheduler::CrashesAllowStart(const JobEntry& aJob,
                                       const TaskRef& aTask,
                                       Instant aNow) const
 {
   const TaskEntry& task = *aJob.Find(aTask);
-  // Without its record the first crash costs one start more if all that know of
-  // it are lost, so that a silent store holds the task for a bounded time only.
+  // An unsaved first crash costs only one more start if all processes are lost,
+  // so an unavailable store delays the task for a bounded time only.
   const bool mayWait =
     task.mCrashes.Count() > 1 || aNow - task.mCrashedAt < kFirstCrashSaveTime;
   if ((task.mCrashVersion > aJob.mSavedVersion && mayWait) ||
@@ -253,8 +256,8 @@
   if (task.mCrashes.Suspected() == Suspicion::Strong) {
     return true;
   }
-  // A job that will likely be given up takes down no further worker; but the
-  // members of a gang start together or never.
+  // A job that will likely be given up must not crash further workers with its
+  // other tasks. Members of a gang are exempt, since they only start together.
   return std::ranges::none_of(aJob.mSuspects, [&](const TaskRef& aSuspect) {
     const bool sameGang = aJob.Spec(aTask).mGang &&
                           aSuspect.mOccurrence == aTask.mOccurrence &&
--- a/src/core/cell/CellSchedulerWorkers.cpp
+++ b/src/core/cell/CellSchedulerWorkers.cpp
@@ -32,7 +32,7 @@
   worker.mAwaitsReport = false;
   worker.mAnsweredAt = {};
   worker.mUnhealthyAfter.reset();
-  // Until the first report, leases are those that an earlier owner granted.
+  // Leases granted by an earlier owner may still be in force.
   worker.mLeasedUntil =
     std::max(worker.mLeasedUntil, aClock.mNow + mSettings.mMaxTaskLease);
   mOrders.erase(aAgent);
@@ -42,7 +42,7 @@
   OnReportedCrashes(worker, aState.mCrashes, aClock);
   OnRunningTasks(worker, aState.mRunning, Duration::zero(), aClock);
   ClearUnexplainedLosses(worker);
-  // Orders of earlier sessions are dead, so that what is not there never comes.
+  // Orders of earlier sessions are void: a run that is absent never starts.
   DropAbsentRuns(worker, aState.mRunning, kAllOrders, aClock);
   SendMetadata(worker);
   for (const auto& [task, number] : worker.mRuns) {
@@ -69,7 +69,7 @@
   }
   WorkerEntry& worker = found->second;
   if (aReport.mSequence <= worker.mLastSequence) {
-    return true; // Overtaken by a newer one.
+    return true; // A newer report arrived first.
   }
   worker.mSendFullState =
     aReport.mBase != 0 && aReport.mBase != worker.mLastSequence;
@@ -92,18 +92,18 @@
                                 const ReportRequest& aReport,
                                 const CellClock& aClock)
 {
-  const bool whole = aReport.mBase == 0;
+  const bool full = aReport.mBase == 0;
   const WorkerState& state = aWorker.mReported;
-  if (whole || (aReport.mChange && aReport.mChange->mInfo)) {
+  if (full || (aReport.mChange && aReport.mChange->mInfo)) {
     UpdateInfo(aWorker, state.mInfo, aClock);
   }
   if (!state.mInfo.mIncarnation.Empty()) {
     mExpectedAgents.erase(aReport.mAgent);
   }
-  if (whole || (aReport.mChange && !aReport.mChange->mEnded.empty())) {
+  if (full || (aReport.mChange && !aReport.mChange->mEnded.empty())) {
     OnEndedTasks(aWorker, state.mEnded, aClock);
   }
-  if (whole) {
+  if (full) {
     OnReportedCrashes(aWorker, state.mCrashes, aClock);
   }
   if (aReport.mWorkerAnswers) {
@@ -116,13 +116,13 @@
   aWorker.mAnsweredAt = std::max(aWorker.mAnsweredAt, aReport.mAnsweredAt);
   OnRunningTasks(aWorker, state.mRunning, aReport.mAnsweredAt, aClock);
   DropAbsentRuns(aWorker, state.mRunning, aReport.mOrdersDone, aClock);
-  if (whole || (aReport.mChange && aReport.mChange->mFigures)) {
+  if (full || (aReport.mChange && aReport.mChange->mFigures)) {
     Learn(aWorker, state.mRunning, aClock);
   }
 }
 
-/// What the agent remembers of crashes: an owner that took the cell over in
-/// between has not seen these runs.
+/// Counts the crashes that the agent remembers; an owner that took over since
+/// has not seen these runs.
 void CellScheduler::OnReportedCrashes(
   const WorkerEntry& aWorker,
   const std::vector<CrashedWorker>& aCrashes,
@@ -133,19 +133,20 @@
   }
 }
 
-/// Its last ends count; what else it ran is over, without a wait for leases.
+/// Handles the last report of a worker that left: its ended tasks count, and
+/// its other runs are lost at once, without waiting for their leases.
 void CellScheduler::OnWorkerLeft(const ReportRequest& aReport,
                                  bool aInSession,
                                  const CellClock& aClock)
 {
   const auto [entry, first] = mWorkers.try_emplace(aReport.mAgent);
   WorkerEntry& worker = entry->second;
-  const bool overtaken = aInSession
-                           ? aReport.mSequence <= worker.mLastSequence
-                           : !first && (worker.mLink == WorkerLink::Attached ||
-                                        worker.mInfo.mIncarnation !=
-                                          aReport.mState.mInfo.mIncarnation);
-  if (overtaken || worker.mLink == WorkerLink::Lost) {
+  const bool stale = aInSession
+                       ? aReport.mSequence <= worker.mLastSequence
+                       : !first && (worker.mLink == WorkerLink::Attached ||
+                                    worker.mInfo.mIncarnation !=
+                                      aReport.mState.mInfo.mIncarnation);
+  if (stale || worker.mLink == WorkerLink::Lost) {
     return;
   }
   worker.mId = aReport.mAgent;
@@ -173,8 +174,8 @@
   return found != mWorkers.end() && found->second.mLink == WorkerLink::Lost;
 }
 
-/// A worker that does not answer its agent keeps what it runs until its leases
-/// are over.
+/// A worker that does not answer its agent keeps its runs until its leases
+/// expire.
 void CellScheduler::UpdateReachability(WorkerEntry& aWorker,
                                        const ReportRequest& aReport,
                                        const CellClock& aClock)
@@ -232,7 +233,7 @@
     TaskRun* run =
       task == nullptr ? nullptr : task->FindRun(aAgent, result.mRun);
     if (run == nullptr) {
-      continue; // Its end came first.
+      continue; // The run's end was reported first.
     }
     if (result.mOutcome == StartOutcome::Started) {
       run->Confirm(aClock.mNow);
@@ -265,7 +266,7 @@
 
 void CellScheduler::MarkUnhealthy(WorkerEntry& aWorker)
 {
-  // Agents of earlier versions do not tell when their worker answered.
+  // Agents of earlier versions do not report when their worker answered.
   if (aWorker.Unhealthy() || aWorker.mAnsweredAt == Duration::zero()) {
     return;
   }
@@ -279,7 +280,7 @@
                                const CellClock& aClock)
 {
   if (aInfo.mIncarnation.Empty()) {
-    return; // An agent that has just started; the worker tells within seconds.
+    return; // The agent has just started and has no answer of its worker yet.
   }
   if (aWorker.mEnds.Incarnation() != aInfo.mIncarnation) {
     OnWorkerReplaced(aWorker, aClock);
@@ -300,7 +301,7 @@
   aWorker.mInfo = aInfo;
 }
 
-/// Another incarnation answers.
+/// Another incarnation of the worker answers.
 void CellScheduler::OnWorkerReplaced(WorkerEntry& aWorker,
                                      const CellClock& aClock)
 {
@@ -308,14 +309,14 @@
     return;
   }
   if (aWorker.mEnded) {
-    aWorker.mEnded = false; // Its end was taken as it came.
+    aWorker.mEnded = false; // Its end is already handled.
     return;
   }
   OnWorkerEnded(aWorker, "worker-restarted", aClock);
 }
 
-/// All that the incarnation ran is lost. Unless it had said that it leaves, it
-/// has crashed.
+/// All runs of the incarnation are lost. Unless it was draining, it has
+/// crashed.
 void CellScheduler::OnWorkerEnded(WorkerEntry& aWorker,
                                   std::string_view aReason,
                                   const CellClock& aClock)
--- a/src/core/cell/CrashBlame.cpp
+++ b/src/core/cell/CrashBlame.cpp
@@ -8,36 +8,35 @@
 
 namespace {
 
-bool IsFresh(const RunAtCrash& aWitness)
+bool IsFresh(const RunAtCrash& aRun)
 {
-  return aWitness.mUptime < kFreshUptime;
+  return aRun.mUptime < kFreshUptime;
 }
 
-bool IsFreshSuspect(const RunAtCrash& aWitness)
+bool IsFreshSuspect(const RunAtCrash& aRun)
 {
-  return IsFresh(aWitness) && aWitness.mSuspect;
+  return IsFresh(aRun) && aRun.mSuspect;
 }
 
-bool IsUnproven(const RunAtCrash& aWitness)
+bool IsUnproven(const RunAtCrash& aRun)
 {
-  return aWitness.mUptime < kProvenUptime;
+  return aRun.mUptime < kProvenUptime;
 }
 
 } // namespace
 
-std::vector<CrashBlame> AssignBlame(std::span<const RunAtCrash> aWitnesses)
+std::vector<CrashBlame> AssignBlame(std::span<const RunAtCrash> aRuns)
 {
-  const bool suspects = std::ranges::any_of(aWitnesses, IsFreshSuspect);
-  const bool alone =
-    suspects && std::ranges::count_if(aWitnesses, IsFresh) == 1;
+  const bool suspects = std::ranges::any_of(aRuns, IsFreshSuspect);
+  const bool sole = suspects && std::ranges::count_if(aRuns, IsFresh) == 1;
   std::vector<CrashBlame> blames;
-  blames.reserve(aWitnesses.size());
-  for (const RunAtCrash& witness : aWitnesses) {
-    const bool likely = suspects ? IsFreshSuspect(witness) : IsFresh(witness);
-    blames.push_back(!IsUnproven(witness) ? CrashBlame::None
-                     : !likely            ? CrashBlame::Possible
-                     : alone              ? CrashBlame::Sole
-                                          : CrashBlame::Likely);
+  blames.reserve(aRuns.size());
+  for (const RunAtCrash& run : aRuns) {
+    const bool likely = suspects ? IsFreshSuspect(run) : IsFresh(run);
+    blames.push_back(!IsUnproven(run) ? CrashBlame::None
+                     : !likely        ? CrashBlame::Possible
+                     : sole           ? CrashBlame::Sole
+                                      : CrashBlame::Likely);
   }
   return blames;
 }
--- a/src/core/cell/CrashBlame.h
+++ b/src/core/cell/CrashBlame.h
@@ -8,28 +8,28 @@
 
 namespace foxtailbarrow::cell {
 
-/// What a crash of a worker says of one run that was there.
+/// How strongly a worker crash is evidence against one of the worker's runs.
 enum class CrashBlame : std::uint8_t
 {
-  None, ///< It had lived for long: it is not the cause.
-  /// It may not have run at all: its start got no answer.
+  None, ///< Up for kProvenUptime: not the cause.
+  /// It may not have run: its start got no answer.
   Unconfirmed,
-  Possible, ///< It may be the cause, but others are likelier.
-  Likely,   ///< It is one of the likeliest causes.
-  Sole,     ///< It is the only likely cause.
+  Possible, ///< May be the cause, but other runs are likelier.
+  Likely,   ///< One of several likeliest causes.
+  Sole,     ///< The only likely cause.
 };
 
 /// A run at the moment of the crash.
 struct RunAtCrash
 {
-  Duration mUptime{};    ///< It is known to have run for.
-  bool mSuspect = false; ///< Its task was likely to have caused another crash.
+  Duration mUptime{};    ///< How long it is known to have run.
+  bool mSuspect = false; ///< Its task is suspected of another crash.
 };
 
-/// Whom one crash speaks against, in the order of the witnesses. Workers also
-/// crash by themselves, so that this is evidence and no proof. The likeliest
-/// are fresh suspects, else fresh tasks. Older ones are never likely: crashes
-/// by chance meet standing tasks most.
-std::vector<CrashBlame> AssignBlame(std::span<const RunAtCrash> aWitnesses);
+/// Blames each run for one crash; the result is in the order of the runs.
+/// Workers also crash by themselves, so blame is evidence and not proof. The
+/// likeliest causes are fresh runs of suspects, else all fresh runs. Older runs
+/// are never likely, since unrelated crashes hit standing tasks most often.
+std::vector<CrashBlame> AssignBlame(std::span<const RunAtCrash> aRuns);
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/CrashCounters.h
+++ b/src/core/cell/CrashCounters.h
@@ -7,15 +7,15 @@
 
 namespace foxtailbarrow::cell {
 
-/// What crashes were held against one queue's tasks.
+/// Crashes that count against the tasks of one queue.
 struct QueueCrashCounters
 {
-  std::uint64_t mSuspected = 0; ///< Times that a crash counted for a task.
-  std::uint64_t mCleared = 0;   ///< Tasks that a run has cleared again.
-  std::uint64_t mGivenUp = 0;   ///< Jobs failed for their crashes.
+  std::uint64_t mSuspected = 0; ///< Crashes counted against a task.
+  std::uint64_t mCleared = 0;   ///< Tasks cleared by a later run.
+  std::uint64_t mGivenUp = 0;   ///< Jobs failed because of crashes.
 };
 
-/// What the owner has made of crashes in its term, for the metrics.
+/// Crash metrics of the owner since it took over.
 struct CrashCounters
 {
   std::uint64_t mWorkers = 0; ///< Crashes of workers.
--- a/src/core/cell/CrashHistory.cpp
+++ b/src/core/cell/CrashHistory.cpp
@@ -36,10 +36,10 @@
 
 CrashHistory::CrashHistory(Runs aRuns,
                            RunNumber aClearedTo,
-                           RunNumber aAnnounced)
+                           RunNumber aUnsettledStart)
   : mRuns(std::move(aRuns))
   , mClearedTo(aClearedTo)
-  , mUnsettledStart(aAnnounced)
+  , mUnsettledStart(aUnsettledStart)
 {
 }
 
--- a/src/core/cell/CrashHistory.h
+++ b/src/core/cell/CrashHistory.h
@@ -11,38 +11,43 @@
 
 namespace foxtailbarrow::cell {
 
-/// The worker crashes under one task that no later run of it has disproved, by
-/// run number, so that a crash counts once however often it is told. Pure.
+/// Worker crashes that count against one task, by run number, so that a crash
+/// counts once however often it is reported. A later run can clear them. Pure.
 ///
-/// A task is a weak suspect from the first crash that it has likely caused, a
-/// strong one from the second, and an unclear one where it was there twice when
-/// others were likelier. Suspects are started apart from each other, but for
-/// weak ones apart from all (CrashTrials), so that a further crash speaks
-/// against them alone. A task is given up after two crashes, one of them alone,
-/// or three: each one takes a worker with all that runs there. Starts that got
-/// no answer make a suspect only, as the worker may have been down before, and
-/// so do crashes that come later; five in all are the end, too.
+/// A task is a weak suspect after one crash that it likely caused, a strong one
+/// after two, or after one with no other likely cause, and an unclear one if it
+/// ran twice where other runs were likelier. No two suspects are started on one
+/// worker, and all but weak ones are started with no other fresh task, so that
+/// a further crash is evidence against one task (see CrashTrials).
 ///
-/// A sound task that a crash made a suspect is given up where its trial meets a
-/// crash by chance within kFreshUptime. Workers that have crashed lately are
-/// taken last for trials.
+/// A task is given up after three likely crashes, or after two if it was the
+/// sole likely cause of one of them: each crash loses a worker and all its
+/// runs. Starts without an answer only make a suspect, since the worker may
+/// have been down already, and so do crashes later in a run; five crashes of
+/// any kind give the task up as well.
+///
+/// A sound task that became a suspect is given up if its trial meets an
+/// unrelated crash within kFreshUptime. Workers that crashed recently are
+/// therefore the last choice for trials.
 class CrashHistory
 {
 public:
-  /// Of weights: a crash that speaks against the task alone weighs two, one
-  /// that speaks against others too weighs one.
+  /// Weight at which a task is given up. A crash with the task as the sole
+  /// likely cause weighs kSoleWeight, one with several likely causes weighs 1.
   static constexpr std::size_t kMaxWeight = 3;
   static constexpr std::size_t kSoleWeight = 2;
-  /// A task that crashes its worker later than kFreshUptime after the start, or
-  /// always beside likelier ones, is tried alone after so many crashes.
+  /// Crashes after which a task gets an isolated trial if it crashes its worker
+  /// later than kFreshUptime after the start, or always next to likelier
+  /// causes.
   static constexpr std::size_t kMaxPossible = 2;
-  /// Crashes of all kinds: one more start after these is allowed at most.
+  /// Crashes of any kind after which the task is given up; at most one more
+  /// start follows.
   static constexpr std::size_t kMaxCrashes = 5;
-  /// A run that was lost for another reason than a known crash is taken for a
-  /// crash so long: above the time after which a crashed worker is back.
+  /// How long an unexplained loss of a run counts as a crash. Longer than a
+  /// crashed worker takes to come back.
   static constexpr Duration kUnexplainedTimeout = std::chrono::seconds(12);
 
-  /// The crashes of each kind, by run.
+  /// The runs of the crashes, by kind.
   struct Runs
   {
     std::vector<RunNumber> mSole{};
@@ -59,32 +64,32 @@
   };
 
   CrashHistory() = default;
-  CrashHistory(Runs aRuns, RunNumber aClearedTo, RunNumber aAnnounced);
+  CrashHistory(Runs aRuns, RunNumber aClearedTo, RunNumber aUnsettledStart);
 
-  /// False when the crash is known already, or disproved by a later run.
+  /// Returns false if the crash is known already or cleared by a later run.
   bool RecordCrash(RunNumber aRun, CrashBlame aBlame);
 
-  /// The run was lost, fresh, with a worker that is silent.
+  /// A fresh run was lost with a worker that does not answer.
   void RecordUnexplainedLoss(RunNumber aRun, Instant aNow);
-  /// The worker is there again, and had not crashed.
+  /// The worker answers again and had not crashed.
   void ClearUnexplainedLoss(RunNumber aRun);
 
-  /// A start was sent. Recorded, so that a next owner knows of a run that all
-  /// others have forgotten.
+  /// A start was sent. It is stored, so that a next owner knows of the run even
+  /// if every other process that knew of it was lost.
   void RecordStart(RunNumber aRun)
   {
     mUnsettledStart = std::max(mUnsettledStart, aRun);
   }
-  /// What became of the run is known. No effect while its loss is unexplained.
+  /// The outcome of the run is known. No effect while its loss is unexplained.
   void Settle(RunNumber aRun);
-  /// The newest run that was announced and is not settled; 0 = none.
+  /// The newest run that was started and is not settled; 0 = none.
   RunNumber UnsettledStart() const { return mUnsettledStart; }
 
-  /// A run has ended by itself or lives: the task is not the cause. False when
-  /// nothing was held against it.
+  /// A run ended by itself or reached kProvenUptime, so the task is not the
+  /// cause. Returns false if no crash counted against it.
   bool Clear(RunNumber aRun);
 
-  /// While it is strong no other task of the job is started.
+  /// No other task of the job is started while the result is Strong.
   Suspicion Suspected() const
   {
     if (Weight() > 1) {
@@ -101,9 +106,9 @@
   {
     return Weight() >= kMaxWeight || Count() >= kMaxCrashes;
   }
-  /// Crashes that count.
+  /// Crashes that count against the task.
   std::size_t Count() const { return mRuns.Count(); }
-  /// False while crashes that are not known yet may be the last ones allowed.
+  /// False while unexplained losses, if crashes, would give the task up.
   bool MayStart(Instant aNow) const;
 
   bool Empty() const
@@ -126,7 +131,7 @@
   }
 
   Runs mRuns;
-  RunNumber mClearedTo = 0; ///< Crashes of runs up to this are disproved.
+  RunNumber mClearedTo = 0; ///< Crashes of runs up to this one are cleared.
   RunNumber mUnsettledStart = 0;
   std::vector<Unexplained> mUnexplained;
 };
--- a/src/core/cell/CrashTrials.cpp
+++ b/src/core/cell/CrashTrials.cpp
@@ -60,12 +60,12 @@
                            std::size_t aWorkers,
                            Instant aNow)
 {
-  std::size_t alike = 0;
+  std::size_t ofKind = 0;
   std::size_t ofQueue = 0;
   bool ofGang = false;
   for (const auto& [agent, trial] : mTrials) {
     if (trial.mSuspicion == aStart.mSuspicion) {
-      ++alike;
+      ++ofKind;
       ofQueue += trial.mQueue == aStart.mQueue ? 1 : 0;
     }
     if (trial.mRun.mTask.mJob != aStart.mRun.mTask.mJob) {
@@ -77,15 +77,15 @@
     }
     ofGang = true;
   }
-  const std::size_t most = MaxTrials(aStart.mSuspicion, aWorkers);
+  const std::size_t limit = MaxTrials(aStart.mSuspicion, aWorkers);
   if (ofGang) {
     return true;
   }
-  if (alike >= most) {
+  if (ofKind >= limit) {
     mRejectedAt[{ aStart.mQueue, aStart.mSuspicion }] = aNow;
     return false;
   }
-  return ofQueue < most / 2 || !OtherQueuesWait(aStart, aNow);
+  return ofQueue < limit / 2 || !OtherQueuesWait(aStart, aNow);
 }
 
 bool CrashTrials::OtherQueuesWait(const SuspectStart& aStart,
@@ -106,10 +106,11 @@
   std::erase_if(mReserved, [aNow](const auto& aReserved) {
     return aReserved.second.mUntil <= aNow;
   });
-  const bool kept = std::ranges::any_of(mReserved, [&](const auto& aReserved) {
-    return aReserved.second.mTask == aTask;
-  });
-  if (kept || mReserved.contains(aAgent) ||
+  const bool reserved =
+    std::ranges::any_of(mReserved, [&](const auto& aReserved) {
+      return aReserved.second.mTask == aTask;
+    });
+  if (reserved || mReserved.contains(aAgent) ||
       mReserved.size() >= MaxTrials(Suspicion::Strong, aWorkers)) {
     return false;
   }
--- a/src/core/cell/CrashTrials.h
+++ b/src/core/cell/CrashTrials.h
@@ -13,16 +13,16 @@
 
 namespace foxtailbarrow::cell {
 
-/// How much speaks against a task that is started.
+/// How strongly a task is suspected of crashing its workers.
 enum class Suspicion : std::uint8_t
 {
   None,
-  Weak,    ///< One crash, of which others may be the cause as well.
-  Unclear, ///< It was there several times when others were likelier.
-  Strong,  ///< Several crashes.
+  Weak,    ///< One crash that other tasks may have caused as well.
+  Unclear, ///< Several crashes with likelier causes.
+  Strong,  ///< Several likely crashes, or one as the sole likely cause.
 };
 
-/// Such a suspect is tried with nothing else that could be the cause.
+/// True if the suspect must be tried without any other possible cause.
 constexpr bool NeedsIsolatedTrial(Suspicion aSuspicion)
 {
   return aSuspicion == Suspicion::Unclear || aSuspicion == Suspicion::Strong;
@@ -36,47 +36,50 @@
   Suspicion mSuspicion = Suspicion::None;
 };
 
-/// Starts of suspects that have not lived for long enough yet: one a worker, so
-/// that a crash speaks against one task. Beside a weak suspect, which is tried
-/// for kFreshUptime, other tasks are started; beside the others, which are
-/// tried for kProvenUptime, none. Pure.
+/// Trials: starts of suspects that are not proven yet. There is one per worker,
+/// so that a crash is evidence against one task. Other tasks may start on the
+/// worker of a weak suspect, which is tried for kFreshUptime, but not on that
+/// of any other suspect, which is tried for kProvenUptime. Pure.
 ///
-/// Where every worker has started something lately, one is reserved for such a
-/// suspect: nothing else is started there until it can be tried apart. A crash
-/// of a trial that speaks against others as well costs one start more.
+/// If every worker has started something recently, one is reserved for a
+/// suspect that needs an isolated trial: nothing else starts there until the
+/// trial can begin. A trial whose crash may have other causes as well costs one
+/// more start.
 class CrashTrials
 {
 public:
-  /// Above kFreshUptime and the time until a report shows it.
+  /// Longer than kFreshUptime and the delay of the report that shows it.
   static constexpr Duration kReservationTime = std::chrono::milliseconds(2000);
 
-  /// A queue that was turned away waits for its turn so long.
+  /// How long a rejected queue keeps its claim to the next free trial.
   static constexpr Duration kTurnTime = std::chrono::milliseconds(1000);
 
   void Begin(const AgentId& aAgent, const SuspectStart& aStart);
-  /// Nothing happens when another run is on trial there.
+  /// No effect if another run is on trial on the worker.
   void End(const AgentId& aAgent, const RunRef& aRun);
 
   bool IsTrial(const AgentId& aAgent, const RunRef& aRun) const;
-  /// True when the worker may get a start of the task.
+  /// True if the task may start on the worker.
   bool AllowsStart(const AgentId& aAgent,
                    const TaskRef& aTask,
                    Suspicion aSuspicion,
                    Instant aNow) const;
 
-  /// True when one more may begin, given the number of workers. One a job, so
-  /// that a job risks one worker; but all members of a gang begin under one run
-  /// number. Of strong suspects, which will likely crash their workers, an
-  /// eighth of the workers; of each other kind, most of which only started
-  /// beside the cause, half, as their jobs wait meanwhile. Two at least.
+  /// True if one more trial may begin, given the number of workers. A job has
+  /// one trial at a time, so that it risks one worker; members of a gang share
+  /// a run number and begin together. Strong suspects, which will likely crash
+  /// their workers, may use an eighth of the workers. Each other kind may use
+  /// half, since most of these were only colocated with the cause and their
+  /// jobs wait meanwhile. The limit is at least two.
   ///
-  /// While suspects of another queue wait for their turn, a queue has half of
-  /// these at most: one whose tasks crash workers again and again does not keep
-  /// the tasks of others from being cleared.
+  /// While suspects of another queue wait, a queue may use half of its limit,
+  /// so that a queue whose tasks keep crashing workers does not stop the tasks
+  /// of others from being cleared.
   bool MayBegin(const SuspectStart& aStart, std::size_t aWorkers, Instant aNow);
 
-  /// Keeps a worker for the task, for kReservationTime. False when one is kept
-  /// for it already, or as many as may be on trial.
+  /// Reserves the worker for the task, for kReservationTime. Returns false if
+  /// the task or the worker has a reservation already, or if the limit of
+  /// strong trials is reached.
   bool Reserve(const AgentId& aAgent,
                const TaskRef& aTask,
                std::size_t aWorkers,
@@ -91,11 +94,11 @@
     Instant mUntil{};
   };
 
-  /// Another queue's suspects of that kind have lately found no place.
+  /// True if a suspect of the same kind of another queue was rejected recently.
   bool OtherQueuesWait(const SuspectStart& aStart, Instant aNow) const;
 
   std::map<AgentId, SuspectStart> mTrials;
-  /// When suspects found no place last.
+  /// When suspects were last rejected for the limit.
   std::map<std::pair<QueueId, Suspicion>, Instant> mRejectedAt;
   std::map<AgentId, Reservation> mReserved;
 };
--- a/src/core/cell/CrashedWorker.h
+++ b/src/core/cell/CrashedWorker.h
@@ -12,16 +12,16 @@
 {
   TaskRef mTask;
   RunNumber mRun = 0;
-  /// How long it is known to have run before: until the worker's last answer.
+  /// How long it is known to have run, up to the worker's last answer.
   Duration mUptime{};
-  /// The worker had said that it runs; else its start got no answer.
+  /// The worker confirmed that it runs; else its start got no answer.
   bool mConfirmed = true;
 
   bool operator==(const CrashedRun&) const = default;
 };
 
-/// The runs that one crash of a worker took along, as far as they may have
-/// caused it: all that had not lived for kProvenUptime.
+/// The runs lost in one worker crash that may have caused it: all below
+/// kProvenUptime.
 struct CrashedWorker
 {
   std::vector<CrashedRun> mRuns;
@@ -29,11 +29,12 @@
   bool operator==(const CrashedWorker&) const = default;
 };
 
-/// Tasks that take their worker down do it as they start. Above the time after
-/// which an agent sees its worker alive again.
+/// Below this uptime a run is a likely cause of a crash, since tasks that crash
+/// their worker do so as they start. Longer than an agent takes to observe that
+/// its worker is alive again.
 inline constexpr Duration kFreshUptime = std::chrono::milliseconds(500);
 
-/// A run that has lived for so long is not what takes its worker down.
+/// From this uptime on a run is not the cause of a crash.
 inline constexpr Duration kProvenUptime = std::chrono::seconds(1);
 
 } // namespace foxtailbarrow::cell
