--- a/apps/scheduler/CellOwnerAgents.cpp
+++ b/apps/scheduler/CellOwnerAgents.cpp
@@ -54,7 +54,7 @@
   reply.mGeneration = mTerm.OwnGeneration();
   AgentLink& link = AgentLinkOf(aReport.mAgent, aReport.mEndpoint);
   link.mLastContactAt = MonotonicNow();
-  link.mWorkerLeft = aReport.mState.mInfo.mGone;
+  link.mWorkerLeft = aReport.mState.mInfo.mLeft;
   reply.mAttached = mLogic.HandleReport(aReport, Clock());
   if (!reply.mAttached) {
     const bool overtaken = MonotonicNow() - link.mAttachedAt < kReportTime;
--- a/src/core/cell/CapacityGate.cpp
+++ b/src/core/cell/CapacityGate.cpp
@@ -11,12 +11,12 @@
 }
 
 bool CapacityGate::Admits(const Resources& aCapacity,
-                          std::span<const TaskRef> aThere,
+                          std::span<const TaskRef> aPresent,
                           const TaskRef& aTask,
                           const Resources& aReserved)
 {
-  std::erase_if(mReserved, [aThere](const auto& aEntry) {
-    return std::ranges::find(aThere, aEntry.first) == aThere.end();
+  std::erase_if(mReserved, [aPresent](const auto& aEntry) {
+    return std::ranges::find(aPresent, aEntry.first) == aPresent.end();
   });
   Resources used = aReserved;
   for (const auto& [task, reserved] : mReserved) {
--- a/src/core/cell/CapacityGate.h
+++ b/src/core/cell/CapacityGate.h
@@ -8,21 +8,22 @@
 
 namespace foxtailbarrow::cell {
 
-/// The last look at a worker's room before a start is sent, by its agent, which
-/// hears of a smaller capacity up to a report earlier than the cell's owner.
-/// Without it starts that were ordered meanwhile brought the worker over its
-/// capacity: four of four in the test of a worker that shrank to nothing. Pure.
+/// The agent's last check of a worker's free capacity before it sends a start.
+/// The agent learns of a smaller capacity up to one report before the owner,
+/// and starts ordered in between would exceed it: without this check all four
+/// starts in the test of a worker that shrinks to zero did. Pure.
 class CapacityGate
 {
 public:
-  /// What a task reserves that the agent did not start itself.
+  /// Sets the reservation of a task that the agent did not start itself.
   void SetReservation(const TaskRef& aTask, const Resources& aReserved);
 
-  /// True when the start fits the capacity beside what is there: what runs, is
-  /// being stopped, or was sent in this session and has no answer yet. A task
-  /// that nothing is known of counts as nothing; the owner has counted it.
+  /// True if the start fits the capacity next to `aPresent`: tasks that run,
+  /// are being stopped, or were sent in this session and not answered yet.
+  /// Tasks with an unknown reservation count as zero; the owner has counted
+  /// them.
   bool Admits(const Resources& aCapacity,
-              std::span<const TaskRef> aThere,
+              std::span<const TaskRef> aPresent,
               const TaskRef& aTask,
               const Resources& aReserved);
 
--- a/src/core/cell/CellSchedulerAdvice.cpp
+++ b/src/core/cell/CellSchedulerAdvice.cpp
@@ -53,7 +53,7 @@
     JobEntry& job = mJobs.at(candidate.mFirstTask.mJob);
     const std::optional<AdvicePolicy>& policy = job.mPolicy.mAdvice;
     if (!policy ||
-        !job.StepOf(candidate.mFirstTask).mAdvice.MayAsk(aClock.mNow)) {
+        !job.StepOf(candidate.mFirstTask).mAdvice.MayQuery(aClock.mNow)) {
       continue;
     }
     AdviceQuery query{ candidate.mFirstTask,
@@ -88,7 +88,7 @@
                                          : "granted",
               static_cast<std::int64_t>(aQuery.mWorkers.size()));
   if (aReply) {
-    advice.Take(aQuery, *aReply, aClock.mNow);
+    advice.OnReply(aQuery, *aReply, aClock.mNow);
   } else {
     advice.Defer(aClock.mNow + kQueryRetryDelay);
   }
--- a/src/core/cell/CellSchedulerWorkers.cpp
+++ b/src/core/cell/CellSchedulerWorkers.cpp
@@ -60,7 +60,7 @@
   const bool inSession = found != mWorkers.end() &&
                          found->second.mLink == WorkerLink::Attached &&
                          found->second.mSession == aReport.mSession;
-  if (aReport.mState.mInfo.mGone) {
+  if (aReport.mState.mInfo.mLeft) {
     OnWorkerLeft(aReport, inSession, aClock);
     return false;
   }
@@ -249,7 +249,7 @@
                 ToString(result.mOutcome));
     if (result.mOutcome == StartOutcome::NoTicket) {
       found->second.StepOf(result.mTask)
-        .mAdvice.Reject(worker->second.mInfo.mIncarnation);
+        .mAdvice.OnTicketRejected(worker->second.mInfo.mIncarnation);
     }
     RemoveRun(found->second, result.mTask, aAgent, result.mRun, aClock);
     StopGang(found->second, result.mTask, result.mRun, aClock);
--- a/src/core/cell/LeaseGrant.cpp
+++ b/src/core/cell/LeaseGrant.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A worker's clock may be 2 % slow: it counts so much less than true time.
+/// A worker's clock may be 2 % slow compared to true time.
 constexpr double kMinClockRate = 0.98;
 
 } // namespace
@@ -26,8 +26,8 @@
   if (!mSample || mEnd <= aNow) {
     return std::nullopt;
   }
-  // The clock showed the sample at its receipt or before, so that counting from
-  // the receipt errs to the short side.
+  // The worker read its clock before the sample was received, so counting from
+  // the receipt can only shorten the lease.
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
     mEnd - mSample->mReceivedAt);
   mSentEnd = std::max(mSentEnd, mEnd);
--- a/src/core/cell/LeaseGrant.h
+++ b/src/core/cell/LeaseGrant.h
@@ -7,34 +7,34 @@
 
 namespace foxtailbarrow::cell {
 
-/// Turns the owner's grants into lease ends on the worker's clock.
+/// Converts the owner's grants to lease ends on the worker's clock.
 ///
-/// Promise: a lease end that LeaseEnd() returned is over, in true time, at the
-/// end of the newest grant, also on a worker whose clock is 2 % slow. Grants
-/// are dated by the agent's own clock from the sending of the request, so that
-/// a delayed reply never lengthens one.
+/// Guarantee: a lease end returned by LeaseEnd() passes, in true time, no later
+/// than the newest grant ends, even if the worker's clock is 2 % slow. Grants
+/// start when the request is sent, by the agent's own clock, so that a delayed
+/// reply never extends one.
 class LeaseGrant
 {
 public:
   /// The owner granted `aGrant` in reply to a request sent at `aSentAt`.
   void Extend(Instant aSentAt, Duration aGrant);
-  /// Another owner grants from now on; leases that were granted stay.
+  /// End of the newest grant. Grants of an earlier owner stay in force.
   Instant End() const { return mEnd; }
 
-  /// The worker's clock showed `aClock` at some time before `aReceivedAt`.
+  /// The worker's clock read `aClock` at some time before `aReceivedAt`.
   void SampleClock(WorkerTimeMs aClock, Instant aReceivedAt);
 
-  /// A sample of this worker's clock is there.
+  /// True if there is a sample of this worker's clock.
   bool HasClockSample() const { return mSample.has_value(); }
 
-  /// Notes the worker's lease end to be sent now, or nullopt when there is no
-  /// grant or no sample of the worker's clock.
+  /// Returns and remembers the lease end to send to the worker now, or nullopt
+  /// without a grant in force or a sample of the worker's clock.
   std::optional<WorkerTimeMs> LeaseEnd(Instant aNow);
 
-  /// How long the worker may still hold what was sent.
+  /// How long leases that were sent to the worker may still last.
   Duration LeaseLeft(Instant aNow) const;
 
-  /// A worker of another incarnation has another clock and holds nothing.
+  /// Another incarnation of the worker has another clock and no leases.
   void ResetWorker();
 
 private:
--- a/src/core/cell/LossCause.h
+++ b/src/core/cell/LossCause.h
@@ -4,7 +4,7 @@
 
 namespace foxtailbarrow::cell {
 
-/// Whether it is known why the runs of a worker are over.
+/// Whether it is known why the runs of a worker were lost.
 enum class LossCause : std::uint8_t
 {
   Known,
--- a/src/core/cell/PlacementAdvice.h
+++ b/src/core/cell/PlacementAdvice.h
@@ -9,24 +9,23 @@
 #include "src/core/cell/TaskRef.h"
 #include "src/core/cell/WorkerState.h"
 
-/// Queues whose workers another service chooses: it is asked which workers may
-/// run a step, and gives a ticket for each.
+/// Placement advice for queues whose workers an external service chooses: it is
+/// queried for the workers that may run a step and issues a ticket for each.
 namespace foxtailbarrow::cell {
 
-/// What the operator says of the service's answers for one queue.
+/// The operator's expectations of the service's answers for one queue.
 struct AdvicePolicy
 {
-  Duration mDecisionTime{}; ///< An answer takes so long,
-  Duration
-    mTimePerWorker{}; ///< and so much longer for each worker asked about.
-  Duration mTicketLifetime{}; ///< A ticket may be used for so long.
+  Duration mDecisionTime{};   ///< Time that an answer takes,
+  Duration mTimePerWorker{};  ///< and additional time for each worker queried.
+  Duration mTicketLifetime{}; ///< How long a ticket is valid.
 
   bool operator==(const AdvicePolicy&) const = default;
 };
 
 struct AdviceQuery
 {
-  TaskRef mStep; ///< Its first task.
+  TaskRef mStep; ///< The first task of the step.
   std::vector<WorkerIncarnation> mWorkers;
   Duration mTimeout{};
 };
@@ -39,11 +38,11 @@
 
 struct AdviceReply
 {
-  std::vector<AdviceGrant> mGranted; ///< Others may not run the step.
+  std::vector<AdviceGrant> mGranted; ///< Other workers may not run the step.
   Duration mTicketLifetime{};
 };
 
-/// The service that chooses workers. Suspends the calling fiber.
+/// Client of the service that chooses workers. Suspends the calling fiber.
 class PlacementAdvisor
 {
 public:
--- a/src/core/cell/PlacementRefusal.cpp
+++ b/src/core/cell/PlacementRefusal.cpp
@@ -19,7 +19,7 @@
       return "pressed";
     case PlacementRefusal::Crowded:
       return "crowded";
-    case PlacementRefusal::HeldByStalled:
+    case PlacementRefusal::BlockedByStalled:
       return "held-by-stalled";
   }
   return "unknown";
--- a/src/core/cell/PlacementRefusal.h
+++ b/src/core/cell/PlacementRefusal.h
@@ -6,23 +6,24 @@
 
 namespace foxtailbarrow::cell {
 
-/// Why a worker does not take a task now.
+/// Why a worker does not accept a task now.
 enum class PlacementRefusal : std::uint8_t
 {
-  Unfit,          ///< It is away, leaving, avoided, or of another kind.
-  NoFreeCapacity, ///< What is reserved leaves too little.
-  StalledHere,    ///< The task was stopped there, stalled, a moment ago.
-  OnTrial,        ///< A task that may crash the worker has just started there.
-  Full,           ///< Leftover tasks there want all that is left and more.
-  Interferes,     ///< A serving task there could not bear it alone.
-  Crowded,        ///< Nor could it beside the leftover tasks that work there.
-  /// It could, but for leftover tasks at a standstill there.
-  HeldByStalled,
+  Unfit,          ///< It is unreachable, leaving, avoided, or of another kind.
+  NoFreeCapacity, ///< Too little capacity is unreserved.
+  StalledHere,    ///< The task was recently stopped there as stalled.
+  /// A trial runs or is reserved there, or a recent start rules one out.
+  OnTrial,
+  Full,       ///< Its best-effort tasks demand more than is available.
+  Interferes, ///< The task alone interferes too much with a serving task.
+  Crowded,    ///< It does so together with running best-effort tasks.
+  /// It does so only if stalled best-effort tasks are counted as well.
+  BlockedByStalled,
 };
 
 std::string_view ToString(PlacementRefusal aRefusal);
 
-/// Workers by what they refuse a task for.
+/// Number of workers by why they refuse a task.
 using RefusalCounts = std::map<PlacementRefusal, int>;
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/RefusedDemands.h
+++ b/src/core/cell/RefusedDemands.h
@@ -8,13 +8,14 @@
 
 namespace foxtailbarrow::cell {
 
-/// Leftover tasks that no worker takes in the present round of placing. Within
-/// a round workers only get fuller, so that what asks for as much is not tried
-/// again. Pure.
+/// Demands of best-effort tasks that no worker accepts in the current placement
+/// round. Workers only get fuller within a round, so equal or larger demands
+/// are not tried again. Pure.
 class RefusedDemands
 {
 public:
-  /// Only tasks that differ in nothing but image and demand are compared.
+  /// True for tasks that differ only in service, image and demand; no others
+  /// are compared.
   static bool Covers(const JobEntry& aJob, const StepSpec& aSpec)
   {
     return aSpec.mBestEffort && !aSpec.mGang && aSpec.mRequiredLabel.empty() &&
--- a/src/core/cell/ReportEncoder.cpp
+++ b/src/core/cell/ReportEncoder.cpp
@@ -4,11 +4,11 @@
 
 namespace foxtailbarrow::cell {
 
-/// Another incarnation numbers its ends anew, and one that has left is told
-/// whole, so that the report can be read without any other.
+/// Another incarnation numbers its ends anew. A worker that has left gets a
+/// full report, which can be read without any earlier one.
 bool ReportEncoder::CanSendChange(const WorkerState& aState) const
 {
-  return mAccepted && !aState.mInfo.mGone &&
+  return mAccepted && !aState.mInfo.mLeft &&
          aState.mInfo.mIncarnation == mAccepted->mState.mInfo.mIncarnation;
 }
 
--- a/src/core/cell/ReportEncoder.h
+++ b/src/core/cell/ReportEncoder.h
@@ -6,26 +6,26 @@
 
 namespace foxtailbarrow::cell {
 
-/// An agent's side of reports that tell only what changed: remembers what the
-/// owner has taken in the present session. Pure.
+/// Encodes an agent's reports as changes since the last report that the owner
+/// accepted in the current session. Pure.
 class ReportEncoder
 {
 public:
-  /// Puts the state into the report, or what changed of it since the last
-  /// report that the owner took. Call once for each report, in their order.
+  /// Puts the full state into the report, or what changed since the last report
+  /// that the owner accepted. Call it once for each report, in order.
   void Fill(WorkerState aState, Instant aNow, ReportRequest& aReport);
 
-  /// The owner took this report.
+  /// The owner accepted this report.
   void OnAccepted(const ReportRequest& aReport);
 
-  /// It is not known what the owner holds: the next report tells all.
+  /// The owner's state is unknown: the next report is a full one.
   void Forget() { mAccepted.reset(); }
 
-  /// Of the worker in the newest report.
+  /// The worker's incarnation in the newest report.
   const WorkerIncarnation& Incarnation() const { return mIncarnation; }
 
-  /// Between two reports of figures. They cover half a second; reports that
-  /// come because a task ended leave them out.
+  /// Minimum time between two reports with figures, which cover half a second.
+  /// Reports that are sent because a task ended leave them out.
   static constexpr Duration kFiguresInterval = std::chrono::milliseconds(460);
 
 private:
--- a/src/core/cell/StepAdvice.cpp
+++ b/src/core/cell/StepAdvice.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Kept of a ticket's time for the order's way to the worker. Of a short-lived
-/// ticket, half of its time.
+/// Time reserved from a ticket's lifetime for the order to reach the worker; at
+/// most half of the lifetime.
 constexpr Duration kOrderTransitTime = std::chrono::milliseconds(400);
 
 } // namespace
@@ -21,9 +21,9 @@
            : &found->second.mText;
 }
 
-void StepAdvice::Take(const AdviceQuery& aQuery,
-                      const AdviceReply& aReply,
-                      Instant aReceivedAt)
+void StepAdvice::OnReply(const AdviceQuery& aQuery,
+                         const AdviceReply& aReply,
+                         Instant aReceivedAt)
 {
   const Duration usable =
     aReply.mTicketLifetime -
--- a/src/core/cell/StepAdvice.h
+++ b/src/core/cell/StepAdvice.h
@@ -8,12 +8,13 @@
 
 namespace foxtailbarrow::cell {
 
-/// What is known of the workers that may run one step. Which may does not
-/// change; tickets run out. Pure.
+/// The service's advice on which workers may run one step. Which workers may
+/// does not change, but tickets expire. Pure.
 class StepAdvice
 {
 public:
-  /// Null without a ticket that is valid for a while yet.
+  /// Returns the worker's ticket, or null without one that stays valid for the
+  /// time an order takes.
   const std::string* Ticket(const WorkerIncarnation& aWorker,
                             Instant aNow) const;
   bool Denied(const WorkerIncarnation& aWorker) const
@@ -21,15 +22,18 @@
     return mDenied.contains(aWorker);
   }
 
-  void Take(const AdviceQuery& aQuery,
-            const AdviceReply& aReply,
-            Instant aReceivedAt);
+  void OnReply(const AdviceQuery& aQuery,
+               const AdviceReply& aReply,
+               Instant aReceivedAt);
   /// The worker rejected its ticket.
-  void Reject(const WorkerIncarnation& aWorker) { mTickets.erase(aWorker); }
+  void OnTicketRejected(const WorkerIncarnation& aWorker)
+  {
+    mTickets.erase(aWorker);
+  }
 
-  /// The service did not answer: it is not asked again before `aUntil`.
+  /// The service did not answer: do not query it again before `aUntil`.
   void Defer(Instant aUntil) { mNotBefore = aUntil; }
-  bool MayAsk(Instant aNow) const { return aNow >= mNotBefore; }
+  bool MayQuery(Instant aNow) const { return aNow >= mNotBefore; }
 
 private:
   struct HeldTicket
--- a/src/core/cell/WorkerCapacity.h
+++ b/src/core/cell/WorkerCapacity.h
@@ -7,21 +7,21 @@
 #include "src/core/cell/JobGraph.h"
 #include "src/core/cell/WorkerEntry.h"
 
-/// What tasks take of a worker, and what is left.
+/// Capacity of workers: what tasks reserve and use, and what remains.
 namespace foxtailbarrow::cell {
 
 using WorkerTable = std::map<AgentId, WorkerEntry>;
 
-/// What a task of the step reserves on a worker.
+/// Resources that a task of the step reserves on a worker.
 Resources Reservation(const StepSpec& aSpec);
 
-/// Adds the task to the worker's use, or with -1 takes it away.
+/// Adds the task to the worker's use; removes it if `aSign` is -1.
 void CountUse(WorkerUse& aUse,
               const JobId& aJob,
               const StepSpec& aSpec,
               int aSign);
 
-/// Millicores that the worker is expected to leave to leftover tasks.
+/// Millicores expected to be available to best-effort tasks of the worker.
 double BestEffortMillicores(const WorkerEntry& aWorker,
                             const CellSettings& aSettings);
 
--- a/src/core/cell/WorkerChange.cpp
+++ b/src/core/cell/WorkerChange.cpp
@@ -15,7 +15,7 @@
                           std::int32_t,
                           RunNumber>;
 
-/// Refers to the task's own text, which must outlive it.
+/// Refers to the task's job id, which must outlive the key.
 RunKey KeyOf(const TaskRef& aTask, RunNumber aRun)
 {
   return {
@@ -62,7 +62,7 @@
     before.erase(known);
   }
   for (const auto& [key, task] : before) {
-    change.mGone.push_back({ task->mTask, task->mRun });
+    change.mRemoved.push_back({ task->mTask, task->mRun });
   }
   const std::int64_t newest = NewestEnd(aBefore);
   for (const EndedTask& ended : aNow.mEnded) {
@@ -78,13 +78,13 @@
   if (aChange.mInfo) {
     aState.mInfo = *aChange.mInfo;
   }
-  if (!aChange.mGone.empty()) {
-    std::set<RunKey> gone;
-    for (const RunRef& run : aChange.mGone) {
-      gone.insert(KeyOf(run.mTask, run.mRun));
+  if (!aChange.mRemoved.empty()) {
+    std::set<RunKey> removed;
+    for (const RunRef& run : aChange.mRemoved) {
+      removed.insert(KeyOf(run.mTask, run.mRun));
     }
     std::erase_if(aState.mRunning, [&](const RunningTask& aTask) {
-      return gone.contains(KeyOf(aTask.mTask, aTask.mRun));
+      return removed.contains(KeyOf(aTask.mTask, aTask.mRun));
     });
   }
   std::map<RunKey, RunningTask*> known;
--- a/src/core/cell/WorkerChange.h
+++ b/src/core/cell/WorkerChange.h
@@ -8,36 +8,37 @@
 
 namespace foxtailbarrow::cell {
 
-/// What changed at a worker since a state that both sides know. An agent tells
-/// changes, since most of its reports come because one task ended, and an owner
-/// of many workers would spend its time on reading what it knows.
+/// What changed on a worker since a state that both sides know. Agents report
+/// changes because most reports are sent for a single ended task, and an owner
+/// of many workers would spend its time reading full states that it knows.
 struct WorkerChange
 {
-  std::optional<WorkerInfo> mInfo;   ///< Nothing: as before.
-  std::vector<RunningTask> mRunning; ///< New, or with another value.
-  std::vector<RunRef> mGone;         ///< Running before, and no longer.
-  std::vector<EndedTask> mEnded;     ///< Not told before.
-  bool mFigures = false; ///< Progress, checkpoints and figures are told too.
+  std::optional<WorkerInfo> mInfo;   ///< Empty = unchanged.
+  std::vector<RunningTask> mRunning; ///< New or changed.
+  std::vector<RunRef> mRemoved;      ///< No longer running.
+  std::vector<EndedTask> mEnded;     ///< Not reported before.
+  bool mFigures = false; ///< Progress, checkpoints and figures are included.
 
   bool operator==(const WorkerChange&) const = default;
 };
 
-/// Which changes of a running task are told.
+/// Which changes of a running task are reported.
 enum class TaskDetail : std::uint8_t
 {
-  Presence, ///< Only that it runs or no longer does.
+  Presence, ///< Only whether it runs.
   Figures,  ///< Also its progress, checkpoint and figure.
 };
 
-/// The change that leads from `aBefore` to `aNow`. Ends are those with a higher
-/// number than all of `aBefore`; the incarnation must be the same.
+/// Returns the change that leads from `aBefore` to `aNow`, which must be of the
+/// same incarnation. It lists the ends with a higher number than all ends of
+/// `aBefore`.
 WorkerChange ChangeBetween(const WorkerState& aBefore,
                            const WorkerState& aNow,
                            TaskDetail aDetail);
 
-/// Carries the change out; the state keeps the ends that were told last. Both
-/// sides do it, so that what the reader holds is what the writer builds the
-/// next change on.
+/// Applies the change; the state keeps the ends that were reported last. Both
+/// sides call it, so that the writer computes the next change from the state
+/// that the reader holds.
 void Apply(const WorkerChange& aChange, WorkerState& aState);
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/WorkerChoice.cpp
+++ b/src/core/cell/WorkerChoice.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-/// Scores are about 0 to 2; a worker with one of these is a last resort.
+/// Scores are about 0 to 2, so a worker with one of these is a last resort.
 constexpr double kFailedHerePenalty = 10.0;
 constexpr double kRecentCrashPenalty = 5.0;
-/// Workers that go down and up by turns do so every few seconds.
+/// Workers that crash repeatedly do so every few seconds.
 constexpr Duration kRecentCrashWindow = std::chrono::seconds(20);
 constexpr double kFarFromDataPenalty = 0.5;
-/// Of each other serving image on a worker: the fewer images, the more leftover
-/// images get along with all of them.
+/// Per other serving image on a worker: the fewer images, the more best-effort
+/// images are compatible with all of them.
 constexpr double kOtherImagePenalty = 0.3;
-/// Of each unit by which the pressure on a serving task would pass its budget:
-/// the task would be slowed down about as much.
+/// Per unit of interference above a serving task's budget: the best-effort task
+/// would be slowed down about as much.
 constexpr double kInterferencePenalty = 1.5;
-/// Least leftover that a ratio is taken of, to keep it finite.
-constexpr double kMinBestEffort = 1000.0;
+/// Lower bound of the divisor of BestEffortRatio(), to keep it finite.
+constexpr double kMinBestEffortMillicores = 1000.0;
 constexpr double kMillicores = 1000.0;
 
 bool HasLabel(const WorkerInfo& aInfo, const std::string& aLabel)
@@ -72,7 +72,7 @@
          TasksOfStepOn(aJob.StepOf(aTask), aWorker.mId) < spec.mMaxPerWorker;
 }
 
-/// True when the step's tasks work best on one rack and run on another one.
+/// True if a task of the step runs on another rack than the worker's.
 bool SplitsStep(const WorkerTable& aWorkers,
                 const WorkerEntry& aWorker,
                 const StepEntry& aStep)
@@ -88,12 +88,12 @@
                        std::int64_t aMore,
                        const CellSettings& aSettings)
 {
-  const double left =
-    std::max(kMinBestEffort, BestEffortMillicores(aWorker, aSettings));
+  const double left = std::max(kMinBestEffortMillicores,
+                               BestEffortMillicores(aWorker, aSettings));
   return static_cast<double>(aWorker.mUse.mBestEffort + aMore) / left;
 }
 
-/// Which of the leftover tasks that a worker has are taken to press.
+/// Which best-effort tasks of a worker count as interfering.
 enum class CountedTasks : std::uint8_t
 {
   None,
@@ -101,51 +101,51 @@
   All,
 };
 
-/// Millicores of the image's leftover tasks that are taken to press.
+/// Millicores of the image's best-effort tasks that count as interfering.
 std::int64_t CountedMillicores(const WorkerUse& aUse,
                                const std::string& aImage,
                                std::int64_t aAll,
-                               CountedTasks aPressing)
+                               CountedTasks aCounted)
 {
   const auto stalled = aUse.mStalledByImage.find(aImage);
-  if (aPressing == CountedTasks::All || stalled == aUse.mStalledByImage.end()) {
+  if (aCounted == CountedTasks::All || stalled == aUse.mStalledByImage.end()) {
     return aAll;
   }
   return std::max<std::int64_t>(0, aAll - stalled->second);
 }
 
-/// Pressure on the serving tasks of a job beyond its budget, with `aMore`
-/// millicores of one more leftover image.
+/// Interference with the serving tasks of a job above its budget, with `aMore`
+/// more millicores of a best-effort image.
 double ExcessInterference(const WorkerEntry& aWorker,
                           const JobId& aServingJob,
                           const std::string& aServing,
                           const std::string& aBestEffort,
                           std::int64_t aMore,
                           const PlacementView& aView,
-                          CountedTasks aPressing = CountedTasks::All)
+                          CountedTasks aCounted = CountedTasks::All)
 {
   const InterferenceEstimator& interference = aView.mInterference;
-  double pressure = interference.PerCore(aServing, aBestEffort) *
-                    static_cast<double>(aMore) / kMillicores;
-  if (aPressing != CountedTasks::None) {
+  double total = interference.PerCore(aServing, aBestEffort) *
+                 static_cast<double>(aMore) / kMillicores;
+  if (aCounted != CountedTasks::None) {
     for (const auto& [image, all] : aWorker.mUse.mBestEffortByImage) {
-      const std::int64_t pressing =
-        CountedMillicores(aWorker.mUse, image, all, aPressing);
-      pressure += interference.PerCore(aServing, image) *
-                  static_cast<double>(pressing) / kMillicores;
+      const std::int64_t counted =
+        CountedMillicores(aWorker.mUse, image, all, aCounted);
+      total += interference.PerCore(aServing, image) *
+               static_cast<double>(counted) / kMillicores;
     }
   }
-  return pressure - interference.Budget(aServingJob,
-                                        aServing,
-                                        aView.mSettings.mPlannedLatencyShare,
-                                        aView.mNow);
+  return total - interference.Budget(aServingJob,
+                                     aServing,
+                                     aView.mSettings.mPlannedLatencyShare,
+                                     aView.mNow);
 }
 
-/// Over all serving images of the worker; at least 0.
+/// Maximum of ExcessInterference() for all serving jobs of the worker, and 0.
 double WorstExcessInterference(const WorkerEntry& aWorker,
                                const StepSpec& aSpec,
                                const PlacementView& aView,
-                               CountedTasks aPressing)
+                               CountedTasks aCounted)
 {
   double worst = 0;
   for (const auto& [job, serving] : aWorker.mUse.mServing) {
@@ -156,30 +156,30 @@
                                         aSpec.mImage,
                                         aSpec.mDemand.mMillicores,
                                         aView,
-                                        aPressing));
+                                        aCounted));
   }
   return worst;
 }
 
-/// Of a worker whose serving tasks could not bear one more.
+/// Distinguishes why a worker refuses a task that would interfere too much.
 PlacementRefusal RefineInterferenceRefusal(const PlacementView& aView,
                                            const WorkerEntry& aWorker,
                                            const StepSpec& aSpec)
 {
-  const double most = aView.mSettings.mMaxExcessInterference;
+  const double limit = aView.mSettings.mMaxExcessInterference;
   if (WorstExcessInterference(aWorker, aSpec, aView, CountedTasks::None) >
-      most) {
+      limit) {
     return PlacementRefusal::Interferes;
   }
   if (WorstExcessInterference(aWorker, aSpec, aView, CountedTasks::NotStalled) >
-      most) {
+      limit) {
     return PlacementRefusal::Crowded;
   }
-  return PlacementRefusal::HeldByStalled;
+  return PlacementRefusal::BlockedByStalled;
 }
 
-/// Lower is better. Choosing does not need to know more of a pressed worker;
-/// RefineInterferenceRefusal() tells it for the log.
+/// Lower scores are better. A refusal for interference is not refined here;
+/// RefineInterferenceRefusal() does that for the log only.
 using ScoreOrRefusal = std::variant<double, PlacementRefusal>;
 
 ScoreOrRefusal BestEffortScore(const PlacementView& aView,
@@ -189,18 +189,18 @@
 {
   const double ratio =
     BestEffortRatio(aWorker, aSpec.mDemand.mMillicores, aView.mSettings);
-  const double over =
+  const double excess =
     aWorker.mWorkerInterference.IsKnown()
       ? aWorker.mWorkerInterference.WorstExcess(aWeights,
                                                 aSpec.mDemand.mMillicores)
       : WorstExcessInterference(aWorker, aSpec, aView, CountedTasks::All);
   const bool full =
     ratio > aView.mSettings.mMaxBestEffortRatio && aWorker.mUse.mBestEffort > 0;
-  const bool pressed = over > aView.mSettings.mMaxExcessInterference;
-  if ((full || pressed) && !aView.mStarving) {
+  const bool interferes = excess > aView.mSettings.mMaxExcessInterference;
+  if ((full || interferes) && !aView.mStarving) {
     return full ? PlacementRefusal::Full : PlacementRefusal::Interferes;
   }
-  return ratio + kInterferencePenalty * over;
+  return ratio + kInterferencePenalty * excess;
 }
 
 double StandingScore(const PlacementView& aView,
@@ -208,15 +208,15 @@
                      const JobId& aJob,
                      const StepSpec& aSpec)
 {
-  // Fullest first, but away from leftover tasks that run already.
+  // Fullest first, but away from best-effort tasks that run already.
   double score =
     BestEffortRatio(aWorker, 0, aView.mSettings) - ReservedShare(aWorker);
   std::set<std::string_view> others = ServingImages(aWorker.mUse);
   others.erase(aSpec.mImage);
   score += kOtherImagePenalty * static_cast<double>(others.size());
-  const double over =
+  const double excess =
     ExcessInterference(aWorker, aJob, aSpec.mImage, {}, 0, aView);
-  return score + kInterferencePenalty * std::max(0.0, over);
+  return score + kInterferencePenalty * std::max(0.0, excess);
 }
 
 ScoreOrRefusal ScoreOfUse(const PlacementView& aView,
@@ -235,17 +235,19 @@
          BestEffortRatio(aWorker, 0, aView.mSettings) / 2;
 }
 
-/// Of a task that may crash the worker: what would be lost with it. A worker
-/// that crashes by itself would make a sound task guilty.
+/// Score for a suspect: what a crash of the worker would lose. Workers that
+/// crashed recently come last, as a crash without the task's fault would count
+/// against it.
 double LossScore(const PlacementView& aView, const WorkerEntry& aWorker)
 {
   const auto capacity = static_cast<double>(
     std::max<std::int64_t>(1, aWorker.mInfo.mCapacity.mMillicores));
-  const bool lately = aWorker.mCrashedAt != Instant{} &&
-                      aView.mNow - aWorker.mCrashedAt < kRecentCrashWindow;
+  const bool crashedRecently =
+    aWorker.mCrashedAt != Instant{} &&
+    aView.mNow - aWorker.mCrashedAt < kRecentCrashWindow;
   return ReservedShare(aWorker) +
          static_cast<double>(aWorker.mUse.mBestEffort) / capacity +
-         (lately ? kRecentCrashPenalty : 0.0);
+         (crashedRecently ? kRecentCrashPenalty : 0.0);
 }
 
 ScoreOrRefusal Score(const PlacementView& aView,
--- a/src/core/cell/WorkerChoice.h
+++ b/src/core/cell/WorkerChoice.h
@@ -12,13 +12,12 @@
 
 namespace foxtailbarrow::cell {
 
-/// True when the worker is of the kind that the task needs, whatever runs
-/// there.
+/// True if the worker is of the kind that the task needs, whatever runs on it.
 bool CouldRun(const WorkerEntry& aWorker,
               const JobEntry& aJob,
               const TaskRef& aTask);
 
-/// What a choice rests on besides the job.
+/// Inputs to the choice of a worker besides the job.
 struct PlacementView
 {
   const WorkerTable& mWorkers;
@@ -26,24 +25,25 @@
   const CellSettings& mSettings;
   const CrashTrials& mTrials;
   Instant mNow{};
-  /// Nothing of the job has run for a while: any worker with room is better
-  /// than none, however loaded.
+  /// Nothing of the job has run for a while: accept any worker with free
+  /// capacity, however loaded.
   bool mStarving = false;
-  /// Only workers where nothing has just started.
+  /// Only consider workers on which nothing has started recently.
   bool mNoRecentStartOnly = false;
 };
 
-/// Picks the worker for one more run of a task, or none when no worker may take
-/// it now. Serving tasks are packed together by image; leftover tasks go where
-/// most is left for them and where they disturb the serving tasks least; other
-/// tasks go to the least used worker; one that may crash its worker goes where
-/// the least would be lost. Workers on which the task failed before
-/// come last; one that holds another run of it is not taken.
+/// Picks the worker for one more run of a task, or none if no worker accepts it
+/// now. Serving tasks are packed by image. Best-effort tasks go where the most
+/// capacity is left for them and they interfere least with serving tasks.
+/// Suspects go where a crash would lose the least. Other tasks go to the least
+/// used worker. Workers on which the task failed before come last; one that
+/// holds another run of it is never picked.
 std::optional<AgentId> ChooseWorker(const PlacementView& aView,
                                     JobEntry& aJob,
                                     const TaskRef& aTask);
 
-/// Why workers refuse the task; those that would take it are left out.
+/// Counts workers by why they refuse the task; workers that would accept it are
+/// left out.
 RefusalCounts CountRefusals(const PlacementView& aView,
                             JobEntry& aJob,
                             const TaskRef& aTask);
--- a/src/core/cell/WorkerLiveness.cpp
+++ b/src/core/cell/WorkerLiveness.cpp
@@ -6,7 +6,7 @@
 
 void WorkerLiveness::Begin(Instant aNow)
 {
-  mAnsweredAt = aNow;
+  mPolledAt = aNow;
   mLastAnswerAt = aNow;
   mAnswers = true;
   mEnded = false;
@@ -15,7 +15,7 @@
 
 bool WorkerLiveness::OnPoll(Instant aNow)
 {
-  mAnsweredAt = aNow;
+  mPolledAt = aNow;
   mLastAnswerAt = aNow;
   mEnded = false;
   mRefusals = 0;
@@ -30,7 +30,7 @@
     return std::exchange(mEnded, true) ? LivenessChange::None
                                        : LivenessChange::Ended;
   }
-  if (!mAnswers || aNow - mAnsweredAt <= kSilentAfter) {
+  if (!mAnswers || aNow - mPolledAt <= kSilentAfter) {
     return LivenessChange::None;
   }
   mAnswers = false;
--- a/src/core/cell/WorkerLiveness.h
+++ b/src/core/cell/WorkerLiveness.h
@@ -7,45 +7,45 @@
 
 namespace foxtailbarrow::cell {
 
-/// What an agent learns from a look at its worker that failed.
+/// What a failed poll of the worker tells the agent.
 enum class LivenessChange : std::uint8_t
 {
   None,
-  Silent, ///< It may run on.
-  Ended,  ///< Its process is gone, with all that it ran.
+  Silent, ///< It may still run.
+  Ended,  ///< Its process has ended, with all that it ran.
 };
 
-/// Whether the worker's incarnation answers its agent. Pure.
+/// Tracks whether the worker's incarnation answers its agent. Pure.
 class WorkerLiveness
 {
 public:
-  /// Without an answer to a look for so long, the worker counts as silent.
+  /// A worker that answers no poll for this long counts as silent.
   static constexpr Duration kSilentAfter = std::chrono::milliseconds(1200);
-  /// A worker whose machine refuses so many connections in a row has ended: no
-  /// other process listens there, and a worker that is cut off, hangs or is
-  /// overloaded does not answer at all.
+  /// A worker whose machine refuses this many connections in a row has ended:
+  /// no other process listens there, and a worker that is partitioned, hangs or
+  /// is overloaded does not answer at all.
   static constexpr int kRefusalsToEnd = 2;
 
   /// An incarnation begins.
   void Begin(Instant aNow);
 
-  /// False when it did not answer before.
+  /// The worker answered a poll. Returns false if it did not answer before.
   bool OnPoll(Instant aNow);
-  /// It answered a call that is no look.
+  /// The worker answered a call other than a poll.
   void OnCallAnswered(Instant aNow) { mLastAnswerAt = aNow; }
   LivenessChange OnPollFailed(bool aRefused, Instant aNow);
 
   bool Answers() const { return mAnswers; }
   bool Ended() const { return mEnded; }
-  /// The newest answer to any call.
+  /// Time of the newest answer to any call.
   Instant LastAnswerAt() const { return mLastAnswerAt; }
 
 private:
-  Instant mAnsweredAt{}; ///< The newest answer to a look.
+  Instant mPolledAt{}; ///< Time of the newest answer to a poll.
   Instant mLastAnswerAt{};
   bool mAnswers = false;
   bool mEnded = false;
-  int mRefusals = 0; ///< Of connections, in a row.
+  int mRefusals = 0; ///< Connections refused in a row.
 };
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/WorkerState.h
+++ b/src/core/cell/WorkerState.h
@@ -13,11 +13,11 @@
 
 namespace foxtailbarrow::cell {
 
-/// One life of a worker: a restarted worker has another incarnation and runs
-/// nothing.
+/// Identifies one process of a worker: a restarted worker has another
+/// incarnation and runs nothing.
 using WorkerIncarnation = Id<struct WorkerIncarnationTag>;
 
-/// What a worker says of itself.
+/// What a worker reports about itself.
 struct WorkerInfo
 {
   WorkerIncarnation mIncarnation;
@@ -29,22 +29,22 @@
   bool mDraining = false;
   Duration mDrainLeft{}; ///< Least time until it leaves, while draining.
   /// It has left: nothing of this incarnation runs or ever will.
-  bool mGone = false;
+  bool mLeft = false;
 
   bool operator==(const WorkerInfo&) const = default;
 };
 
-/// A task as its worker runs it now.
+/// The state of a task that runs on the worker.
 struct RunningTask
 {
   TaskRef mTask;
   RunNumber mRun = 0;
   std::string mCheckpoint;   ///< Newest saved; empty = none.
-  std::int32_t mPercent = 0; ///< Work done; 100 = at work, for standing tasks.
+  std::int32_t mPercent = 0; ///< Work done; 100 for a standing task at work.
   /// Tail latency in ms of a serving task, else millicores in use, over the
   /// last half second.
   std::int64_t mFigure = 0;
-  /// By the agent's clock: it was first known to run. Zero = not known.
+  /// When it was first known to run, by the agent's clock; zero = unknown.
   Duration mSince{};
 
   bool operator==(const RunningTask&) const = default;
@@ -54,19 +54,19 @@
 enum class RunEnd : std::uint8_t
 {
   Done,
-  Failed,         ///< By its own fault or the worker's.
+  Failed,         ///< By a fault of the task or the worker.
   Stopped,        ///< On request.
-  LeaseExpired,   ///< Its lease ran out.
+  LeaseExpired,   ///< Its lease expired.
   GangBroken,     ///< Another member of its gang ended.
-  GangIncomplete, ///< Waited in vain for the other members of its gang.
+  GangIncomplete, ///< Timed out waiting for the rest of its gang.
 };
 
 std::string_view ToString(RunEnd aEnd);
 
-/// An end that the worker lists until it is acknowledged.
+/// An ended run, listed by the worker until it is acknowledged.
 struct EndedTask
 {
-  std::int64_t mNumber = 0; ///< Rises from 1 in each incarnation.
+  std::int64_t mNumber = 0; ///< Counts from 1 in each incarnation.
   TaskRef mTask;
   RunNumber mRun = 0;
   RunEnd mEnd = RunEnd::Done;
@@ -75,17 +75,17 @@
   bool operator==(const EndedTask&) const = default;
 };
 
-/// All that a worker knows at one moment.
+/// Complete state of a worker at one moment.
 struct WorkerState
 {
   WorkerInfo mInfo;
   std::vector<RunningTask> mRunning;
   std::vector<EndedTask> mEnded; ///< Not acknowledged yet, by number.
-  /// Of the worker's earlier incarnations, oldest first: so that an owner which
-  /// did not see them run counts them too. Told whenever all is told.
+  /// Crashes of the worker's earlier incarnations, oldest first, so that an
+  /// owner that did not see these runs counts them too. Part of full reports.
   std::vector<CrashedWorker> mCrashes{};
 
-  /// True when not even the worker is known.
+  /// True if nothing is known, not even the worker.
   bool Empty() const { return *this == WorkerState(); }
 
   bool operator==(const WorkerState&) const = default;
--- a/src/core/cell/WorkerStateTracker.cpp
+++ b/src/core/cell/WorkerStateTracker.cpp
@@ -45,7 +45,7 @@
       newest = std::max(newest, ended.mNumber);
     }
   }
-  const bool fresh = newest > mNewestEnd;
+  const bool hasNew = newest > mNewestEnd;
   mNewestEnd = newest;
   std::erase_if(mStarted, [&](const auto& aStarted) {
     return aStarted.second <= aSentAt ||
@@ -64,7 +64,7 @@
              return RunKey(aTask.mTask, aTask.mRun) == key;
            });
   });
-  return fresh;
+  return hasNew;
 }
 
 void WorkerStateTracker::Acknowledge(std::int64_t aNumber)
@@ -92,9 +92,9 @@
     crash.mRuns.push_back({ task, run, Duration::zero(), false });
   }
   for (const auto& [key, since] : mSince) {
-    const Duration lived = std::max(Duration::zero(), aAnsweredAt - since);
-    if (lived < kProvenUptime) {
-      crash.mRuns.push_back({ key.first, key.second, lived, true });
+    const Duration uptime = std::max(Duration::zero(), aAnsweredAt - since);
+    if (uptime < kProvenUptime) {
+      crash.mRuns.push_back({ key.first, key.second, uptime, true });
     }
   }
   return crash;
@@ -102,17 +102,17 @@
 
 std::vector<TaskRef> WorkerStateTracker::MayBeRunning() const
 {
-  std::vector<TaskRef> there;
+  std::vector<TaskRef> tasks;
   for (const RunningTask& task : mPolled) {
-    there.push_back(task.mTask);
+    tasks.push_back(task.mTask);
   }
   for (const auto& [key, at] : mStarted) {
-    there.push_back(key.first);
+    tasks.push_back(key.first);
   }
   for (const auto& [task, run] : mSent) {
-    there.push_back(task);
+    tasks.push_back(task);
   }
-  return there;
+  return tasks;
 }
 
 std::vector<RunningTask> WorkerStateTracker::Running() const
--- a/src/core/cell/WorkerUse.h
+++ b/src/core/cell/WorkerUse.h
@@ -23,13 +23,14 @@
 {
   Resources mReserved;          ///< Counted against the capacity.
   std::int64_t mStanding = 0;   ///< Millicores of standing tasks.
-  std::int64_t mBestEffort = 0; ///< Millicores that leftover tasks want.
+  std::int64_t mBestEffort = 0; ///< Millicores that best-effort tasks demand.
   std::map<JobId, ServingUse> mServing; ///< By standing job.
-  /// Millicores that leftover tasks want, by image.
+  /// Millicores that best-effort tasks demand, by image.
   std::map<std::string, std::int64_t> mBestEffortByImage;
-  /// The part of it whose tasks were stalled at the last look.
+  /// The part of that whose tasks were stalled at the last poll.
   std::map<std::string, std::int64_t> mStalledByImage;
-  std::int64_t mBestEffortUsed = 0; ///< Millicores, by the last look's figures.
+  /// Millicores that best-effort tasks used, as measured at the last poll.
+  std::int64_t mBestEffortUsed = 0;
 };
 
 /// Images of the serving tasks.
--- a/src/core/message/detail/CellWorkerFields.h
+++ b/src/core/message/detail/CellWorkerFields.h
@@ -17,7 +17,7 @@
   aVisitor.Optional("capacity", aMessage.mCapacity);
   aVisitor.Optional("draining", aMessage.mDraining);
   aVisitor.Optional("drainLeftUs", aMessage.mDrainLeft);
-  aVisitor.Optional("gone", aMessage.mGone);
+  aVisitor.Optional("gone", aMessage.mLeft);
 }
 
 template<typename Visitor, Is<cell::RunningTask> Message>
@@ -77,7 +77,7 @@
 {
   aVisitor.Optional("info", aMessage.mInfo);
   aVisitor.Optional("running", aMessage.mRunning);
-  aVisitor.Optional("gone", aMessage.mGone);
+  aVisitor.Optional("gone", aMessage.mRemoved);
   aVisitor.Optional("ended", aMessage.mEnded);
   aVisitor.Optional("figures", aMessage.mFigures);
 }
--- a/tests/cell/WorkerChangeTest.cpp
+++ b/tests/cell/WorkerChangeTest.cpp
@@ -148,7 +148,7 @@
 {
   const RunNumber run = StartOne();
   WorkerChange change;
-  change.mGone.push_back({ kFirst, run });
+  change.mRemoved.push_back({ kFirst, run });
   ReportChange("a", change);
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
@@ -157,7 +157,7 @@
 {
   const RunNumber run = StartOne();
   WorkerChange change;
-  change.mGone.push_back({ kFirst, run });
+  change.mRemoved.push_back({ kFirst, run });
   change.mEnded.push_back(Ended(1, kFirst, run, RunEnd::Done));
   ReportChange("a", change);
   SaveProgress();
@@ -185,7 +185,7 @@
   const std::int64_t newest =
     mScheduler.Workers().at(AgentId("a")).mLastSequence;
   WorkerChange change;
-  change.mGone.push_back({ kFirst, run });
+  change.mRemoved.push_back({ kFirst, run });
   EXPECT_TRUE(ReportOn("a", newest + 1, change));
   EXPECT_TRUE(mScheduler.NeedsFullState(AgentId("a")));
   EXPECT_TRUE(Orders("a").mStarts.empty());
--- a/tests/cell/WorkerLeaveTest.cpp
+++ b/tests/cell/WorkerLeaveTest.cpp
@@ -15,7 +15,7 @@
   {
     WorkerState state = State("a-life", {}, std::move(aEnded));
     state.mInfo.mDraining = true;
-    state.mInfo.mGone = true;
+    state.mInfo.mLeft = true;
     return state;
   }
 
