--- a/tests/cell/CapacityGateTest.cpp
+++ b/tests/cell/CapacityGateTest.cpp
@@ -13,27 +13,28 @@
   return { JobId("job"), 0, 0, aIndex };
 }
 
-/// Two tasks of 1000 millicores and 100 MiB are there, one of them being
-/// stopped; the start asks for as much.
+/// Two tasks of 1000 millicores and 100 MiB are on the worker, one of them
+/// being stopped; the start demands as much as each.
 struct GateCase
 {
   const char* mName;
   Resources mCapacity;
-  std::vector<TaskRef> mThere;
+  std::vector<TaskRef> mPresent;
   bool mAdmits;
 };
 
 class CapacityGateTest : public testing::TestWithParam<GateCase>
 {};
 
-TEST_P(CapacityGateTest, AdmitsWhatFitsTheNewestCapacity)
+TEST_P(CapacityGateTest, AdmitsStartsThatFitTheNewestCapacity)
 {
   const Resources each{ 1000, 100, 0 };
   CapacityGate gate;
   gate.SetReservation(Task(0), each);
   gate.SetReservation(Task(1), each);
-  EXPECT_EQ(gate.Admits(GetParam().mCapacity, GetParam().mThere, Task(2), each),
-            GetParam().mAdmits);
+  EXPECT_EQ(
+    gate.Admits(GetParam().mCapacity, GetParam().mPresent, Task(2), each),
+    GetParam().mAdmits);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -53,22 +54,22 @@
     GateCase{ "BelowWhatRuns", { 1000, 100, 0 }, { Task(0), Task(1) }, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-/// Starts of one message are admitted before any of them is answered.
-TEST(CapacityGateTest, WhatWasAdmittedCounts)
+/// Starts of one message are checked before any of them is answered.
+TEST(CapacityGateTest, AdmittedStartsCount)
 {
   const Resources each{ 1000, 100, 0 };
   CapacityGate gate;
-  std::vector<TaskRef> there;
+  std::vector<TaskRef> present;
   int admitted = 0;
   for (int index = 0; index < 5; ++index) {
-    if (gate.Admits({ 3500, 1000, 0 }, there, Task(index), each)) {
-      there.push_back(Task(index));
+    if (gate.Admits({ 3500, 1000, 0 }, present, Task(index), each)) {
+      present.push_back(Task(index));
       ++admitted;
     }
   }
   EXPECT_EQ(admitted, 3);
-  there.erase(there.begin());
-  EXPECT_TRUE(gate.Admits({ 3500, 1000, 0 }, there, Task(9), each));
+  present.erase(present.begin());
+  EXPECT_TRUE(gate.Admits({ 3500, 1000, 0 }, present, Task(9), each));
 }
 
 } // namespace
--- a/tests/cell/CrashCaseTest.cpp
+++ b/tests/cell/CrashCaseTest.cpp
@@ -18,13 +18,13 @@
 
 class CrashCaseTest;
 
-/// What happens to the first task of a job on worker a before it crashes.
+/// What happens to the first task of a job on worker "a" before it crashes.
 struct CrashCase
 {
   const char* mName;
   StepSpec mStep;
   void (CrashCaseTest::*mBefore)();
-  CrashHistory::Runs mCounts; ///< Of run 1, 2, ... as numbered from 1.
+  CrashHistory::Runs mCounts; ///< With runs numbered from 1.
 };
 
 class CrashCaseTest
@@ -34,22 +34,22 @@
 public:
   void NotSent() {}
 
-  void NotAnswered() { Take("a"); }
+  void NotAnswered() { TakeOrdersOf("a"); }
 
   void Refuse() { Answer(StartOutcome::NotStarted); }
 
-  void RefuseForRoom() { Answer(StartOutcome::OverCapacity); }
+  void RefuseForCapacity() { Answer(StartOutcome::OverCapacity); }
 
   void Start() { Answer(StartOutcome::Started); }
 
-  /// Carried out late: it is seen before it is answered.
-  void SeeRunning()
+  /// The start is carried out late: reported running before it is answered.
+  void ReportBeforeAnswer()
   {
-    const OrderRequest orders = Take("a");
+    const OrderRequest orders = TakeOrdersOf("a");
     Report("a", Runs(orders));
   }
 
-  void Live()
+  void RunPastProvenUptime()
   {
     const OrderRequest orders = Answer(StartOutcome::Started);
     for (int report = 0; report < 4; ++report) {
@@ -64,13 +64,13 @@
     Report("a", State("a-life", {}, { Ended(1, kFirst, run, RunEnd::Failed) }));
   }
 
-  /// The other member was refused, so that this one is being stopped.
+  /// The other member of the gang was refused, so this one is being stopped.
   void StopGang()
   {
     AttachAndGrant("b");
     mScheduler.Schedule(Clock());
-    Started("a", Take("a"));
-    const OrderRequest other = Take("b");
+    Started("a", TakeOrdersOf("a"));
+    const OrderRequest other = TakeOrdersOf("b");
     ASSERT_EQ(other.mStarts.size(), 1U);
     mScheduler.OnStartResults(AgentId("b"),
                               other.mSession,
@@ -78,7 +78,7 @@
                                   other.mStarts[0].mRun,
                                   StartOutcome::Unhealthy } },
                               Clock());
-    EXPECT_EQ(Take("a").mStops.size(), 1U);
+    EXPECT_EQ(TakeOrdersOf("a").mStops.size(), 1U);
   }
 
   void Drain()
@@ -88,21 +88,21 @@
     Report("a", state);
   }
 
-  void ComeBackAsAnotherKind()
+  void ComeBackAsOtherService()
   {
     Answer(StartOutcome::Started);
     mService = "other";
   }
 
 protected:
-  OrderRequest Take(const std::string& aAgent)
+  OrderRequest TakeOrdersOf(const std::string& aAgent)
   {
     return mScheduler.TakeOrders(AgentId(aAgent));
   }
 
   OrderRequest Answer(StartOutcome aOutcome)
   {
-    OrderRequest orders = Take("a");
+    OrderRequest orders = TakeOrdersOf("a");
     EXPECT_EQ(orders.mStarts.size(), 1U);
     mScheduler.OnStartResults(
       AgentId("a"),
@@ -118,7 +118,7 @@
     return State("a-life", { Running(start.mTask, start.mRun) });
   }
 
-  /// Runs are numbered from the owner's generation on.
+  /// Runs are numbered from the owner's generation; converts to numbers from 1.
   static std::vector<RunNumber> FromOne(const std::vector<RunNumber>& aRuns)
   {
     std::vector<RunNumber> numbers;
@@ -131,7 +131,7 @@
   std::string mService = "service";
 };
 
-TEST_P(CrashCaseTest, CountsWhatMayHaveBeenTheCause)
+TEST_P(CrashCaseTest, CountsPossibleCauses)
 {
   const CrashCase& crash = GetParam();
   AttachAndGrant("a");
@@ -164,18 +164,21 @@
                &CrashCaseTest::NotAnswered,
                { .mUnconfirmed = { 1 } } },
     CrashCase{ "Refused", Spec(), &CrashCaseTest::Refuse, {} },
-    CrashCase{ "RefusedForRoom", Spec(), &CrashCaseTest::RefuseForRoom, {} },
+    CrashCase{ "RefusedForRoom",
+               Spec(),
+               &CrashCaseTest::RefuseForCapacity,
+               {} },
     CrashCase{ "Started", Spec(), &CrashCaseTest::Start, { .mLikely = { 1 } } },
     CrashCase{ "CarriedOutLate",
                Spec(),
-               &CrashCaseTest::SeeRunning,
+               &CrashCaseTest::ReportBeforeAnswer,
                { .mLikely = { 1 } } },
-    CrashCase{ "Lived", Spec(), &CrashCaseTest::Live, {} },
+    CrashCase{ "Lived", Spec(), &CrashCaseTest::RunPastProvenUptime, {} },
     CrashCase{ "Ended", Spec(), &CrashCaseTest::End, {} },
     CrashCase{ "Drained", Spec(), &CrashCaseTest::Drain, {} },
     CrashCase{ "AnotherKindAtTheAddress",
                Spec(),
-               &CrashCaseTest::ComeBackAsAnotherKind,
+               &CrashCaseTest::ComeBackAsOtherService,
                { .mLikely = { 1 } } },
     CrashCase{ "Lasting",
                Spec([](StepSpec& aStep) { aStep.mStanding = true; }),
--- a/tests/cell/CrashEvidenceTest.cpp
+++ b/tests/cell/CrashEvidenceTest.cpp
@@ -20,16 +20,16 @@
 struct BlameCase
 {
   const char* mName;
-  std::vector<RunAtCrash> mWitnesses;
+  std::vector<RunAtCrash> mRuns;
   std::vector<CrashBlame> mBlames;
 };
 
 class CrashBlameTest : public testing::TestWithParam<BlameCase>
 {};
 
-TEST_P(CrashBlameTest, FallsOnTheLikeliest)
+TEST_P(CrashBlameTest, FallsOnTheLikeliestRuns)
 {
-  EXPECT_EQ(AssignBlame(GetParam().mWitnesses), GetParam().mBlames);
+  EXPECT_EQ(AssignBlame(GetParam().mRuns), GetParam().mBlames);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -69,7 +69,7 @@
                { None, None } }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(CrashHistoryTest, ACrashCountsOnceHoweverOftenItIsTold)
+TEST(CrashHistoryTest, ACrashCountsOnceHoweverOftenItIsReported)
 {
   CrashHistory history;
   EXPECT_TRUE(history.RecordCrash(5, Likely));
@@ -89,7 +89,7 @@
 class CrashHistoryCaseTest : public testing::TestWithParam<HistoryCase>
 {};
 
-TEST_P(CrashHistoryCaseTest, JudgesTheTask)
+TEST_P(CrashHistoryCaseTest, ClassifiesTheTask)
 {
   CrashHistory history;
   RunNumber run = 0;
@@ -147,18 +147,18 @@
                  false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(CrashHistoryTest, ARunThatLivesDisprovesEarlierCrashes)
+TEST(CrashHistoryTest, ALaterRunClearsEarlierCrashes)
 {
   CrashHistory history;
   history.RecordCrash(5, Likely);
   EXPECT_TRUE(history.Clear(6));
   EXPECT_FALSE(history.Suspect());
-  EXPECT_FALSE(history.RecordCrash(5, Likely)); // Told again.
+  EXPECT_FALSE(history.RecordCrash(5, Likely)); // Reported again.
   EXPECT_TRUE(history.RecordCrash(7, Likely));
   EXPECT_FALSE(CrashHistory().Clear(6));
 }
 
-TEST(CrashHistoryTest, ALossThatIsNotExplainedHoldsTheLastStart)
+TEST(CrashHistoryTest, AnUnexplainedLossBlocksTheLastStart)
 {
   CrashHistory history;
   history.RecordUnexplainedLoss(1, kNow);
@@ -188,13 +188,13 @@
   const char* mName;
   Suspicion mSuspicion;
   std::size_t mWorkers;
-  int mMost;
+  int mLimit;
 };
 
 class CrashTrialsTest : public testing::TestWithParam<TrialCase>
 {};
 
-TEST_P(CrashTrialsTest, RiskAShareOfTheWorkersAtATime)
+TEST_P(CrashTrialsTest, AreLimitedToAShareOfTheWorkers)
 {
   const TrialCase& limit = GetParam();
   CrashTrials trials;
@@ -205,8 +205,8 @@
     trials.Begin(agent, Suspect(begun, limit.mSuspicion));
     ++begun;
   }
-  EXPECT_EQ(begun, limit.mMost);
-  trials.End(AgentId("0"), FirstOf(1)); // Another run: nothing happens.
+  EXPECT_EQ(begun, limit.mLimit);
+  trials.End(AgentId("0"), FirstOf(1)); // Another run: no effect.
   EXPECT_FALSE(
     trials.MayBegin(Suspect(begun, limit.mSuspicion), limit.mWorkers, kNow));
   trials.End(AgentId("0"), FirstOf(0));
@@ -234,14 +234,14 @@
   trials.Begin(AgentId("a"), { { kFirst, 7 }, queue, Suspicion::Weak });
   EXPECT_FALSE(trials.MayBegin(
     { { kSecond, 8 }, queue, Suspicion::Weak }, kWorkers, kNow));
-  // One run of a gang.
+  // Members of a gang share a run number.
   EXPECT_TRUE(trials.MayBegin(
     { { kSecond, 7 }, queue, Suspicion::Weak }, kWorkers, kNow));
 }
 
-/// A queue whose tasks crash workers again and again has suspects for all
-/// places, and each that came free went to the next of them.
-TEST(CrashTrials, AQueueLeavesHalfToOthersThatWait)
+/// A queue whose tasks keep crashing workers has suspects for every trial, and
+/// without this rule each trial that ends would go to its next suspect.
+TEST(CrashTrials, AQueueLeavesHalfToWaitingQueues)
 {
   constexpr std::size_t kWorkers = 32;
   constexpr Suspicion kKind = Suspicion::Strong;
@@ -257,28 +257,28 @@
   trials.End(AgentId("0"), FirstOf(0));
   EXPECT_FALSE(trials.MayBegin(next, kWorkers, kNow));
   EXPECT_TRUE(trials.MayBegin(other, kWorkers, kNow));
-  // What does not ask any more holds nothing back.
+  // A queue that stopped asking does not hold back others.
   EXPECT_TRUE(trials.MayBegin(next, kWorkers, kNow + CrashTrials::kTurnTime));
 }
 
-TEST(CrashTrials, SuspectsAreNeverTwoOnAWorker)
+TEST(CrashTrials, AWorkerNeverTriesTwoSuspects)
 {
   CrashTrials trials;
   trials.Begin(AgentId("weak"), Suspect(0, Suspicion::Weak));
   trials.Begin(AgentId("strong"), Suspect(1, Suspicion::Strong));
-  const auto takes = [&trials](const char* aAgent, Suspicion aSuspicion) {
+  const auto allows = [&trials](const char* aAgent, Suspicion aSuspicion) {
     return trials.AllowsStart(
       AgentId(aAgent), { JobId("any"), 0, 0, 0 }, aSuspicion, {});
   };
-  EXPECT_TRUE(takes("weak", Suspicion::None));
-  EXPECT_FALSE(takes("weak", Suspicion::Weak));
+  EXPECT_TRUE(allows("weak", Suspicion::None));
+  EXPECT_FALSE(allows("weak", Suspicion::Weak));
   trials.Begin(AgentId("unclear"), Suspect(2, Suspicion::Unclear));
-  EXPECT_FALSE(takes("unclear", Suspicion::None));
-  EXPECT_FALSE(takes("strong", Suspicion::None));
-  EXPECT_TRUE(takes("other", Suspicion::Strong));
+  EXPECT_FALSE(allows("unclear", Suspicion::None));
+  EXPECT_FALSE(allows("strong", Suspicion::None));
+  EXPECT_TRUE(allows("other", Suspicion::Strong));
 }
 
-TEST(CrashTrials, AReservedWorkerTakesNothingElseForAWhile)
+TEST(CrashTrials, AReservedWorkerStartsNothingElse)
 {
   const TaskRef suspect{ JobId("job"), 0, 0, 0 };
   const TaskRef other{ JobId("other"), 0, 0, 0 };
@@ -299,7 +299,7 @@
   EXPECT_TRUE(trials.AllowsStart(AgentId("b"), other, Suspicion::None, end));
 }
 
-TEST(CrashTrials, NoMoreIsReservedThanMayBeOnTrial)
+TEST(CrashTrials, ReservationsAreLimitedToStrongTrials)
 {
   CrashTrials trials;
   std::size_t reserved = 0;
@@ -308,48 +308,48 @@
     reserved +=
       trials.Reserve(AgentId(name), { JobId(name), 0, 0, 0 }, 16, {}) ? 1 : 0;
   }
-  EXPECT_EQ(reserved, 2U); // An eighth.
+  EXPECT_EQ(reserved, 2U); // An eighth of the workers.
 }
 
-TEST(WorkerStateTrackerTest, ACrashNamesWhatMayHaveCausedIt)
+TEST(WorkerStateTrackerTest, ACrashListsRunsThatMayHaveCausedIt)
 {
-  WorkerStateTracker book;
-  book.OnStarted(kFirst, 1, kNow);
-  book.OnSent(kSecond, 2);
+  WorkerStateTracker tracker;
+  tracker.OnStarted(kFirst, 1, kNow);
+  tracker.OnSent(kSecond, 2);
   const TaskRef third{ JobId("job"), 0, 0, 2 };
-  book.OnSent(third, 3);
-  book.OnNotStarted(third, 3);
-  const CrashedWorker crash = book.CrashAfter(kNow + milliseconds(40));
+  tracker.OnSent(third, 3);
+  tracker.OnNotStarted(third, 3);
+  const CrashedWorker crash = tracker.CrashAfter(kNow + milliseconds(40));
   const std::vector<CrashedRun> expected = {
     { kSecond, 2, Duration::zero(), false },
     { kFirst, 1, milliseconds(40), true }
   };
   EXPECT_EQ(crash.mRuns, expected);
-  EXPECT_EQ(book.CrashAfter(kNow + kProvenUptime).mRuns.size(), 1U);
+  EXPECT_EQ(tracker.CrashAfter(kNow + kProvenUptime).mRuns.size(), 1U);
 }
 
-TEST(WorkerStateTrackerTest, ARunHasNotLivedWhileTheLookThatShowsItWaited)
+TEST(WorkerStateTrackerTest, UptimeExcludesTheTimeThatAPollTook)
 {
-  WorkerStateTracker book;
-  book.OnSent(kFirst, 1);
-  PollReply look;
-  look.mRunning.emplace_back().mTask = kFirst;
-  look.mRunning.back().mRun = 1;
+  WorkerStateTracker tracker;
+  tracker.OnSent(kFirst, 1);
+  PollReply poll;
+  poll.mRunning.emplace_back().mTask = kFirst;
+  poll.mRunning.back().mRun = 1;
   const Instant answered = kNow + milliseconds(400);
-  book.OnPoll(look, kNow, answered);
-  book.OnAllSettled();
+  tracker.OnPoll(poll, kNow, answered);
+  tracker.OnAllSettled();
   const std::vector<CrashedRun> expected = { { kFirst, 1, {}, true } };
-  EXPECT_EQ(book.CrashAfter(answered).mRuns, expected);
+  EXPECT_EQ(tracker.CrashAfter(answered).mRuns, expected);
 }
 
-TEST(WorkerStateTrackerTest, WhatHasEndedDidNotCrashTheWorker)
+TEST(WorkerStateTrackerTest, EndedRunsDidNotCrashTheWorker)
 {
-  WorkerStateTracker book;
-  book.OnStarted(kFirst, 1, kNow);
-  PollReply look;
-  look.mEnded.push_back({ 1, kFirst, 1, RunEnd::Done, {} });
-  book.OnPoll(look, kNow + milliseconds(4), kNow + milliseconds(5));
-  EXPECT_TRUE(book.CrashAfter(kNow + milliseconds(10)).mRuns.empty());
+  WorkerStateTracker tracker;
+  tracker.OnStarted(kFirst, 1, kNow);
+  PollReply poll;
+  poll.mEnded.push_back({ 1, kFirst, 1, RunEnd::Done, {} });
+  tracker.OnPoll(poll, kNow + milliseconds(4), kNow + milliseconds(5));
+  EXPECT_TRUE(tracker.CrashAfter(kNow + milliseconds(10)).mRuns.empty());
 }
 
 } // namespace
--- a/tests/cell/CrashFixture.h
+++ b/tests/cell/CrashFixture.h
@@ -11,13 +11,13 @@
 
 inline const TaskRef kFirst{ JobId("job"), 0, 0, 0 };
 
-/// A scheduler whose workers crash.
+/// A scheduler with helpers that crash its workers.
 class CrashFixture : public CellFixture
 {
 protected:
   static constexpr int kReportMs = 460;
 
-  /// Starts what the agent is ordered to, and shows it running for so long.
+  /// Starts the agent's ordered tasks and reports them running for `aMs`.
   OrderRequest RunFor(const std::string& aAgent, int aMs)
   {
     const OrderRequest orders = Orders(aAgent);
@@ -42,7 +42,7 @@
     SaveProgress();
   }
 
-  /// All processes die at once, and the next owner places what is open.
+  /// All processes are lost at once, and the next owner places the open tasks.
   void TakeOverAfterPowerLoss(const WorkerState& aFound = State("a-next"))
   {
     SaveProgress();
@@ -69,8 +69,7 @@
 
   Generation mOwner = kGeneration;
   std::map<std::string, std::vector<RunningTask>> mRunning;
-  std::string mWorkerIncarnation =
-    "a-life"; ///< Incarnation of the worker that runs.
+  std::string mWorkerIncarnation = "a-life"; ///< Of the running worker.
 };
 
 } // namespace foxtailbarrow::cell::test
--- a/tests/cell/CrashRecordTest.cpp
+++ b/tests/cell/CrashRecordTest.cpp
@@ -9,8 +9,8 @@
 struct CrashRecordCase
 {
   const char* mName;
-  std::optional<int> mRecordedMs; ///< After the first crash; empty = never.
-  int mStartedMs;                 ///< The next start, in rounds 0.1 s apart.
+  std::optional<int> mSavedMs; ///< When the crash is saved; empty = never.
+  int mStartedMs;              ///< When the task starts again.
 };
 
 class CrashRecordTest
@@ -18,9 +18,9 @@
   , public testing::WithParamInterface<CrashRecordCase>
 {};
 
-/// A start in front of the record of the crash before it: with all processes
-/// killed then, nobody knew of either.
-TEST_P(CrashRecordTest, ATaskWaitsForTheRecordOfItsFirstCrash)
+/// A start sent before the previous crash is saved: if all processes are lost
+/// then, no later owner knows of either.
+TEST_P(CrashRecordTest, TaskWaitsUntilItsFirstCrashIsSaved)
 {
   constexpr int kRoundMs = 100;
   constexpr int kLastMs = 5000;
@@ -41,7 +41,7 @@
   for (int ms = 0; ms <= kLastMs && startedMs < 0; ms += kRoundMs) {
     Grant("a");
     Grant("b");
-    if (ms == GetParam().mRecordedMs) {
+    if (ms == GetParam().mSavedMs) {
       SaveProgress();
     }
     mScheduler.Schedule(Clock());
--- a/tests/cell/CrashedWorkerTest.cpp
+++ b/tests/cell/CrashedWorkerTest.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// What a crash of a worker does to the tasks that were there.
+/// Effects of a worker crash on the tasks that ran there.
 class CrashedWorkerTest : public CrashFixture
 {};
 
-TEST_F(CrashedWorkerTest, WhatHadLivedIsNotSuspected)
+TEST_F(CrashedWorkerTest, ProvenRunsAreNotSuspected)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
@@ -18,7 +18,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-TEST_F(CrashedWorkerTest, OnlyWhatHadJustStartedIsSuspected)
+TEST_F(CrashedWorkerTest, OnlyFreshRunsAreSuspected)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("old", { Step(1) }));
@@ -30,7 +30,7 @@
   EXPECT_TRUE(Crashes({ JobId("old"), 0, 0, 0 }).Empty());
 }
 
-TEST_F(CrashedWorkerTest, AWorkerThatSaidThatItLeavesHasNotCrashed)
+TEST_F(CrashedWorkerTest, ADrainingWorkerHasNotCrashed)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
@@ -42,7 +42,7 @@
   EXPECT_TRUE(Crashes(kFirst).Empty());
 }
 
-TEST_F(CrashedWorkerTest, AStartThatWasNotSentIsNotSuspected)
+TEST_F(CrashedWorkerTest, UnsentStartsAreNotSuspected)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
@@ -51,37 +51,38 @@
   EXPECT_TRUE(Crashes(kFirst).Empty());
 }
 
-/// Two crashes by chance met a sound standing task about a second after its
-/// starts.
-TEST_F(CrashedWorkerTest, CrashesThatComeLaterDoNotFailTheJob)
+/// Unrelated crashes can hit a sound standing task about a second after each of
+/// its starts.
+TEST_F(CrashedWorkerTest, CrashesLaterInARunDoNotFailTheJob)
 {
   StepSpec standing = Step(1);
   standing.mStanding = true;
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { standing }));
-  for (int life = 0; life < 4; ++life) {
+  for (int crash = 0; crash < 4; ++crash) {
     RunFor("a", 1000);
-    Crash("a", "a-life" + std::string(static_cast<std::size_t>(life) + 1, '+'));
+    Crash("a",
+          "a-life" + std::string(static_cast<std::size_t>(crash) + 1, '+'));
     mWorkerIncarnation =
-      "a-life" + std::string(static_cast<std::size_t>(life) + 1, '+');
+      "a-life" + std::string(static_cast<std::size_t>(crash) + 1, '+');
   }
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Running);
 }
 
-/// A worker that went dark before takes no start, and answers none.
-TEST_F(CrashedWorkerTest, StartsWithoutAnAnswerDoNotFailTheJob)
+/// The starts are sent to a worker that is down already.
+TEST_F(CrashedWorkerTest, UnansweredStartsDoNotFailTheJob)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
-  for (int life = 0; life < 4; ++life) {
+  for (int crash = 0; crash < 4; ++crash) {
     ASSERT_EQ(Orders("a").mStarts.size(), 1U);
-    Crash("a", "life" + std::to_string(life));
+    Crash("a", "life" + std::to_string(crash));
   }
   EXPECT_TRUE(Crashes(kFirst).Suspect());
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Queued);
 }
 
-TEST_F(CrashedWorkerTest, ATaskThatEndsDoneIsCleared)
+TEST_F(CrashedWorkerTest, ADoneTaskIsCleared)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(2) }));
@@ -100,14 +101,14 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-TEST_F(CrashedWorkerTest, AStandingTaskThatLivesIsCleared)
+TEST_F(CrashedWorkerTest, AProvenStandingTaskIsCleared)
 {
   StepSpec standing = Step(1);
   standing.mStanding = true;
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { standing }));
   RunFor("a", 0);
-  Crash("a", "a-life"); // Its incarnation is the same: no crash.
+  Crash("a", "a-life"); // Same incarnation: no crash.
   EXPECT_TRUE(Crashes(kFirst).Empty());
   RunFor("a", 0);
   Crash("a", "second");
@@ -123,7 +124,7 @@
   EXPECT_TRUE(WasLogged("task-cleared"));
 }
 
-TEST_F(CrashedWorkerTest, ANextOwnerCountsWhatTheAgentRemembers)
+TEST_F(CrashedWorkerTest, ANextOwnerCountsCrashesThatTheAgentRemembers)
 {
   StoredProgress progress;
   progress.mSteps.push_back(
@@ -139,10 +140,9 @@
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Failed);
 }
 
-/// In the soak all processes were killed twice just after a task had taken its
-/// worker down: nobody remembered either crash, and it was started a sixth time
-/// ("workers-crashed alone=2 likely=0 beside=2 unconfirmed=0").
-TEST_F(CrashedWorkerTest, AStartThatAllForgotSpeaksAgainstASuspect)
+/// If all processes are lost just after a task crashed its worker, no process
+/// remembers the crash. Two such crashes once led to a sixth start of a task.
+TEST_F(CrashedWorkerTest, AForgottenStartCountsAgainstASuspect)
 {
   StoredProgress progress;
   progress.mSteps.push_back(
@@ -152,12 +152,12 @@
   RunFor("a", 0);
   TakeOverAfterPowerLoss();
   EXPECT_EQ(Crashes(kFirst).Count(), 2U);
-  // It counts once, by whoever takes over next.
+  // The next owner counts it once.
   TakeOverAfterPowerLoss();
   EXPECT_LE(Crashes(kFirst).Count(), 3U);
 }
 
-/// The run went on, or its end was listed: nothing is forgotten.
+/// The agent still lists the run's end, so the start is not forgotten.
 TEST_F(CrashedWorkerTest, AStartThatAnAgentStillKnowsIsNotForgotten)
 {
   StoredProgress progress;
@@ -172,7 +172,7 @@
   EXPECT_EQ(Crashes(kFirst).Count(), 1U);
 }
 
-TEST_F(CrashedWorkerTest, ASilentWorkerThatIsThereAgainHasNotCrashed)
+TEST_F(CrashedWorkerTest, ASilentWorkerThatAnswersAgainHasNotCrashed)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
--- a/tests/cell/CrashingTaskTest.cpp
+++ b/tests/cell/CrashingTaskTest.cpp
@@ -1,11 +1,8 @@
-// Two tasks took their workers down within 50 ms of every start. Each run was
-// lost with its worker, which is no end of a run, and only ends were counted:
-// the owner's log shows `task-lost reason=worker-restarted` and, in the same
-// round, `task-start reason=room` for the next run, nine times for one task in
-// 17 s. The emptied worker was the least used one, so that it got the task
-// again. The agents' logs settled that the task was the cause: all seven starts
-// that a worker had answered were followed within 50 ms by `worker-silent` with
-// `Connection refused`, on six different workers.
+// A task that crashes its worker within 50 ms of every start must not be
+// restarted without limit. Such runs are lost with their worker and never end,
+// so a limit that counts only ended runs does not apply: two tasks crashed six
+// workers, and one of them was started nine times in 17 s. The restarted worker
+// is empty and so the least used one, which made it the next choice.
 
 #include <optional>
 
@@ -18,25 +15,25 @@
 const JobId kJob("job");
 const TaskRef kFirst{ kJob, 0, 0, 0 };
 const std::vector<std::string> kAgents = { "a", "b", "c", "d" };
-/// Workers that may be lost to one task, and crashes before which a task may
-/// not be given up.
-constexpr int kMostStarts = 3;
-constexpr int kLeastStarts = 2;
+/// Starts after which a crashing task must be given up, and before which it
+/// must not be.
+constexpr int kMaxStarts = 3;
+constexpr int kMinStarts = 2;
 constexpr int kManyRounds = 400;
 
-/// How the owner hears that the worker has crashed.
-enum class HeardBy : std::uint8_t
+/// How the owner learns that the worker has crashed.
+enum class CrashNews : std::uint8_t
 {
-  Attachment,   ///< The session broke; the next one is with a new incarnation.
-  Report,       ///< The session held; a report is of a new incarnation.
-  LateReport,   ///< As Report, after the worker's leases were over.
+  Attachment,   ///< The session broke; a new incarnation attaches.
+  Report,       ///< The session held; a report names a new incarnation.
+  LateReport,   ///< As Report, after the worker's leases expired.
   AnotherOwner, ///< As Attachment, and then another owner takes over.
 };
 
 struct CrashCase
 {
   const char* mName;
-  HeardBy mHeardBy;
+  CrashNews mNews;
   StepSpec (*mStep)();
 };
 
@@ -53,7 +50,7 @@
     }
   }
 
-  /// The agent that was ordered to start the first task of the job.
+  /// Returns the agent that was ordered to start the first task of the job.
   std::optional<std::string> Started()
   {
     mScheduler.Schedule(Clock());
@@ -70,26 +67,26 @@
     return std::nullopt;
   }
 
-  /// The worker is gone 10 ms after the start and back 3 s later.
+  /// The worker crashes 10 ms after the start and is back 3 s later.
   void Crash(const std::string& aAgent)
   {
     const WorkerState before =
       State(mWorkerIncarnation[aAgent], { Running(kFirst, mRun) });
     mWorkerIncarnation[aAgent] += "'";
-    switch (GetParam().mHeardBy) {
-      case HeardBy::Attachment:
+    switch (GetParam().mNews) {
+      case CrashNews::Attachment:
         PassAndGrant(seconds(3));
         Attach(aAgent, State(mWorkerIncarnation[aAgent]));
         break;
-      case HeardBy::Report:
+      case CrashNews::Report:
         PassAndGrant(seconds(3));
         Report(aAgent, State(mWorkerIncarnation[aAgent]));
         break;
-      case HeardBy::LateReport:
+      case CrashNews::LateReport:
         ReportSilent(aAgent, before);
         Report(aAgent, State(mWorkerIncarnation[aAgent]));
         break;
-      case HeardBy::AnotherOwner:
+      case CrashNews::AnotherOwner:
         PassAndGrant(seconds(3));
         Attach(aAgent, State(mWorkerIncarnation[aAgent]));
         TakeOver();
@@ -106,7 +103,7 @@
     }
   }
 
-  /// Until the owner has waited its leases out.
+  /// Reports the worker as silent until its leases have expired.
   void ReportSilent(const std::string& aAgent, const WorkerState& aState)
   {
     for (int tick = 0; tick < 10; ++tick) {
@@ -125,7 +122,8 @@
     }
   }
 
-  /// A next owner, which has what was recorded and attaches all agents.
+  /// Replaces the owner by one that has the saved state and attaches all
+  /// agents.
   void TakeOver()
   {
     SaveProgress();
@@ -146,7 +144,7 @@
   Generation mOwner = kGeneration;
 };
 
-TEST_P(CrashingTaskTest, IsGivenUpAfterThreeWorkersCrashedUnderIt)
+TEST_P(CrashingTaskTest, IsGivenUpAfterThreeCrashes)
 {
   AddSavedJob(Graph(kJob.Value(), { GetParam().mStep() }));
   int starts = 0;
@@ -158,8 +156,8 @@
       Crash(*agent);
     }
   }
-  EXPECT_LE(starts, kMostStarts);
-  EXPECT_GE(starts, kLeastStarts);
+  EXPECT_LE(starts, kMaxStarts);
+  EXPECT_GE(starts, kMinStarts);
   SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(kJob), JobPhase::Failed);
 }
@@ -187,7 +185,7 @@
   return step;
 }
 
-StepSpec LeftoverStep()
+StepSpec BestEffortStep()
 {
   StepSpec step = ShortStep();
   step.mBestEffort = true;
@@ -199,13 +197,13 @@
   Table,
   CrashingTaskTest,
   testing::Values(
-    CrashCase{ "HeardByAttachment", HeardBy::Attachment, ShortStep },
-    CrashCase{ "HeardByReport", HeardBy::Report, ShortStep },
-    CrashCase{ "HeardAfterTheLeases", HeardBy::LateReport, ShortStep },
-    CrashCase{ "OwnersChange", HeardBy::AnotherOwner, ShortStep },
-    CrashCase{ "ThatLasts", HeardBy::Report, StandingStep },
-    CrashCase{ "WithCopies", HeardBy::Report, CopiedStep },
-    CrashCase{ "LeftoverWithCheckpoints", HeardBy::Report, LeftoverStep }),
+    CrashCase{ "HeardByAttachment", CrashNews::Attachment, ShortStep },
+    CrashCase{ "HeardByReport", CrashNews::Report, ShortStep },
+    CrashCase{ "HeardAfterTheLeases", CrashNews::LateReport, ShortStep },
+    CrashCase{ "OwnersChange", CrashNews::AnotherOwner, ShortStep },
+    CrashCase{ "ThatLasts", CrashNews::Report, StandingStep },
+    CrashCase{ "WithCopies", CrashNews::Report, CopiedStep },
+    CrashCase{ "LeftoverWithCheckpoints", CrashNews::Report, BestEffortStep }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 } // namespace
--- a/tests/cell/EndedWorkerTest.cpp
+++ b/tests/cell/EndedWorkerTest.cpp
@@ -1,5 +1,5 @@
-// A worker that has crashed refuses connections until it is back. Its runs
-// counted as alive until then.
+// A crashed worker refuses connections until it is back. Its agent reports it
+// as ended, so that its runs do not count as alive until then.
 
 #include "tests/cell/CrashFixture.h"
 
@@ -33,7 +33,7 @@
   RunNumber mRun = 0;
 };
 
-TEST_F(EndedWorkerTest, WhatHadLivedStartsElsewhereAtOnce)
+TEST_F(EndedWorkerTest, ProvenRunsStartElsewhereAtOnce)
 {
   AdvanceClock(kProvenUptime);
   Grant("a");
@@ -45,16 +45,16 @@
   EXPECT_TRUE(mScheduler.TakeOrders(AgentId("a")).mStarts.empty());
 }
 
-/// On a played day of crashing tasks a second worker went down while the first
-/// one was away, and other work found no room.
-TEST_F(EndedWorkerTest, ASuspectWaitsWhileItsWorkerIsAway)
+/// Otherwise the suspect can crash a second worker while the first one is still
+/// down, which leaves no free capacity for other work.
+TEST_F(EndedWorkerTest, ASuspectWaitsWhileItsWorkerIsDown)
 {
   ReportEnded();
   EXPECT_TRUE(Orders("b").mStarts.empty());
   AdvanceClock(mSettings.mSuspectPause - milliseconds(kReportMs));
-  WorkerState told = State("a-life");
-  told.mCrashes = { { { { kFirst, mRun, {}, true } } } };
-  ReportEnded(told); // The same crash again: it waits no longer.
+  WorkerState reported = State("a-life");
+  reported.mCrashes = { { { { kFirst, mRun, {}, true } } } };
+  ReportEnded(reported); // Reports the same crash: the wait is not extended.
   EXPECT_EQ(Orders("b").mStarts.size(), 1U);
 }
 
@@ -78,7 +78,7 @@
   EXPECT_EQ(Crashes(kFirst).Count(), 0U);
 }
 
-TEST_F(EndedWorkerTest, OneThatSaidThatItLeavesHasNotCrashed)
+TEST_F(EndedWorkerTest, ADrainingWorkerHasNotCrashed)
 {
   WorkerState draining = State("a-life", mRunning["a"]);
   draining.mInfo.mDraining = true;
@@ -90,8 +90,8 @@
   EXPECT_EQ(Orders("b").mStarts.size(), 1U);
 }
 
-/// Against the agent's word it answers again: what it runs is not wanted twice.
-TEST_F(EndedWorkerTest, WhatItStillRunsIsStopped)
+/// The worker answers after all: its run is stopped, as it was started again.
+TEST_F(EndedWorkerTest, ItsRemainingRunsAreStopped)
 {
   ReportEnded();
   AdvanceClock(mSettings.mSuspectPause);
@@ -103,9 +103,9 @@
   EXPECT_EQ(orders.mStops[0].mRun, mRun);
 }
 
-/// The owner is replaced while the worker is gone: the next one does not wait
-/// for leases of what has ended.
-TEST_F(EndedWorkerTest, ANextOwnerCountsWhatItsAgentTells)
+/// The owner is replaced while the worker is down: the next owner does not wait
+/// for the leases of the ended runs.
+TEST_F(EndedWorkerTest, ANextOwnerCountsTheCrashesThatItsAgentReports)
 {
   WorkerState ended = State("a-life");
   ended.mCrashes = { { { { kFirst, mRun, {}, true } } } };
--- a/tests/cell/ShrinkingWorkerTest.cpp
+++ b/tests/cell/ShrinkingWorkerTest.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A worker whose capacity changes while it runs: tasks of 1000 millicores are
-/// running, and as many wait.
+/// A worker whose capacity changes while tasks of 1000 millicores run on it and
+/// more tasks wait.
 struct ShrinkCase
 {
   const char* mName;
@@ -30,7 +30,7 @@
     return state;
   }
 
-  /// The agent knows of a smaller capacity than the owner.
+  /// Refuses all starts: the agent knows of a smaller capacity than the owner.
   void RefuseAll(const std::string& aAgent, const OrderRequest& aOrders)
   {
     std::vector<StartResult> results;
@@ -57,7 +57,7 @@
   , public testing::WithParamInterface<ShrinkCase>
 {};
 
-TEST_P(ShrinkingWorkerTest, TakesNoStartBeyondItsNewestCapacity)
+TEST_P(ShrinkingWorkerTest, GetsNoStartBeyondItsNewestCapacity)
 {
   Attach("a", Sized(GetParam().mBefore));
   Grant("a");
@@ -69,7 +69,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), GetParam().mMore);
 }
 
-TEST_P(ShrinkingWorkerTest, WhatIsBeingStoppedStillCounts)
+TEST_P(ShrinkingWorkerTest, TasksBeingStoppedStillCount)
 {
   Attach("a", Sized(GetParam().mBefore));
   Grant("a");
@@ -92,7 +92,7 @@
                   ShrinkCase{ "FromZero", 0, 2000, 0, 2 }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-/// The agent heard of the smaller capacity first.
+/// The agent learns of the smaller capacity before the owner.
 TEST_F(ShrinkingOrderTest, AStartThatNoLongerFitsGoesElsewhereAtOnce)
 {
   Attach("a", Sized(4000));
@@ -106,9 +106,9 @@
   EXPECT_EQ(Orders("b").mStarts.size(), 2U);
 }
 
-/// What the owner believes of its capacity is older than the refusal: the same
-/// start would be refused again and again.
-TEST_F(ShrinkingOrderTest, AWorkerThatRefusedTakesNoStartUntilItsNextReport)
+/// The capacity that the owner knows is older than the refusal: without this
+/// rule the same start would be refused again and again.
+TEST_F(ShrinkingOrderTest, AWorkerThatRefusedGetsNoStartUntilItsNextReport)
 {
   Attach("a", Sized(4000));
   Grant("a");
@@ -119,8 +119,8 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-/// Without a pause: it is the room that lacked, not the worker's health.
-TEST_F(ShrinkingOrderTest, AWorkerThatGrowsAgainTakesStartsAtOnce)
+/// There is no pause, since the refusal is for capacity and not for health.
+TEST_F(ShrinkingOrderTest, AWorkerThatGrowsAgainGetsStartsAtOnce)
 {
   Attach("a", Sized(4000));
   Grant("a");
@@ -133,34 +133,34 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 2U);
 }
 
-/// Each beat tells another capacity: what runs is never stopped for it, and
-/// never more is started than fits the larger one.
+/// Each report has another capacity: running tasks are never stopped for it,
+/// and no more are started than fit the larger one.
 TEST_F(ShrinkingOrderTest, NothingIsStoppedWhereTheCapacityFlaps)
 {
   Attach("a", Sized(6000));
   Grant("a");
   AddSavedJob(Graph("job", { Step(20) }));
   std::vector<RunningTask> running;
-  for (int beat = 0; beat < 12; ++beat) {
+  for (int report = 0; report < 12; ++report) {
     const OrderRequest orders = Orders("a");
     EXPECT_TRUE(orders.mStops.empty());
     Started("a", orders);
     std::ranges::copy(RunningOf(orders), std::back_inserter(running));
     AdvanceClock(milliseconds(460));
     Grant("a");
-    Report("a", Sized(beat % 2 == 0 ? 2000 : 6000, running));
+    Report("a", Sized(report % 2 == 0 ? 2000 : 6000, running));
   }
   EXPECT_EQ(running.size(), 6U);
 }
 
-/// What leftover tasks may use is what the capacity in force leaves.
-TEST_F(ShrinkingOrderTest, LeftoverWorkFollowsTheCapacityInForce)
+/// Best-effort tasks may use what the current capacity leaves.
+TEST_F(ShrinkingOrderTest, BestEffortWorkFollowsTheCurrentCapacity)
 {
-  StepSpec leftover = Step(20);
-  leftover.mBestEffort = true;
+  StepSpec bestEffort = Step(20);
+  bestEffort.mBestEffort = true;
   Attach("a", Sized(8000));
   Grant("a");
-  AddSavedJob(Graph("job", { leftover }));
+  AddSavedJob(Graph("job", { bestEffort }));
   const std::size_t atFirst = Orders("a").mStarts.size();
   Attach("b", Sized(4000));
   Grant("b");
@@ -169,8 +169,8 @@
   EXPECT_GT(ofHalf, 0U);
 }
 
-/// Room of an order that the agent has not carried out yet counts as taken.
-TEST_F(ShrinkingOrderTest, AnOrderOnItsWayCounts)
+/// An order that the agent has not carried out yet uses capacity.
+TEST_F(ShrinkingOrderTest, AnOrderInFlightCounts)
 {
   Attach("a", Sized(4000));
   Grant("a");
--- a/tests/cell/SuspectTrialTest.cpp
+++ b/tests/cell/SuspectTrialTest.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// Where and when tasks are started that crashes speak against.
+/// Where and when suspects are started.
 class SuspectTrialTest : public CrashFixture
 {};
 
-TEST_F(SuspectTrialTest, SuspectsAreTriedApart)
+TEST_F(SuspectTrialTest, SuspectsAreTriedSeparately)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("job", { Step(1) }));
@@ -24,13 +24,13 @@
   for (const char* agent : { "b", "c", "d" }) {
     Started(agent, mScheduler.TakeOrders(AgentId(agent)));
   }
-  // All take what nothing speaks against.
+  // Tasks that are not suspects may start on any of them.
   AddSavedJob(Graph("job3", { Step(1) }));
   mScheduler.Schedule(Clock());
   EXPECT_EQ(mScheduler.AgentsWithOrders().size(), 1U);
 }
 
-TEST_F(SuspectTrialTest, NothingElseIsStartedBesideAStrongSuspect)
+TEST_F(SuspectTrialTest, NothingElseIsStartedWithAStrongSuspect)
 {
   StoredProgress progress;
   progress.mSteps.push_back(
@@ -42,11 +42,10 @@
   EXPECT_TRUE(Orders("a").mStarts.empty());
 }
 
-/// In the soak a task was started a sixth time: its first crash was forgotten
-/// with all processes, and twice it was tried on a worker that had started
-/// others 0.2 s before. The crashes spoke against those as well:
-/// "worker-crashed likely=2 beside=2".
-TEST_F(SuspectTrialTest, AStrongSuspectIsTriedBesideProvenTasksOnly)
+/// A trial on a worker that started other tasks 0.2 s before blames those as
+/// well, so that its crash counts less: one task got a sixth start that way,
+/// after its first crash was lost with all processes.
+TEST_F(SuspectTrialTest, AStrongSuspectIsTriedWithProvenTasksOnly)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("other", { Step(1) }));
@@ -56,7 +55,7 @@
     { 0, 0, "", {}, {}, { Stored(0, { .mLikely = { 1, 2 } }) } });
   AddInherited(Graph("job", { Step(1) }), progress);
   EXPECT_TRUE(Orders("a").mStarts.empty());
-  // Nothing else is started there meanwhile, or it would wait for ever.
+  // Nothing else is started there meanwhile, or it would wait forever.
   AddSavedJob(Graph("job2", { Step(1) }));
   EXPECT_TRUE(Orders("a").mStarts.empty());
   RunFor("a", 600);
@@ -67,8 +66,8 @@
   EXPECT_EQ(Crashes(kFirst).Crashes().mSole.size(), 1U);
 }
 
-/// The worker that was kept free for it went away.
-TEST_F(SuspectTrialTest, AReservationForASuspectLapses)
+/// The suspect that the worker is reserved for is canceled.
+TEST_F(SuspectTrialTest, AReservationForASuspectExpires)
 {
   AttachAndGrant("a");
   AddSavedJob(Graph("other", { Step(1) }));
@@ -94,7 +93,7 @@
   const std::string other = first == "a" ? "b" : "a";
   Report(first, State("next"));
   SaveProgress();
-  // The worker that has crashed is empty, but not tried again.
+  // The worker that crashed is empty, but is not chosen again.
   EXPECT_EQ(Orders(other).mStarts.size(), 1U);
 }
 
@@ -110,7 +109,7 @@
   EXPECT_EQ(orders.mStarts[0].mTask, kFirst);
 }
 
-/// Two tasks of one job, each of which speaks for holding the other back.
+/// Each of two tasks of one job is a reason not to start the other.
 TEST_F(SuspectTrialTest, StrongSuspectsOfOneJobAreTriedOneByOne)
 {
   StoredProgress progress;
@@ -133,8 +132,8 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-/// The members of a gang end together, by the end of any of them.
-TEST_F(SuspectTrialTest, ASuspectThatIsDoneHoldsNothingBack)
+/// The end of one member of a gang ends all members.
+TEST_F(SuspectTrialTest, ADoneSuspectDoesNotBlockTheJob)
 {
   StepSpec gang = Step(2);
   gang.mGang = true;
@@ -162,7 +161,7 @@
   EXPECT_EQ(Orders(first).mStarts.size(), 1U);
 }
 
-TEST_F(SuspectTrialTest, FromTheSecondCrashOnTheRecordComesBeforeTheStart)
+TEST_F(SuspectTrialTest, FromTheSecondCrashOnStartsWaitForTheSave)
 {
   StoredProgress progress;
   progress.mSteps.push_back(
@@ -177,7 +176,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-TEST_F(SuspectTrialTest, AGangWithSuspectsStartsOnWorkersOfTheirOwn)
+TEST_F(SuspectTrialTest, EachSuspectOfAGangNeedsItsOwnWorker)
 {
   StepSpec gang = Step(2);
   gang.mGang = true;
--- a/tests/cell/SuspendedMachineTest.cpp
+++ b/tests/cell/SuspendedMachineTest.cpp
@@ -1,6 +1,6 @@
-// A machine that was suspended for some seconds acts on what it believed
-// before: by the steady clock, which stands still meanwhile, its leases were
-// all in force. The other machines had waited them out.
+// A machine that resumes from a suspension of some seconds must not act on
+// expired leases. The steady clock stops during a suspension, so by that clock
+// they would still be in force, while other machines have waited them out.
 
 #include <ctime>
 #include <type_traits>
@@ -42,7 +42,7 @@
 class SuspendedMachineTest : public testing::TestWithParam<SuspensionCase>
 {};
 
-TEST_P(SuspendedMachineTest, AnAgentGivesNoLeaseThatOthersHaveWaitedOut)
+TEST_P(SuspendedMachineTest, AnAgentSendsNoExpiredLease)
 {
   constexpr Duration kGrant = milliseconds(3500);
   LeaseGrant lease;
@@ -52,7 +52,7 @@
             GetParam().mHolds);
 }
 
-TEST_P(SuspendedMachineTest, AnOwnerGrantsNothingOnAnOldConfirmation)
+TEST_P(SuspendedMachineTest, AnOwnerGrantsNothingOnAnExpiredConfirmation)
 {
   const CellSettings settings;
   OwnerTerm term(1, 1, kBefore, settings);
--- a/tests/cell/UnwellWorkerTest.cpp
+++ b/tests/cell/UnwellWorkerTest.cpp
@@ -1,8 +1,7 @@
-// A worker had crashed, and its agent did not know yet whether it was gone: for
-// 1.3 s the agent refused each start as `unwell`, since nothing listened there
-// any more. The owner ordered some 800 starts to it in that time, as what was
-// refused left its room free: `task-start-refused reason=unwell`, 25 to 99 of
-// them each 0.1 s, while other workers had room.
+// A crashed worker refuses all starts (`task-start-refused reason=unwell`)
+// until its agent knows that it has ended. Refused starts leave its capacity
+// free, so that without a rule the owner keeps choosing it: about 800 starts
+// in 1.3 s, at 25 to 99 per 0.1 s, while other workers had free capacity.
 
 #include "tests/cell/CellFixture.h"
 
@@ -13,19 +12,19 @@
 class UnwellWorkerTest : public CellFixture
 {
 protected:
-  /// Worker "b" is the fuller one, so that "a" is chosen first.
+  /// Worker "b" is fuller, so that "a" is chosen first.
   void SetUp() override
   {
     AttachAndGrant("b");
     AddSavedJob(Graph("before", { Step(4) }));
     Started("b", Orders("b"));
     AttachAndGrant("a");
-    Tell("a", mNow);
+    ReportAnswer("a", mNow);
     AddSavedJob(Graph("job", { Step(1) }));
     Refuse();
   }
 
-  void Tell(const std::string& aAgent, Instant aAnsweredAt)
+  void ReportAnswer(const std::string& aAgent, Instant aAnsweredAt)
   {
     ReportRequest report = ReportOf(aAgent, State(aAgent + "-life"));
     report.mAnsweredAt = aAnsweredAt.time_since_epoch();
@@ -52,14 +51,14 @@
 TEST_F(UnwellWorkerTest, GetsNoStartUntilItHasAnsweredAgain)
 {
   EXPECT_TRUE(WasLogged("worker-unwell"));
-  Tell("a", mRefusedAt);
+  ReportAnswer("a", mRefusedAt);
   EXPECT_TRUE(Orders("a").mStarts.empty());
   EXPECT_EQ(mScheduler.TakeOrders(AgentId("b")).mStarts.size(), 1U);
 }
 
 TEST_F(UnwellWorkerTest, GetsStartsWhenItHasAnsweredAgain)
 {
-  Tell("a", mNow);
+  ReportAnswer("a", mNow);
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
--- a/tests/cell/WorkerChangeTest.cpp
+++ b/tests/cell/WorkerChangeTest.cpp
@@ -11,7 +11,7 @@
 
 const TaskRef kFirst{ JobId("job"), 0, 0, 0 };
 
-/// A worker whose tasks come, change and go at random; ends are numbered.
+/// A worker whose tasks start, change and end at random; ends are numbered.
 class RandomWorker
 {
 public:
@@ -56,12 +56,12 @@
   return runs;
 }
 
-/// What the reader holds after reports some of which were lost: the worker's
-/// runs and ends are all there, and figures after each report that tells them.
+/// Some replies to reports are lost; after each report the reader still holds
+/// the worker's info and all of its runs and ends.
 RC_GTEST_PROP(WorkerChange, LeadsTheReaderToTheWritersState, ())
 {
   RandomWorker worker;
-  ReportEncoder base;
+  ReportEncoder encoder;
   WorkerState held;
   std::int64_t endsTaken = 0;
   Instant now{ std::chrono::seconds(100) };
@@ -73,7 +73,7 @@
     sent.mAgent = AgentId("agent");
     sent.mEndpoint = { "127.0.0.1", 1 };
     sent.mSequence = number;
-    base.Fill(worker.mState, now, sent);
+    encoder.Fill(worker.mState, now, sent);
     const auto report = FromJson<ReportRequest>(ToJson(sent));
     RC_ASSERT(report.ok());
     if (report->mBase == 0) {
@@ -90,9 +90,9 @@
     RC_ASSERT(static_cast<std::size_t>(endsTaken) ==
               worker.mState.mEnded.size());
     if (*rc::gen::inRange(0, 4) == 0) {
-      base.Forget(); // The reply was lost.
+      encoder.Forget(); // The reply was lost.
     } else {
-      base.OnAccepted(sent);
+      encoder.OnAccepted(sent);
     }
   }
 }
@@ -100,7 +100,7 @@
 class ChangedReportTest : public CellFixture
 {
 protected:
-  /// A report that builds on the one before.
+  /// Reports a change since the newest report.
   bool ReportChange(const std::string& aAgent, WorkerChange aChange)
   {
     const auto& worker = mScheduler.Workers().at(AgentId(aAgent));
@@ -122,7 +122,7 @@
     return mScheduler.HandleReport(report, Clock());
   }
 
-  /// One task that runs at agent "a" and was reported so.
+  /// Starts one task on agent "a" and reports it running.
   RunNumber StartOne()
   {
     AttachAndGrant("a");
@@ -135,7 +135,7 @@
   }
 };
 
-TEST_F(ChangedReportTest, WhatIsNotToldStaysAsItWas)
+TEST_F(ChangedReportTest, UnreportedFieldsStayUnchanged)
 {
   const RunNumber run = StartOne();
   ReportChange("a", {});
@@ -144,7 +144,7 @@
   EXPECT_EQ(mScheduler.Workers().at(AgentId("a")).mRuns.at(kFirst), run);
 }
 
-TEST_F(ChangedReportTest, ARunThatIsToldGoneWithoutAnEndIsStartedAgain)
+TEST_F(ChangedReportTest, ARemovedRunWithoutAnEndIsStartedAgain)
 {
   const RunNumber run = StartOne();
   WorkerChange change;
@@ -153,7 +153,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-TEST_F(ChangedReportTest, AnEndIsTaken)
+TEST_F(ChangedReportTest, AnEndIsApplied)
 {
   const RunNumber run = StartOne();
   WorkerChange change;
@@ -165,9 +165,9 @@
   EXPECT_EQ(mScheduler.Acknowledged(AgentId("a")), 1);
 }
 
-/// A run may have ended while the start's answer was on its way: the worker
-/// never shows it, and no later change names it.
-TEST_F(ChangedReportTest, ARunThatIsNeverShownIsStartedAgain)
+/// A run may end while the answer to its start is in flight: the worker never
+/// lists it, and no later change names it.
+TEST_F(ChangedReportTest, ARunThatIsNeverListedIsStartedAgain)
 {
   AttachAndGrant("a");
   Report("a", State("a-life"));
@@ -179,7 +179,7 @@
   EXPECT_EQ(Orders("a").mStarts.size(), 1U);
 }
 
-TEST_F(ChangedReportTest, AChangeOnAnotherReportIsNotTaken)
+TEST_F(ChangedReportTest, AChangeOnAnotherReportIsIgnored)
 {
   const RunNumber run = StartOne();
   const std::int64_t newest =
@@ -195,23 +195,23 @@
 
 TEST(ReportEncoderTest, FiguresAreLeftOutOfReportsInQuickSuccession)
 {
-  ReportEncoder base;
+  ReportEncoder encoder;
   WorkerState state;
   state.mRunning.push_back({ kFirst, 1, {}, 0, 5 });
   Instant now{ std::chrono::seconds(100) };
   ReportRequest report;
   report.mSequence = 1;
-  base.Fill(state, now, report);
-  base.OnAccepted(report);
+  encoder.Fill(state, now, report);
+  encoder.OnAccepted(report);
   state.mRunning[0].mFigure = 7;
   ReportRequest early;
   early.mSequence = 2;
-  base.Fill(state, now + ReportEncoder::kFiguresInterval / 2, early);
+  encoder.Fill(state, now + ReportEncoder::kFiguresInterval / 2, early);
   EXPECT_TRUE(early.mChange->mRunning.empty());
-  base.OnAccepted(early);
+  encoder.OnAccepted(early);
   ReportRequest due;
   due.mSequence = 3;
-  base.Fill(state, now + ReportEncoder::kFiguresInterval, due);
+  encoder.Fill(state, now + ReportEncoder::kFiguresInterval, due);
   ASSERT_EQ(due.mChange->mRunning.size(), 1U);
   EXPECT_EQ(due.mChange->mRunning[0].mFigure, 7);
 }
--- a/tests/cell/WorkerLeaveTest.cpp
+++ b/tests/cell/WorkerLeaveTest.cpp
@@ -7,11 +7,11 @@
 const TaskRef kFirst{ JobId("job"), 0, 0, 0 };
 const AgentId kAgent("a");
 
-/// A worker that has said good-bye: nothing of this incarnation runs.
+/// A worker that reported that it left: nothing of this incarnation runs.
 class WorkerLeaveTest : public CellFixture
 {
 protected:
-  static WorkerState Gone(std::vector<EndedTask> aEnded = {})
+  static WorkerState Left(std::vector<EndedTask> aEnded = {})
   {
     WorkerState state = State("a-life", {}, std::move(aEnded));
     state.mInfo.mDraining = true;
@@ -19,7 +19,7 @@
     return state;
   }
 
-  /// From an agent without a session.
+  /// Sends a report from an agent without a session.
   void ReportUnattached(const WorkerState& aState)
   {
     ReportRequest report;
@@ -35,7 +35,7 @@
   AddSavedJob(Graph("job", { Step(1) }));
   Started("a", Orders("a"));
   AttachAndGrant("b");
-  Report("a", Gone());
+  Report("a", Left());
   EXPECT_EQ(Orders("b").mStarts.size(), 1U);
 }
 
@@ -46,7 +46,7 @@
   const OrderRequest orders = Orders("a");
   Started("a", orders);
   AttachAndGrant("b");
-  Report("a", Gone({ Ended(1, kFirst, orders.mStarts[0].mRun, RunEnd::Done) }));
+  Report("a", Left({ Ended(1, kFirst, orders.mStarts[0].mRun, RunEnd::Done) }));
   EXPECT_TRUE(Orders("b").mStarts.empty());
   SaveProgress();
   EXPECT_EQ(mScheduler.PhaseOf(JobId("job")), JobPhase::Completed);
@@ -58,14 +58,14 @@
   AddInherited(Graph("job", { Step(1) }));
   AttachAndGrant("b");
   EXPECT_TRUE(Orders("b").mStarts.empty());
-  ReportUnattached(Gone());
+  ReportUnattached(Left());
   EXPECT_EQ(Orders("b").mStarts.size(), 1U);
 }
 
 TEST_F(WorkerLeaveTest, NothingIsPlacedOnItUntilItsAgentAttachesAgain)
 {
   AttachAndGrant("a");
-  Report("a", Gone());
+  Report("a", Left());
   AddSavedJob(Graph("job", { Step(1) }));
   EXPECT_FALSE(Report("a", State("next-life")));
   EXPECT_TRUE(Orders("a").mStarts.empty());
@@ -76,19 +76,19 @@
 
 TEST_F(WorkerLeaveTest, ARecordIsNeededWhileSomethingMayRun)
 {
-  EXPECT_FALSE(mScheduler.RunsNothing(kAgent)); // Not heard of yet.
+  EXPECT_FALSE(mScheduler.RunsNothing(kAgent)); // No report of it yet.
   AttachAndGrant("a");
   EXPECT_FALSE(mScheduler.RunsNothing(kAgent));
   mScheduler.DetachWorker(kAgent, Clock());
   mScheduler.Schedule(Clock());
-  EXPECT_FALSE(mScheduler.RunsNothing(kAgent)); // Its leases last.
+  EXPECT_FALSE(mScheduler.RunsNothing(kAgent)); // Its leases are in force.
   AdvanceClock(mSettings.mMaxTaskLease + mSettings.mLeaseMargin +
                milliseconds(1));
   mScheduler.Schedule(Clock());
   EXPECT_TRUE(mScheduler.RunsNothing(kAgent));
   AttachAndGrant("a");
   EXPECT_FALSE(mScheduler.RunsNothing(kAgent));
-  Report("a", Gone());
+  Report("a", Left());
   EXPECT_TRUE(mScheduler.RunsNothing(kAgent));
 }
 
--- a/tests/cell/WorkerLivenessTest.cpp
+++ b/tests/cell/WorkerLivenessTest.cpp
@@ -22,7 +22,7 @@
 {
   int mAtMs;
   Poll mLook;
-  LivenessChange mNews;
+  LivenessChange mChange;
 };
 
 struct LivenessCase
@@ -38,7 +38,7 @@
 class WorkerLivenessTest : public testing::TestWithParam<LivenessCase>
 {};
 
-TEST_P(WorkerLivenessTest, TellsEachChangeOnce)
+TEST_P(WorkerLivenessTest, ReportsEachChangeOnce)
 {
   const Instant start{ std::chrono::seconds(1000) };
   WorkerLiveness liveness;
@@ -49,7 +49,7 @@
       liveness.OnPoll(now);
     } else {
       EXPECT_EQ(liveness.OnPollFailed(step.mLook == Poll::Refused, now),
-                step.mNews)
+                step.mChange)
         << step.mAtMs;
     }
   }
@@ -93,7 +93,7 @@
                   false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(WorkerLiveness, SaysWhetherItAnsweredBefore)
+TEST(WorkerLiveness, ReportsWhetherItAnsweredBefore)
 {
   const Instant start{ std::chrono::seconds(1000) };
   WorkerLiveness liveness;
