--- a/apps/taskagent/TaskAgent.cpp
+++ b/apps/taskagent/TaskAgent.cpp
@@ -210,7 +210,7 @@
                                    std::string_view aReason)
 {
   ++mForeignHeartbeats;
-  if (const auto count = mForeign.Note(aSender, aReason)) {
+  if (const auto count = mForeign.OnEvent(aSender, aReason)) {
     LogWarning(
       "foreign-heartbeat",
       { { "sender", aSender }, { "reason", aReason }, { "count", *count } });
--- a/src/core/cell/Candidacy.h
+++ b/src/core/cell/Candidacy.h
@@ -6,18 +6,19 @@
 
 namespace foxtailbarrow::cell {
 
-/// Decides when a scheduler tries to take a cell that has no owner: those with
-/// little processor time let others go first. Pure.
+/// Decides when a scheduler tries to take ownership of a cell without an owner.
+/// Schedulers with little processor time let others go first. Does no I/O.
 class Candidacy
 {
 public:
-  /// `aProcessorShare`: of one core, that this process may use.
+  /// `aProcessorShare`: share of one core that this process may use.
   explicit Candidacy(double aProcessorShare)
     : mDelay(aProcessorShare < kAmpleShare ? kWeakDelay : Duration::zero())
   {
   }
 
-  /// The cell was seen without an owner. True when it may be taken now.
+  /// Called when the cell has no owner. True when this scheduler may take it
+  /// now.
   bool MayTake(Instant aNow)
   {
     if (!mVacantSince) {
@@ -30,8 +31,8 @@
 
 private:
   static constexpr double kAmpleShare = 0.2;
-  /// Longer than a store call, than a change of owner by a planned stop, and
-  /// than the time between starts of processes that start together.
+  /// Longer than a store call, a handover at a planned stop, and the time
+  /// between the starts of processes that start together.
   static constexpr Duration kWeakDelay = std::chrono::milliseconds(500);
 
   Duration mDelay;
--- a/src/core/cell/CellConfiguration.cpp
+++ b/src/core/cell/CellConfiguration.cpp
@@ -11,7 +11,7 @@
   return { aText.data(), aText.size() };
 }
 
-/// Host names compare without regard to case, and a port is no part of them.
+/// Host names compare case-insensitively and without the port.
 bool SameHost(std::string_view aHost, std::string_view aConfigured)
 {
   return absl::EqualsIgnoreCase(View(aHost.substr(0, aHost.find(':'))),
--- a/src/core/cell/CellConfiguration.h
+++ b/src/core/cell/CellConfiguration.h
@@ -16,22 +16,22 @@
   std::string mHost;
   std::string mPathPrefix;
   QueuePolicy mPolicy;
-  Duration mTimeout{}; ///< Of a caller's request.
+  Duration mTimeout{}; ///< Timeout of a caller's request.
 
   bool operator==(const QueueRoute&) const = default;
 };
 
-/// What the operator has put in force. Versions rise.
+/// Configuration in force, set by the operator. Versions increase.
 struct CellConfiguration
 {
   std::int64_t mVersion = 0;
   std::vector<QueueRoute> mRoutes;
-  std::size_t mMaxBodyBytes = 0; ///< 0 = no limit of the operator's.
+  std::size_t mMaxBodyBytes = 0; ///< 0 = the operator set no limit.
 
   bool operator==(const CellConfiguration&) const = default;
 };
 
-/// The route with this host and the longest prefix of the path; null if none.
+/// The route with this host and the longest matching path prefix; null if none.
 const QueueRoute* FindRoute(const CellConfiguration& aConfiguration,
                             std::string_view aHost,
                             std::string_view aPath);
--- a/src/core/cell/CellSchedulerRuns.cpp
+++ b/src/core/cell/CellSchedulerRuns.cpp
@@ -38,7 +38,7 @@
                     task.mCrashes.Suspected() });
   }
   CountUse(aWorker.mUse, aTask.mJob, aJob.Spec(aTask), 1);
-  aWorker.mWorkerInterference.Forget();
+  aWorker.mWorkerInterference.Invalidate();
   task.mRuns.push_back(std::move(aRun));
 }
 
@@ -63,7 +63,7 @@
   task.mCrashes.Settle(aRun);
   mTrials.End(aAgent, { aTask, aRun });
   CountUse(worker.mUse, aTask.mJob, aJob.Spec(aTask), -1);
-  worker.mWorkerInterference.Forget();
+  worker.mWorkerInterference.Invalidate();
   mNeedsPlacement = true;
 }
 
--- a/src/core/cell/HeartbeatOrder.cpp
+++ b/src/core/cell/HeartbeatOrder.cpp
@@ -4,9 +4,10 @@
 
 namespace {
 
-/// A jump of the sequence number that no worker makes: a million heartbeats, or
-/// ten days of them, lost in a row. Taken, it would make all later ones old.
-constexpr std::int64_t kMostLost = 1'000'000;
+/// Largest plausible jump of the sequence number: a million heartbeats, or ten
+/// days, lost in a row. Accepting a larger one would make all later heartbeats
+/// look old.
+constexpr std::int64_t kMaxLost = 1'000'000;
 
 } // namespace
 
@@ -20,7 +21,7 @@
   if (aIncarnation != mCurrent) {
     return HeartbeatDecision::Confirm;
   }
-  if (aSequence - mSequence > kMostLost) {
+  if (aSequence - mSequence > kMaxLost) {
     return HeartbeatDecision::Foreign;
   }
   return mGone || aSequence <= mSequence ? HeartbeatDecision::Ignore
--- a/src/core/cell/HeartbeatOrder.h
+++ b/src/core/cell/HeartbeatOrder.h
@@ -10,25 +10,25 @@
 enum class HeartbeatDecision : std::uint8_t
 {
   Accept,
-  Ignore,  ///< Overtaken by a newer one, or of a worker that has left.
-  Foreign, ///< Not the worker's: its number is far beyond the last one.
-  Confirm, ///< Of another incarnation: only the worker can tell whether it is
-           ///< a newer one or a late heartbeat of one that has crashed.
+  Ignore,  ///< Older than the last one, or from a worker that has left.
+  Foreign, ///< Not from the worker: its number is far beyond the last one.
+  Confirm, ///< From another incarnation: the worker must be asked whether it
+           ///< is newer, or a late heartbeat of one that has crashed.
 };
 
-/// Puts the heartbeats at one agent in order: of one incarnation by their
-/// sequence numbers, of several by asking the worker. Pure.
+/// Orders the heartbeats that an agent receives: within one incarnation by
+/// sequence number, between incarnations by asking the worker. Does no I/O.
 class HeartbeatOrder
 {
 public:
   HeartbeatDecision Classify(const WorkerIncarnation& aIncarnation,
                              std::int64_t aSequence) const;
 
-  /// The heartbeat was taken.
+  /// The heartbeat was accepted.
   void OnAccepted(const WorkerIncarnation& aIncarnation,
                   std::int64_t aSequence);
 
-  /// The worker says that it leaves. False when it is not the current one.
+  /// The worker announces that it leaves. False when it is not the current one.
   bool OnWorkerLeft(const WorkerIncarnation& aIncarnation);
 
   const WorkerIncarnation& Current() const { return mCurrent; }
--- a/src/core/cell/InterferenceEstimator.cpp
+++ b/src/core/cell/InterferenceEstimator.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A job whose tasks were not seen for so long begins anew.
+/// The filter of a job that was not observed for this long is discarded.
 constexpr Duration kForgetLoad = std::chrono::seconds(10);
 
 } // namespace
@@ -38,7 +38,7 @@
     .first->second;
 }
 
-/// The load as it is expected now.
+/// The load filter of the job, predicted to `aNow`.
 LoadFilter& InterferenceEstimator::LoadOf(const JobId& aJob,
                                           const ServingImage& aImage,
                                           Instant aNow)
@@ -110,19 +110,19 @@
 
 std::vector<BaselineLatency> InterferenceEstimator::Baselines() const
 {
-  std::vector<BaselineLatency> calm;
+  std::vector<BaselineLatency> baselines;
   for (const auto& [image, entry] : mServing) {
-    calm.push_back({ image, std::exp(entry.mBaseline.mValue) });
+    baselines.push_back({ image, std::exp(entry.mBaseline.mValue) });
   }
-  return calm;
+  return baselines;
 }
 
 std::vector<InterferenceWeight> InterferenceEstimator::Known() const
 {
   std::vector<InterferenceWeight> known;
   for (const auto& [serving, entry] : mServing) {
-    for (const auto& [leftover, pair] : entry.mPerCore) {
-      known.push_back({ serving, leftover, pair.mValue });
+    for (const auto& [bestEffort, pair] : entry.mPerCore) {
+      known.push_back({ serving, bestEffort, pair.mValue });
     }
   }
   return known;
@@ -131,7 +131,7 @@
 LearnedInterference InterferenceEstimator::WellKnown(
   std::size_t aMaxPairs) const
 {
-  const double share = mSettings.mKeptVarianceShare;
+  const double share = mSettings.mSavedVarianceShare;
   LearnedInterference learned;
   for (const auto& [image, entry] : mServing) {
     if (learned.mPairs.size() + entry.mPerCore.size() > aMaxPairs) {
@@ -140,9 +140,9 @@
     if (entry.mBaseline.mVariance <= share * mSettings.mBaselineVariance) {
       learned.mBaseline.push_back({ image, std::exp(entry.mBaseline.mValue) });
     }
-    for (const auto& [leftover, pair] : entry.mPerCore) {
+    for (const auto& [bestEffort, pair] : entry.mPerCore) {
       if (pair.mVariance <= share * mSettings.mPriorVariance) {
-        learned.mPairs.push_back({ image, leftover, pair.mValue });
+        learned.mPairs.push_back({ image, bestEffort, pair.mValue });
       }
     }
   }
@@ -151,16 +151,16 @@
 
 void InterferenceEstimator::Adopt(const LearnedInterference& aLearned)
 {
-  const double share = mSettings.mKeptVarianceShare;
-  for (const auto& [image, calm] : aLearned.mBaseline) {
-    if (!mServing.contains(image) && calm > 0) {
-      Entry(image).mBaseline = { std::log(calm),
+  const double share = mSettings.mSavedVarianceShare;
+  for (const auto& [image, baseline] : aLearned.mBaseline) {
+    if (!mServing.contains(image) && baseline > 0) {
+      Entry(image).mBaseline = { std::log(baseline),
                                  share * mSettings.mBaselineVariance };
     }
   }
-  for (const auto& [image, leftover, perCore] : aLearned.mPairs) {
+  for (const auto& [image, bestEffort, perCore] : aLearned.mPairs) {
     Entry(image).mPerCore.try_emplace(
-      leftover, Estimate{ perCore, share * mSettings.mPriorVariance });
+      bestEffort, Estimate{ perCore, share * mSettings.mPriorVariance });
   }
 }
 
@@ -169,17 +169,17 @@
                                      double aShare,
                                      Instant aNow) const
 {
-  const double room = std::log(aShare);
+  const double budget = std::log(aShare);
   if (const auto load = mLoads.find(aJob); load != mLoads.end()) {
-    return room - std::max(load->second.LevelAt(aNow),
-                           load->second.LevelAt(aNow + mSettings.mForecast));
+    return budget - std::max(load->second.LevelAt(aNow),
+                             load->second.LevelAt(aNow + mSettings.mForecast));
   }
-  // Not seen yet: it may be anywhere in its swing.
+  // Not observed yet: the load may be anywhere in its swing.
   const auto serving = mServing.find(aServing);
-  const double calm = serving == mServing.end()
-                        ? std::log(mSettings.mBaselineShare)
-                        : serving->second.mBaseline.mValue;
-  return room - calm - std::sqrt(mSettings.mLoadVariance);
+  const double baseline = serving == mServing.end()
+                            ? std::log(mSettings.mBaselineShare)
+                            : serving->second.mBaseline.mValue;
+  return budget - baseline - std::sqrt(mSettings.mLoadVariance);
 }
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/InterferenceEstimator.h
+++ b/src/core/cell/InterferenceEstimator.h
@@ -12,15 +12,15 @@
 
 namespace foxtailbarrow::cell {
 
-/// Processors that leftover tasks of one image use on a worker.
+/// Cores that the best-effort tasks of one image use on a worker.
 struct ImageLoad
 {
   std::string mImage;
   double mCores = 0;
 };
 
-/// How much one core of a leftover image raises the logarithm of a serving
-/// image's tail latency, and what that latency is in calm.
+/// How much one core of a best-effort image raises the logarithm of a serving
+/// image's tail latency.
 struct InterferenceWeight
 {
   std::string mServing;
@@ -28,14 +28,14 @@
   double mPerCore = 0;
 };
 
-/// An image's latency with nothing beside it, as a share of the target.
+/// A serving image's latency without colocated tasks, as a share of the target.
 struct BaselineLatency
 {
   std::string mServing;
   double mShare = 0;
 };
 
-/// What a next owner of the cell need not learn anew.
+/// What the next owner of the cell starts from.
 struct LearnedInterference
 {
   std::vector<BaselineLatency> mBaseline;
@@ -44,73 +44,74 @@
 
 struct InterferenceSettings
 {
-  /// Assumed of a pair that was never seen, with its variance. Most pairs
-  /// hardly disturb each other; some raise the latency several times.
+  /// Prior of a pair that was never observed, with its variance. Most pairs
+  /// hardly interfere; some raise the latency several times.
   double mPriorPerCore = 0.025;
   double mPriorVariance = 0.003;
-  /// Baselines latency as a share of the target, before it is known.
+  /// Baseline latency as a share of the target, before it is known.
   double mBaselineShare = 0.45;
   double mBaselineVariance = 0.03;
-  /// Variance of the logarithm of one look at a job's tasks on a worker:
-  /// rounding, roughness, and what a sum of weights cannot explain.
+  /// Variance of the logarithm of one measurement of a job's tasks on a worker:
+  /// rounding, noise, and what a sum of weights cannot explain.
   double mNoise = 0.02;
-  /// Variance of a standing job's load about the mean of its image; all tasks
-  /// of a job share it.
+  /// Variance of a standing job's load around the mean of its image. All tasks
+  /// of a job share the load.
   double mLoadVariance = 0.1;
   LoadFilterSettings mLoadFilter;
-  /// How far ahead placing looks: leftover tasks last longer, and the load
-  /// rises meanwhile.
+  /// How far ahead placement predicts the load, which may rise while a
+  /// best-effort task runs.
   Duration mForecast = std::chrono::milliseconds(1000);
-  /// An estimate is worth keeping once its variance has come down to this share
-  /// of the one that it began with, and is adopted with that variance.
-  double mKeptVarianceShare = 0.5;
-  /// Growth of the variances with each observation: pairs change over time.
+  /// An estimate is saved once its variance has fallen to this share of the
+  /// initial one, and is adopted with that variance.
+  double mSavedVarianceShare = 0.5;
+  /// Growth of the variances per observation, as pairs change over time.
   double mDrift = 0.000001;
-  /// Greatest error that one observation may correct, against outliers.
+  /// Largest error that one observation may correct, against outliers.
   double mMaxError = 1.0;
 };
 
-/// Learns, over all workers of a cell, which leftover images disturb which
-/// serving images, and follows the load of each standing job. The logarithm of
-/// a serving task's tail latency is taken as a sum: the load of its job, which
-/// all tasks of the job share, since they serve the same users; and for each
-/// leftover image beside it a weight times the processors it uses. Kalman
-/// filters, one a job and one a pair, estimate both from figures that are rough
-/// and late.
+/// Learns from all workers of a cell which best-effort images interfere with
+/// which serving images, and tracks the load of each standing job. The
+/// logarithm of a serving task's tail latency is modelled as a sum: the load of
+/// its job, which all tasks of the job share because they serve the same users,
+/// and for each colocated best-effort image a weight times the cores it uses.
+/// Kalman filters, one per job and one per pair, estimate both from noisy,
+/// delayed measurements.
 class InterferenceEstimator
 {
 public:
   explicit InterferenceEstimator(InterferenceSettings aSettings = {});
 
-  /// One look: the mean logarithm of the tail latency over the target of the
-  /// job's tasks on one worker, and what ran beside them.
+  /// Adds one measurement: the mean logarithm of the tail latency, as a share
+  /// of the target, of the job's tasks on one worker, and the load colocated
+  /// with them.
   void Observe(const JobId& aJob,
                const std::string& aServing,
                double aLogLatency,
                std::span<const ImageLoad> aColocated,
                Instant aNow);
 
-  /// Weight of the pair for each core; the prior for an unknown one.
+  /// Weight of the pair per core; the prior for an unknown pair.
   double PerCore(const std::string& aServing,
                  const std::string& aBestEffort) const;
 
-  /// Room, in units of the logarithm, between the latency that the job's load
-  /// is expected to bring, now and a little later, and `aShare` of the target.
+  /// Logarithmic headroom between `aShare` of the target and the latency
+  /// expected from the job's load alone, the higher of now and mForecast later.
   double Budget(const JobId& aJob,
                 const std::string& aServing,
                 double aShare,
                 Instant aNow) const;
 
-  /// Every serving image that was seen, with what its calm latency is taken
-  /// to be.
+  /// Every observed serving image with its estimated baseline latency.
   std::vector<BaselineLatency> Baselines() const;
 
-  /// Every pair that was seen.
+  /// Every observed pair.
   std::vector<InterferenceWeight> Known() const;
 
-  /// What is known well enough to be kept, at most `aMaxPairs` of it.
+  /// The estimates that are certain enough to be saved, at most `aMaxPairs`
+  /// pairs.
   LearnedInterference WellKnown(std::size_t aMaxPairs) const;
-  /// Takes over what an earlier owner learned. What was observed here stays.
+  /// Adopts what an earlier owner learned. What was observed here is kept.
   void Adopt(const LearnedInterference& aLearned);
 
   const InterferenceSettings& Settings() const { return mSettings; }
--- a/src/core/cell/JobForward.h
+++ b/src/core/cell/JobForward.h
@@ -7,8 +7,8 @@
 
 #include "src/core/cell/JobRequest.h"
 
-/// A caller's request on its way to another scheduler: one that the store
-/// refuses or does not answer asks one that it serves.
+/// Forwarding of a caller's request: a scheduler that cannot reach the store
+/// passes it to one that can.
 namespace foxtailbarrow::cell {
 
 enum class ForwardedKind : std::uint8_t
@@ -21,13 +21,13 @@
 
 std::string_view ToString(ForwardedKind aKind);
 
-/// `cell.forward`
+/// Request of the `cell.forward` method.
 struct ForwardedRequest
 {
   ForwardedKind mKind = ForwardedKind::Read;
-  JobId mJob;                   ///< Of Read and Cancel.
-  std::vector<JobGraph> mGraph; ///< One of Submit.
-  QueueId mQueue;               ///< Of Count.
+  JobId mJob;                   ///< With Read and Cancel.
+  std::vector<JobGraph> mGraph; ///< One with Submit.
+  QueueId mQueue;               ///< With Count.
   Duration mTimeout{};
 };
 
@@ -38,7 +38,7 @@
   Cancelled,
   Counted,
   NoSuchJob,
-  NotRun,  ///< Refused: nothing was done and nothing will be.
+  NotRun,  ///< Refused: it was not done and will not be.
   InDoubt, ///< It may have been done.
 };
 
@@ -47,23 +47,23 @@
 struct ForwardedReply
 {
   ForwardedOutcome mOutcome = ForwardedOutcome::InDoubt;
-  JobPhase mPhase = JobPhase::Queued; ///< Of Shown.
-  std::int64_t mWaiting = 0;          ///< Of Counted.
-  std::string mMessage;               ///< Of NotRun and InDoubt.
-  /// Of the newest owner that the answering process knows of; 0 = it has seen
-  /// none since it started.
+  JobPhase mPhase = JobPhase::Queued; ///< With Shown.
+  std::int64_t mWaiting = 0;          ///< With Counted.
+  std::string mMessage;               ///< With NotRun and InDoubt.
+  /// Newest owner known to the answering process; 0 = it has seen none since it
+  /// started.
   Generation mGeneration = 0;
 };
 
 inline constexpr std::string_view kForwardMethod = "cell.forward";
 
 ForwardedRequest ToForwarded(const JobRequest& aRequest);
-/// An empty Submit becomes a request that is refused as bad.
+/// A Submit without a graph becomes an empty job, which is refused as invalid.
 JobRequest FromForwarded(const ForwardedRequest& aRequest);
 ForwardedReply ToForwarded(const JobAnswer& aAnswer);
 JobAnswer FromForwarded(const ForwardedReply& aReply);
 
-/// True when another scheduler may do better: nothing was done here, and the
+/// True when another scheduler may succeed: nothing was done here, and the
 /// cause lies between this process and the store.
 bool ShouldForward(const JobAnswer& aAnswer);
 
--- a/src/core/cell/JobRequest.h
+++ b/src/core/cell/JobRequest.h
@@ -10,7 +10,7 @@
 #include "src/core/cell/JobGraph.h"
 #include "src/core/cell/QueuePolicy.h"
 
-/// What callers ask about jobs, and the answers.
+/// Requests of callers about jobs, and the answers.
 namespace foxtailbarrow::cell {
 
 struct SubmitJob
@@ -64,21 +64,21 @@
 {
   NoSuchQueue,
   BadRequest,
-  NotReady,         ///< No configuration yet, or the process ends.
-  StoreUnavailable, ///< The store refused or was not reached.
+  NotReady,         ///< No configuration yet, or the process is stopping.
+  StoreUnavailable, ///< The store refused the call or was not reached.
   Unsupported,      ///< The queue's workers are chosen by another service.
-  Unknown,          ///< The store did not say whether it did it.
+  Unknown,          ///< The store call may or may not have been applied.
 };
 
 std::string_view ToString(RefusalCause aCause);
 
-/// With NotRun nothing was done and nothing will be: ask again.
+/// With NotRun the request was not done and will not be; the caller may retry.
 struct JobRefused
 {
   RefusalCause mCause = RefusalCause::Unknown;
   Verdict mVerdict = Verdict::NotRun;
   std::string mMessage;
-  /// Until the caller is to ask again; 0 = this answer does not say.
+  /// Delay before a retry; 0 = not given.
   Duration mRetryAfter{};
 };
 
--- a/src/core/cell/LoadFilter.cpp
+++ b/src/core/cell/LoadFilter.cpp
@@ -32,12 +32,12 @@
   if (passed <= 0) {
     return;
   }
-  const double bend = mSettings.mRateNoiseDensity;
+  const double rateNoise = mSettings.mRateNoiseDensity;
   mLevel = LevelAt(aNow);
   mLevelVariance += passed * (2 * mCovariance + passed * mRateVariance) +
-                    bend * passed * passed * passed / 3;
-  mCovariance += passed * mRateVariance + bend * passed * passed / 2;
-  mRateVariance += bend * passed;
+                    rateNoise * passed * passed * passed / 3;
+  mCovariance += passed * mRateVariance + rateNoise * passed * passed / 2;
+  mRateVariance += rateNoise * passed;
   mAt = aNow;
 }
 
--- a/src/core/cell/LoadFilter.h
+++ b/src/core/cell/LoadFilter.h
@@ -6,17 +6,17 @@
 
 struct LoadFilterSettings
 {
-  /// Spectral density of the change of the rate, per cubed second.
+  /// Spectral density of the noise of the rate, per cubed second.
   double mRateNoiseDensity = 0.05;
-  /// Variance of the rate at the start, per squared second.
+  /// Initial variance of the rate, per squared second.
   double mRateVariance = 0.03;
-  /// A forecast does not go beyond this change of the level.
+  /// A forecast changes the level by at most this much.
   double mMaxChange = 0.4;
 };
 
-/// Follows the load of one standing job: the logarithm of its tasks' tail
-/// latency over the target, with nothing beside them. A Kalman filter of level
-/// and rate; each look at one of its tasks corrects both. Pure.
+/// Tracks the load of one standing job: the logarithm of its tasks' tail
+/// latency as a share of the target, without colocated tasks. A Kalman filter
+/// of level and rate, both corrected by each measurement. Does no I/O.
 class LoadFilter
 {
 public:
@@ -25,17 +25,18 @@
              Instant aNow,
              LoadFilterSettings aSettings = {});
 
-  /// Moves on to `aNow`: the level by its rate, and the doubt about both grows.
+  /// Prediction step: moves the level to `aNow` and grows the variances. An
+  /// earlier time changes nothing.
   void Predict(Instant aNow);
 
   double Level() const { return mLevel; }
   double Variance() const { return mLevelVariance; }
   Instant PredictedAt() const { return mAt; }
 
-  /// The level was seen `aError` higher; `aNoise` is the variance of that.
+  /// Correction step: the level was measured `aError` higher, with variance
+  /// `aNoise`.
   void Correct(double aError, double aNoise);
 
-  /// Expected level at that time.
   double LevelAt(Instant aTime) const;
 
 private:
--- a/src/core/cell/LogRateLimiter.h
+++ b/src/core/cell/LogRateLimiter.h
@@ -10,20 +10,20 @@
 
 namespace foxtailbarrow::cell {
 
-/// Bounds the log lines about findings that repeat: the first of a sender and
-/// reason is told, and then each tenth, hundredth and so on. Pure.
+/// Limits repeated log lines: for each sender and reason the first event is
+/// logged, then the tenth, the hundredth and so on. Does no I/O.
 class LogRateLimiter
 {
 public:
-  /// How often it was found, when that is to be told now.
-  std::optional<std::int64_t> Note(std::string_view aSender,
-                                   std::string_view aReason);
+  /// Counts the event. Returns the count if it is to be logged now.
+  std::optional<std::int64_t> OnEvent(std::string_view aSender,
+                                      std::string_view aReason);
 
 private:
   struct Count
   {
-    std::int64_t mFound = 0;
-    std::int64_t mNextTold = 1;
+    std::int64_t mEvents = 0;
+    std::int64_t mNextLogged = 1;
   };
 
   std::map<std::pair<std::string, std::string>, Count, std::less<>> mCounts;
--- a/src/core/cell/OutagePolicy.cpp
+++ b/src/core/cell/OutagePolicy.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-/// Shortest wait: what the header can say.
-constexpr double kLeastSeconds = 1.0;
-/// Longest mean wait. Callers wait for a few seconds; one that is told more
-/// gives up although the store may be back within its time.
-constexpr double kMostSeconds = 4.0;
-/// Of the outage's age: half of what is expected to be left of it, so that a
-/// caller tries more than once within that.
+/// Shortest delay that the header can express.
+constexpr double kMinSeconds = 1.0;
+/// Longest mean delay. Callers wait for a few seconds; one that is given a
+/// longer delay gives up although the store may be back in time.
+constexpr double kMaxSeconds = 4.0;
+/// Share of the outage's age: half of the expected remaining time, so that a
+/// caller retries more than once within it.
 constexpr double kShareOfAge = 0.5;
-/// Waits lie within this share of their mean, either way.
-constexpr double kSpread = 0.5;
-/// Jobs that may be in doubt at a time. Above the submissions that come before
-/// a silence is noticed.
-constexpr std::size_t kMostInDoubt = 1024;
+/// Jitter, as a share of the mean delay either way.
+constexpr double kJitter = 0.5;
+/// Jobs in doubt at a time. More than the submissions that arrive before a
+/// silent store is detected.
+constexpr std::size_t kMaxInDoubt = 1024;
 
 } // namespace
 
@@ -27,10 +27,10 @@
 {
   const std::chrono::duration<double> age = aOutageAge;
   const double mean =
-    std::clamp(kShareOfAge * age.count(), kLeastSeconds, kMostSeconds);
-  const double wait = mean * (1.0 - kSpread + 2.0 * kSpread * aRandom);
+    std::clamp(kShareOfAge * age.count(), kMinSeconds, kMaxSeconds);
+  const double delay = mean * (1.0 - kJitter + 2.0 * kJitter * aRandom);
   return std::chrono::seconds(
-    std::max<std::int64_t>(1, std::llround(std::max(wait, kLeastSeconds))));
+    std::max<std::int64_t>(1, std::llround(std::max(delay, kMinSeconds))));
 }
 
 void OutagePolicy::MarkInDoubt(const JobId& aJob, Instant aNow)
@@ -38,7 +38,7 @@
   std::erase_if(mInDoubt, [aNow](const auto& aEntry) {
     return aNow - aEntry.second > kInDoubtFor;
   });
-  if (mInDoubt.size() < kMostInDoubt) {
+  if (mInDoubt.size() < kMaxInDoubt) {
     mInDoubt[aJob] = aNow;
   }
 }
--- a/src/core/cell/OverTarget.h
+++ b/src/core/cell/OverTarget.h
@@ -11,9 +11,11 @@
 struct OverTarget
 {
   std::string mImage;
-  Duration mOver{};         ///< For so long.
-  double mLatencyShare = 0; ///< Tail latency over the target, smoothed.
-  /// Leftover images beside it, each with the pace of its task in percent.
+  Duration mOver{}; ///< How long it has been over the target.
+  double mLatencyShare =
+    0; ///< Tail latency as a share of the target, smoothed.
+  /// Colocated best-effort images, each with the throttle of its task in
+  /// percent.
   std::vector<std::string> mColocated;
 };
 
--- a/src/core/cell/OverTargetTimer.cpp
+++ b/src/core/cell/OverTargetTimer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Median difference of two normal variates over their deviation.
+/// Median absolute difference of two normal variates, in standard deviations.
 constexpr double kMedianDifference = 0.954;
 
 double Square(double aValue)
@@ -17,22 +17,22 @@
 
 } // namespace
 
-void OverTargetTimer::AddFigure(double aFigure,
-                                const OverTargetSettings& aSettings)
+void OverTargetTimer::AddMeasurement(double aMeasurement,
+                                     const OverTargetSettings& aSettings)
 {
-  // Steps toward the median: a change of the load, however large, counts as one
-  // difference.
-  const double step = std::abs(aFigure - mFigure) > mDifference
+  // Steps toward the median, so that a change of the load counts as one
+  // difference, however large.
+  const double step = std::abs(aMeasurement - mMeasurement) > mDifference
                         ? aSettings.mNoiseStep
                         : 1 / aSettings.mNoiseStep;
   mDifference = std::clamp(mDifference * step,
                            aSettings.mMinNoise * kMedianDifference,
                            aSettings.mMaxNoise * kMedianDifference);
-  mFigure = aFigure;
+  mMeasurement = aMeasurement;
   const double noise = mDifference / kMedianDifference;
   const double under = std::log(aSettings.mUnderShare);
   const double odds =
-    (Square(aFigure) - Square(aFigure - under)) / (2 * Square(noise));
+    (Square(aMeasurement) - Square(aMeasurement - under)) / (2 * Square(noise));
   mUnderOdds = std::max(0.0, mUnderOdds + odds);
 }
 
@@ -40,22 +40,22 @@
                              const OverTargetSettings& aSettings,
                              Instant aNow)
 {
-  const Instant lastLook = mLastPoll.value_or(aNow);
-  const double figure = std::log(aShare);
-  mMean = mLastPoll ? aSettings.mNewestWeight * figure +
+  const Instant lastPoll = mLastPoll.value_or(aNow);
+  const double measurement = std::log(aShare);
+  mMean = mLastPoll ? aSettings.mNewestWeight * measurement +
                         (1 - aSettings.mNewestWeight) * mMean
-                    : figure;
-  if (!mLastPoll || figure != mFigure ||
-      aNow - mFigureAt >= aSettings.mFigureSpan) {
-    AddFigure(figure, aSettings);
-    mFigureAt = aNow;
+                    : measurement;
+  if (!mLastPoll || measurement != mMeasurement ||
+      aNow - mMeasuredAt >= aSettings.mMeasurementSpan) {
+    AddMeasurement(measurement, aSettings);
+    mMeasuredAt = aNow;
   }
   mLastPoll = aNow;
   const double under = std::log(aSettings.mUnderShare);
   if (!mSince && aShare > aSettings.mMaybeOverShare) {
-    mSince = lastLook;
+    mSince = lastPoll;
     mUnderOdds = 0;
-  } else if (mSince && figure <= under && mMean <= under &&
+  } else if (mSince && measurement <= under && mMean <= under &&
              mUnderOdds >= std::log(aSettings.mSureOdds)) {
     mSince.reset();
   }
--- a/src/core/cell/OverTargetTimer.h
+++ b/src/core/cell/OverTargetTimer.h
@@ -9,51 +9,52 @@
 
 struct OverTargetSettings
 {
-  /// Figures are rough: above the first share of its target an image may be
-  /// over it, below the second one it is likely not.
+  /// Measurements are noisy: above the first share of its target an image may
+  /// be over it, below the second it is likely not.
   double mMaybeOverShare = 0.92;
   double mUnderShare = 0.8;
-  /// Weight of the newest look in the mean that must be low, too.
+  /// Weight of the newest poll in the moving average, which must be low, too.
   double mNewestWeight = 0.6;
-  /// Figures say that an image is under its target when they are so many times
-  /// likelier at mUnderShare than at the target.
+  /// The image counts as under its target once the measurements are this many
+  /// times likelier at mUnderShare than at the target.
   double mSureOdds = 4;
-  /// Bounds of the deviation of a figure's logarithm.
+  /// Bounds of the standard deviation of a measurement's logarithm.
   double mMinNoise = 0.08;
   double mMaxNoise = 0.3;
-  /// Step by which the estimate of that deviation follows each figure.
+  /// Factor by which each measurement adjusts the estimate of that deviation.
   double mNoiseStep = 1.1;
-  /// A figure that does not change for so long is taken for a new one.
-  Duration mFigureSpan = std::chrono::milliseconds(500);
+  /// A value that stays the same for this long counts as a new measurement.
+  Duration mMeasurementSpan = std::chrono::milliseconds(500);
 };
 
-/// Tells for how long an image has been over its target, from rough figures
-/// that come at any intervals. The time is over when the newest figures are low
-/// and a sequential test, with the noise that the figures themselves show,
-/// rules out chance. Pure.
+/// Measures how long an image has been over its target, from noisy measurements
+/// at irregular intervals. The time ends when the newest measurements are low
+/// and a sequential probability ratio test, with the noise estimated from the
+/// measurements, confirms it. Does no I/O.
 class OverTargetTimer
 {
 public:
-  /// The image's worst tail latency in a look at `aNow`, over the target.
+  /// `aShare` is the image's worst tail latency in a poll at `aNow`, as a share
+  /// of the target.
   void Update(double aShare, const OverTargetSettings& aSettings, Instant aNow);
 
   bool IsOver() const { return mSince.has_value(); }
-  /// Since the last look that showed the image under its target; zero while it
-  /// is under.
+  /// Time since the last poll that showed the image under its target; zero
+  /// while it is under.
   Duration TimeOver(Instant aNow) const;
 
 private:
-  /// A figure that has not been taken yet; several looks may show the same one.
-  void AddFigure(double aFigure, const OverTargetSettings& aSettings);
+  /// Called once per measurement; several polls may return the same one.
+  void AddMeasurement(double aMeasurement, const OverTargetSettings& aSettings);
 
   std::optional<Instant> mSince;
   std::optional<Instant> mLastPoll;
-  double mMean = 0;   ///< Of the logarithms of the shares, by look.
-  double mFigure = 0; ///< Logarithm of the newest figure.
-  Instant mFigureAt{};
-  double mDifference = 0; ///< Median of that of two figures.
-  /// Logarithm of the odds that the image is under its target, since it was
-  /// likeliest at it.
+  double mMean = 0; ///< Moving average of the shares' logarithms, per poll.
+  double mMeasurement = 0; ///< Logarithm of the newest measurement.
+  Instant mMeasuredAt{};
+  double mDifference = 0; ///< Median difference of two successive measurements.
+  /// Cumulative log likelihood ratio for the image being under its target;
+  /// never below 0.
   double mUnderOdds = 0;
 };
 
--- a/src/core/cell/OwnerLoad.cpp
+++ b/src/core/cell/OwnerLoad.cpp
@@ -51,7 +51,7 @@
   for (std::size_t i = 0; i < kOwnerWorks; ++i) {
     const auto work = static_cast<OwnerWork>(i);
     const Duration spent = aSummary.Spent(work);
-    // Lines are written within the other kinds of work.
+    // Log lines are written during the other kinds of work.
     known += work == OwnerWork::Logs ? Duration::zero() : spent;
     absl::StrAppend(&text,
                     std::string(ToString(work)),
--- a/src/core/cell/OwnerLoad.h
+++ b/src/core/cell/OwnerLoad.h
@@ -12,26 +12,26 @@
 
 namespace foxtailbarrow::cell {
 
-/// Kinds of work that take an owner's processor time.
+/// Kinds of work that use an owner's processor time.
 enum class OwnerWork : std::uint8_t
 {
-  Text,    ///< Messages of other processes, to and from their text.
-  Reports, ///< Reports of agents, into what is known of the workers.
-  Rounds,  ///< Rounds of placing.
-  Records, ///< Progress of jobs, into the text that is stored.
-  Logs,    ///< Lines of decisions; a part of the two kinds before.
+  Text,    ///< Encoding and decoding messages of other processes.
+  Reports, ///< Applying reports of agents to the state of the workers.
+  Rounds,  ///< Scheduling rounds.
+  Records, ///< Encoding job progress for the store.
+  Logs,    ///< Log lines of decisions; included in Rounds and Records.
 };
 inline constexpr std::size_t kOwnerWorks = 5;
 
 std::string_view ToString(OwnerWork aWork);
 
-/// What waits longer in an owner that is behind.
+/// Waiting times that grow when an owner falls behind.
 enum class OwnerWait : std::uint8_t
 {
-  Loop,   ///< A fiber that was due.
-  Report, ///< An agent, for the reply to a report.
-  Order,  ///< A task, from the decision on it to its agent's answer.
-  Record, ///< A job's progress, ends included, until the store has it.
+  Loop,   ///< A ready fiber, until it runs.
+  Report, ///< An agent, until its report is answered.
+  Order,  ///< A task, from the decision to its agent's answer.
+  Record, ///< A job's progress, ends included, until it is saved.
 };
 inline constexpr std::size_t kOwnerWaits = 4;
 
@@ -42,12 +42,12 @@
 {
   Duration mInterval{};
   std::array<Duration, kOwnerWorks> mSpent{};
-  Duration mProcessor{}; ///< All of the process, the system's part included.
+  Duration mProcessor{}; ///< Of the whole process, user and system time.
   std::array<Duration, kOwnerWaits> mLongest{};
   std::int64_t mReports = 0;
   std::int64_t mRounds = 0;
   Duration mLongestRound{};
-  /// Wishes for a round that came before one was allowed.
+  /// Requests for a round that came before RoundPacing allowed one.
   std::int64_t mRoundsDeferred = 0;
 
   Duration Spent(OwnerWork aWork) const
@@ -60,14 +60,14 @@
   }
 };
 
-/// Shares of one core in thousandths by kind of work, for a log line; `rest` is
-/// what no kind accounts for: the kernel, HTTP, other requests.
+/// Shares of one core by kind of work, in thousandths, for a log line. `rest`
+/// is the time of no kind: the kernel, HTTP, other requests.
 std::string SharesText(const OwnerLoadSummary& aSummary);
 /// The longest waits in milliseconds, for a log line.
 std::string WaitsText(const OwnerLoadSummary& aSummary);
 
-/// Accounts for what an owner does and what waits for it. Pure: times are
-/// passed in.
+/// Accounts for an owner's work and for what waits for it. Does no I/O; times
+/// are passed in.
 class OwnerLoad
 {
 public:
--- a/src/core/cell/OwnerSurvey.h
+++ b/src/core/cell/OwnerSurvey.h
@@ -8,8 +8,9 @@
 
 namespace foxtailbarrow::cell {
 
-/// What the other schedulers know of the cell's owner, asked one after the
-/// other by a scheduler that owned it when it last reached the store.
+/// Collects what the other schedulers know of the cell's owner. A scheduler
+/// that owned the cell when it last reached the store asks them one after the
+/// other.
 class OwnerSurvey
 {
 public:
@@ -18,7 +19,8 @@
   {
   }
 
-  /// One of them answered; 0 = it has seen no owner since it started.
+  /// `aKnown`: newest generation known to the peer; 0 = it has seen no owner
+  /// since it started.
   void OnAnswer(Generation aKnown)
   {
     mSilent -= mSilent > 0 ? 1 : 0;
@@ -26,9 +28,10 @@
     mNewest = std::max(mNewest, aKnown);
   }
 
-  /// Nobody has owned the cell after `aOwn`, so that nobody has told a caller
-  /// what that owner does not know. Of one that does not answer, or that has
-  /// seen no owner, nothing is known: it may have been the owner and died.
+  /// True when no scheduler has owned the cell after generation `aOwn`, so that
+  /// no caller was given an answer that this owner does not know. False when a
+  /// peer does not answer or has seen no owner: it may have been the owner and
+  /// crashed.
   bool HasNoLaterOwner(Generation aOwn) const
   {
     return mSilent == 0 && mOldest > 0 && mNewest <= aOwn;
--- a/src/core/cell/OwnerTerm.h
+++ b/src/core/cell/OwnerTerm.h
@@ -9,12 +9,13 @@
 
 namespace foxtailbarrow::cell {
 
-/// How long the owner of a cell may grant leases.
+/// Limits how long the owner of a cell may grant leases.
 ///
-/// A confirmation is a call that the store answered in a way that shows this
-/// owner's record unchanged. It is dated by its sending, so that a taker's
-/// transaction came later than that. Leases end within mOwnershipTimeout of it,
-/// which is what a taker waits for where an agent does not answer.
+/// A confirmation is a store call whose answer shows this owner's record
+/// unchanged. It counts from the time the call was sent, so that the
+/// transaction of any successor is later. Leases end within mOwnershipTimeout
+/// of it, which is how long a successor waits for an agent that does not
+/// answer.
 class OwnerTerm
 {
 public:
@@ -39,19 +40,20 @@
     mConfirmedAt = std::max(mConfirmedAt, aSentAt);
   }
 
-  /// The owner's key was written or renewed for `aTtl` by a call sent then.
+  /// The owner's key was written or renewed for `aTtl` by a call sent at
+  /// `aSentAt`.
   void ExtendKey(Instant aSentAt, Duration aTtl)
   {
     mKeyUntil = std::max(mKeyUntil, aSentAt + aTtl);
   }
 
-  /// No other scheduler owns the cell, so that what is known here is the
-  /// newest. Shorter than what GrantAt() rests on, as another one may own the
-  /// cell before the last leases of this one have run out.
+  /// True while no other scheduler can own the cell, so that the state known
+  /// here is the newest. Ends before GrantAt() does, as another scheduler may
+  /// own the cell before the last leases of this one expire.
   bool IsSole(Instant aNow) const { return aNow < mKeyUntil; }
 
-  /// The lease that may be granted now; zero when the store has been silent for
-  /// too long.
+  /// The longest lease that may be granted now; zero when the store has not
+  /// confirmed the owner for too long.
   Duration GrantAt(Instant aNow) const
   {
     const Duration left = mConfirmedAt + mSettings.mOwnershipTimeout - aNow;
--- a/src/core/cell/PeerAvailability.h
+++ b/src/core/cell/PeerAvailability.h
@@ -9,38 +9,37 @@
 
 namespace foxtailbarrow::cell {
 
-/// Which other schedulers need not be asked, as they do not answer: a request
-/// that asks a dead one waits for its time-out, and what was sent to a frozen
-/// one can't be refused as not run. One request at a time finds out whether it
-/// is back. Pure.
+/// Decides which other schedulers are asked. One that does not answer is
+/// skipped: a request to a crashed one waits for its timeout, and a request
+/// sent to a frozen one can't be refused as not run. One request at a time
+/// probes whether it is back. Does no I/O.
 class PeerAvailability
 {
 public:
-  /// Longer than the timeout of a connection, shorter than a restart takes
-  /// with its first look at the store.
+  /// Longer than a connection timeout, shorter than a restart up to the first
+  /// read of the store.
   static constexpr Duration kSkippedFor = std::chrono::milliseconds(2000);
-  /// Of an answer by a scheduler that the store serves.
+  /// Upper bound for the answer of a scheduler that reaches the store.
   static constexpr Duration kUsualAnswerTime = std::chrono::milliseconds(100);
 
-  /// True when the scheduler may be asked; where it has not answered before,
-  /// by this request alone.
+  /// True when the scheduler may be asked. If its last request timed out, only
+  /// this request may ask it for now.
   bool MayAsk(const Endpoint& aPeer, Instant aNow);
 
-  /// It is asked now.
   void OnAsked(const Endpoint& aPeer, Instant aNow);
-  /// What was asked then is answered.
+  /// The request sent at `aAskedAt` was answered.
   void OnAnswered(const Endpoint& aPeer, Instant aAskedAt);
-  /// It has not answered in time.
+  /// It timed out.
   void OnSilent(const Endpoint& aPeer, Instant aAskedAt, Instant aNow);
-  /// It could not be asked, and said so at once.
+  /// The connection was refused at once, so nothing was sent.
   void OnRefused(const Endpoint& aPeer, Instant aAskedAt);
 
 private:
   struct Peer
   {
-    std::multiset<Instant> mAsked; ///< Without an answer yet.
+    std::multiset<Instant> mAsked; ///< Send times of unanswered requests.
     Instant mSkippedUntil{};
-    bool mSilent = false; ///< It did not answer the last time.
+    bool mSilent = false; ///< The last request timed out.
   };
 
   static void Settle(Peer& aPeer, Instant aAskedAt);
--- a/src/core/cell/PollIntervalEstimator.cpp
+++ b/src/core/cell/PollIntervalEstimator.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A machine that was late may be late again for so long.
+/// How long a late poll is remembered: an overloaded machine is often late
+/// again.
 constexpr Duration kRemembered = std::chrono::seconds(10);
 
 } // namespace
@@ -14,9 +15,9 @@
 void PollIntervalEstimator::Update(Instant aNow)
 {
   if (mLastPoll) {
-    const Duration gap = aNow - *mLastPoll;
-    if (gap >= mLongest || aNow - mLongestAt > kRemembered) {
-      mLongest = gap;
+    const Duration interval = aNow - *mLastPoll;
+    if (interval >= mLongest || aNow - mLongestAt > kRemembered) {
+      mLongest = interval;
       mLongestAt = aNow;
     }
   }
--- a/src/core/cell/PollIntervalEstimator.h
+++ b/src/core/cell/PollIntervalEstimator.h
@@ -6,14 +6,14 @@
 
 namespace foxtailbarrow::cell {
 
-/// Foresees when the next look at a worker comes: as late as the latest one of
-/// the last few seconds. Pure.
+/// Predicts the interval to the next poll of a worker: the longest one of the
+/// last few seconds. Does no I/O.
 class PollIntervalEstimator
 {
 public:
   void Update(Instant aNow);
 
-  /// Between two looks; zero before the second one.
+  /// Interval between two polls; zero before the second one.
   Duration Expected() const { return mLongest; }
 
 private:
--- a/src/core/cell/QueuePolicy.h
+++ b/src/core/cell/QueuePolicy.h
@@ -10,17 +10,20 @@
 
 namespace foxtailbarrow::cell {
 
-/// Operator's settings of one queue, as of the newest configuration.
+/// Operator's settings of one queue, from the newest configuration.
 struct QueuePolicy
 {
   QueueId mQueue;
-  ServiceId mService;         ///< Whose workers run the tasks.
-  std::int32_t mPriority = 0; ///< 0 goes first.
+  ServiceId mService;         ///< The tasks run on the workers of this service.
+  std::int32_t mPriority = 0; ///< 0 is placed first.
   std::int32_t mAttempts = 1; ///< Failed runs of a task until the job fails.
-  double mStretch = 1.0;      ///< Of the longest chain of estimates.
-  Duration mAllowance{};      ///< Added to the stretched chain.
-  std::optional<AdvicePolicy> mAdvice; ///< Another service chooses workers.
-  bool mWorkersGuard = false;          ///< Workers refuse what does not fit.
+  /// A job is allowed mStretch times its longest chain of estimates, plus
+  /// mAllowance.
+  double mStretch = 1.0;
+  Duration mAllowance{};
+  /// Set when another service chooses the workers.
+  std::optional<AdvicePolicy> mAdvice;
+  bool mWorkersGuard = false; ///< Workers refuse tasks that do not fit.
 
   bool operator==(const QueuePolicy&) const = default;
 };
--- a/src/core/cell/RoundPacing.h
+++ b/src/core/cell/RoundPacing.h
@@ -6,31 +6,32 @@
 
 namespace foxtailbarrow::cell {
 
-/// Spaces rounds of placing, so that an owner has time left for reports and
-/// orders when rounds get long. Pure.
+/// Spaces scheduling rounds, so that an owner has time left for reports and
+/// orders when rounds get long. Does no I/O.
 class RoundPacing
 {
 public:
-  /// Events that come within this are decided on together.
+  /// Events within this time are handled by one round.
   static constexpr Duration kBatchingTime = std::chrono::milliseconds(2);
-  /// Share of the time that rounds may take. A task waits for half of the time
-  /// between two rounds on average.
+  /// Share of the time that rounds may take. On average a task waits for half
+  /// the time between two rounds.
   static constexpr double kShare = 0.15;
-  /// However long rounds take, one comes so often: what lapses is seen then.
-  static constexpr Duration kLongestPause = std::chrono::milliseconds(100);
+  /// A round starts at least this often, however long rounds take: expiries are
+  /// detected in it.
+  static constexpr Duration kMaxPause = std::chrono::milliseconds(100);
 
   void RecordRound(Duration aTook)
   {
     const auto pause = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, Duration::period>(aTook) * (1.0 - kShare) /
       kShare);
-    mPause = std::clamp<Duration>(pause, kBatchingTime, kLongestPause);
+    mPause = std::clamp<Duration>(pause, kBatchingTime, kMaxPause);
   }
 
-  /// From the wish for a round, or the end of the last one, to the next.
+  /// From the request for a round, or the end of the last one, to the next.
   Duration Pause() const { return mPause; }
 
-  /// True while rounds are further apart than events are gathered.
+  /// True while rounds are further apart than kBatchingTime.
   bool Stretched() const { return mPause > kBatchingTime; }
 
 private:
--- a/src/core/cell/StoreHealth.h
+++ b/src/core/cell/StoreHealth.h
@@ -7,20 +7,19 @@
 
 namespace foxtailbarrow::cell {
 
-/// Tells whether the store answers, from the calls under way. A write that is
-/// sent into a silent store leaves its request in doubt; one that is not sent
-/// can be refused as not run.
+/// Tracks whether the store answers, from the calls in progress. A write sent
+/// to a silent store leaves its request in doubt; one that is not sent can be
+/// refused as not run.
 class StoreHealth
 {
 public:
-  /// Calls unanswered for so long, with no other answer meanwhile, mean that
-  /// the store is silent. Above the time that a slow store takes.
+  /// The store is silent when a call is unanswered for this long with no other
+  /// answer meanwhile. Longer than a slow store takes.
   static constexpr Duration kSilentAfter = std::chrono::milliseconds(450);
 
   void OnSent(Instant aNow) { mSent.insert(aNow); }
 
-  /// Something was heard of the store besides the ends of calls: a watch's
-  /// answer.
+  /// The store answered other than by ending a call: a watch response.
   void OnAnswer(Instant aNow)
   {
     mAnsweredAt = aNow;
@@ -48,11 +47,11 @@
            aNow - std::max(*mSent.begin(), mAnsweredAt) < kSilentAfter;
   }
 
-  /// Since the newest answer; a small read that only shows whether the store
-  /// answers is not needed within a moment of one.
+  /// Time since the newest answer. A read that only probes the store is not
+  /// needed shortly after one.
   Duration SinceAnswer(Instant aNow) const { return aNow - mAnsweredAt; }
 
-  /// For how long the store has not answered; 0 while it does.
+  /// How long the store has not answered; 0 while it does.
   Duration SilentFor(Instant aNow) const
   {
     if (Answers(aNow)) {
@@ -67,8 +66,8 @@
 private:
   std::multiset<Instant> mSent;
   Instant mAnsweredAt{};
-  Instant
-    mSilentSince{}; ///< A call ended without an answer and none came since.
+  /// When the call was sent that ended without an answer, if none came since.
+  Instant mSilentSince{};
 };
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/TaskMetadataTable.cpp
+++ b/src/core/cell/TaskMetadataTable.cpp
@@ -4,23 +4,24 @@
 
 namespace {
 
-/// A task that is not in so many looks has ended. Not at the first one: a look
-/// that was sent before a start was answered does not show the task.
-constexpr int kMissedLooks = 100;
+/// A task missing from this many consecutive polls has ended. More than one,
+/// because a poll that was sent before a start was answered does not list the
+/// task.
+constexpr int kMissedPolls = 100;
 
 } // namespace
 
-TaskMetadataTable::Entry& TaskMetadataTable::Set(const TaskMetadata& aTraits)
+TaskMetadataTable::Entry& TaskMetadataTable::Set(const TaskMetadata& aMetadata)
 {
-  Entry& entry = mEntries[aTraits.mTask];
-  entry.mMetadata = aTraits;
+  Entry& entry = mEntries[aMetadata.mTask];
+  entry.mMetadata = aMetadata;
   entry.mMissed = 0;
   return entry;
 }
 
-void TaskMetadataTable::OnStart(const TaskMetadata& aTraits, RunNumber aRun)
+void TaskMetadataTable::OnStart(const TaskMetadata& aMetadata, RunNumber aRun)
 {
-  Set(aTraits).mStarted = aRun;
+  Set(aMetadata).mStarted = aRun;
 }
 
 const TaskMetadataTable::Entry* TaskMetadataTable::Find(
@@ -56,7 +57,7 @@
 void TaskMetadataTable::EndPoll()
 {
   std::erase_if(mEntries, [](const auto& aEntry) {
-    return aEntry.second.mMissed > kMissedLooks;
+    return aEntry.second.mMissed > kMissedPolls;
   });
 }
 
--- a/src/core/cell/TaskMetadataTable.h
+++ b/src/core/cell/TaskMetadataTable.h
@@ -6,8 +6,8 @@
 
 namespace foxtailbarrow::cell {
 
-/// What an agent knows of the tasks that its worker runs or may run: what they
-/// are, and which runs of them it has started itself. Pure.
+/// Metadata of the tasks that an agent's worker runs or may run, and the runs
+/// that this agent started. Does no I/O.
 class TaskMetadataTable
 {
 public:
@@ -15,22 +15,22 @@
   {
     TaskMetadata mMetadata;
     RunNumber mStarted = 0; ///< The run that this agent started; 0 = none.
-    int mMissed = 0;        ///< Looks in a row that did not show it.
+    int mMissed = 0;        ///< Consecutive polls without it.
   };
 
-  Entry& Set(const TaskMetadata& aTraits);
-  void OnStart(const TaskMetadata& aTraits, RunNumber aRun);
+  Entry& Set(const TaskMetadata& aMetadata);
+  void OnStart(const TaskMetadata& aMetadata, RunNumber aRun);
 
-  /// Null when nothing is known of the task.
+  /// Null when the task is not known.
   const Entry* Find(const TaskRef& aTask) const;
-  /// The image of a task that is known.
+  /// The image of a known task.
   const std::string& ImageOf(const TaskRef& aTask) const;
 
-  /// Before the tasks of a look are seen.
+  /// Called before the tasks of a poll are passed to OnObserved().
   void BeginPoll();
-  /// The look shows the task. Null when nothing is known of it.
+  /// The poll lists the task. Null when it is not known.
   const Entry* OnObserved(const TaskRef& aTask);
-  /// Forgets tasks that looks have not shown for long.
+  /// Removes tasks that have been missing from the polls for long.
   void EndPoll();
 
 private:
--- a/src/core/cell/TaskTime.cpp
+++ b/src/core/cell/TaskTime.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Of the demand: below the first share a task counts as stalled, below the
-/// second one as slowed.
+/// Shares of the demand: below the first a task counts as stalled, below the
+/// second as slowed.
 constexpr double kStalledBelow = 0.3;
 constexpr double kSlowedBelow = 0.8;
 
--- a/src/core/cell/TaskTime.h
+++ b/src/core/cell/TaskTime.h
@@ -6,20 +6,19 @@
 
 namespace foxtailbarrow::cell {
 
-/// Where the time of a leftover task went since its step could start, over all
-/// its runs, by the figures of the processors it used.
+/// How a best-effort task spent its time since its step could start, over all
+/// its runs, by its measured processor use.
 struct TaskTime
 {
   Duration mWaited{};  ///< Without a run.
-  Duration mStalled{}; ///< Hardly at work.
-  Duration mSlowed{};  ///< At work with a part of its demand.
-  Duration mWorked{};  ///< With nearly all of it.
+  Duration mStalled{}; ///< Nearly idle.
+  Duration mSlowed{};  ///< Running with a part of its demand.
+  Duration mWorked{};  ///< Running with nearly all of it.
 
-  /// Adds what a figure covers: `aShare` of the demand, over `aInterval`.
+  /// Adds one measurement: `aShare` of the demand over `aInterval`.
   void AddRunning(double aShare, Duration aInterval);
 };
 
-/// For a log line.
 std::string ToString(const TaskTime& aTime);
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/TaskWorker.h
+++ b/src/core/cell/TaskWorker.h
@@ -13,8 +13,9 @@
 
 namespace foxtailbarrow::cell {
 
-/// Rises with every change of who gives orders to a worker. A worker ignores
-/// orders with a lower one than it has seen.
+/// Fencing token, raised with every change of the agent that gives orders to a
+/// worker. A worker ignores orders with a lower fence than the highest
+/// received.
 using Fence = std::int64_t;
 
 /// Time on the worker's own monotonic clock, in milliseconds.
@@ -27,7 +28,7 @@
   std::string mPayload;
   std::string mCheckpoint;
   std::string mTicket; ///< Empty where none is needed.
-  /// Leases of the worker's tasks last until then; never shortened by this.
+  /// The leases of the worker's tasks are extended to this, never shortened.
   WorkerTimeMs mLeaseEnd = 0;
   Fence mFence = 0;
 };
@@ -39,7 +40,7 @@
   Fence mFence = 0;
 };
 
-/// Slows a task down to a share of full speed.
+/// Throttles a task to a percentage of full speed, 100 = not throttled.
 struct ThrottleCall
 {
   TaskRef mTask;
@@ -48,13 +49,14 @@
   Fence mFence = 0;
 };
 
-/// Asks what runs, and extends the leases of all that does.
+/// Asks which tasks run, and extends their leases.
 struct PollCall
 {
   Fence mFence = 0;
-  std::int64_t mAcknowledged = 0; ///< Ends up to it may be forgotten.
+  std::int64_t mAcknowledged = 0; ///< Ends up to this number may be dropped.
   std::optional<WorkerTimeMs> mLeaseEnd;
-  Duration mWait{}; ///< The answer waits so long for an end.
+  Duration mWait{}; ///< Long poll: how long the worker waits for an end before
+                    ///< it answers.
 };
 
 struct PollReply
@@ -67,23 +69,23 @@
 struct StartReply
 {
   StartOutcome mOutcome = StartOutcome::Started;
-  WorkerTimeMs mClock = 0; ///< 0 = not told.
+  WorkerTimeMs mClock = 0; ///< 0 = not given.
 };
 
-/// The worker beside an agent, which alone may call it. Methods suspend the
-/// calling fiber. An error without an answer carries MayHaveRun: the call may
-/// be carried out seconds later, unless a higher fence arrives first.
-/// Aborted: the worker is another incarnation than the one named.
+/// The worker that an agent manages; only that agent may call it. Methods
+/// suspend the calling fiber. An error without an answer carries MayHaveRun:
+/// the call may take effect seconds later, unless a higher fence arrives first.
+/// Aborted: the worker is another incarnation than the expected one.
 class TaskWorker
 {
 public:
   virtual ~TaskWorker() = default;
 
-  /// Orders are meant for this incarnation alone.
+  /// Later orders are valid for this incarnation only.
   virtual void Expect(const WorkerIncarnation& aIncarnation) = 0;
 
-  /// Whether this incarnation answers at the worker's address now, whatever
-  /// Expect() named. Changes nothing there but the highest fence seen.
+  /// Whether this incarnation answers at the worker's address now, independent
+  /// of Expect(). Changes nothing at the worker except its highest fence.
   virtual absl::StatusOr<bool> IsPresent(const WorkerIncarnation& aIncarnation,
                                          Fence aFence,
                                          Duration aTimeout) = 0;
--- a/src/core/cell/ThrottleCause.h
+++ b/src/core/cell/ThrottleCause.h
@@ -8,21 +8,22 @@
 
 enum class ThrottleReason : std::uint8_t
 {
-  Interferes,  ///< It presses most on a serving task that is over its target.
-  LongOver,    ///< It may press, and one has been over its target for long.
-  TooLongOver, ///< As LongOver, whatever it presses.
-  HasHeadroom, ///< The serving tasks beside it have room.
+  Interferes, ///< It interferes most with a serving task over its target.
+  LongOver,   ///< It may interfere with one that has long been over its target.
+  TooLongOver, ///< As LongOver, for even longer; its own weight does not
+               ///< matter.
+  HasHeadroom, ///< The colocated serving tasks have headroom.
 };
 
 std::string_view ToString(ThrottleReason aReason);
 
-/// What a pace rests on, for the log.
+/// Why a throttle was set, for the log.
 struct ThrottleCause
 {
   ThrottleReason mReason = ThrottleReason::HasHeadroom;
   std::string mServing; ///< Image of the serving task; empty with HasHeadroom.
-  double mLatencyShare = 0; ///< Its tail latency over its target.
-  double mPerCore = 0;      ///< Weight of the pair of images for each core.
+  double mLatencyShare = 0; ///< Its tail latency as a share of its target.
+  double mPerCore = 0; ///< Interference weight of the pair of images per core.
 };
 
 } // namespace foxtailbarrow::cell
--- a/src/core/cell/ThrottleController.cpp
+++ b/src/core/cell/ThrottleController.cpp
@@ -12,17 +12,18 @@
 constexpr std::int32_t kFull = 100;
 constexpr double kFullShare = 100.0;
 constexpr double kMillicores = 1000.0;
-/// Cores that a task at a standstill is taken to use at full pace.
+/// Cores that a stopped task is assumed to use at full speed.
 constexpr double kUnknownCores = 6.0;
-/// Part of the room that one round of raises may use up, since figures lag.
+/// Part of the headroom that one round of raises may use, since measurements
+/// lag.
 constexpr double kRaiseShare = 0.6;
 /// Steps below this are not worth a call.
 constexpr std::int32_t kSmallestStep = 5;
 
-double ShareOfTarget(const TaskMetadata& aTraits, std::int64_t aLatencyMs)
+double ShareOfTarget(const TaskMetadata& aMetadata, std::int64_t aLatencyMs)
 {
   return static_cast<double>(aLatencyMs) /
-         std::chrono::duration<double, std::milli>(aTraits.mLatencyTarget)
+         std::chrono::duration<double, std::milli>(aMetadata.mLatencyTarget)
            .count();
 }
 
@@ -33,21 +34,21 @@
 {
 }
 
-void ThrottleController::SetMetadata(const TaskMetadata& aTraits)
+void ThrottleController::SetMetadata(const TaskMetadata& aMetadata)
 {
-  mMetadata.Set(aTraits);
+  mMetadata.Set(aMetadata);
 }
 
-void ThrottleController::OnStart(const TaskMetadata& aTraits, RunNumber aRun)
+void ThrottleController::OnStart(const TaskMetadata& aMetadata, RunNumber aRun)
 {
-  mMetadata.OnStart(aTraits, aRun);
+  mMetadata.OnStart(aMetadata, aRun);
 }
 
 void ThrottleController::SetInterferenceWeights(
-  std::span<const InterferenceWeight> aPressures)
+  std::span<const InterferenceWeight> aWeights)
 {
-  for (const InterferenceWeight& pressure : aPressures) {
-    mPerCore[{ pressure.mServing, pressure.mBestEffort }] = pressure.mPerCore;
+  for (const InterferenceWeight& weight : aWeights) {
+    mPerCore[{ weight.mServing, weight.mBestEffort }] = weight.mPerCore;
   }
 }
 
@@ -73,31 +74,31 @@
 }
 
 void ThrottleController::UpdateBestEffort(
-  const TaskMetadataTable::Entry& aKnown,
+  const TaskMetadataTable::Entry& aEntry,
   const RunningTask& aRunning)
 {
-  BestEffortTask& leftover = mBestEffort[aRunning.mTask];
-  if (leftover.mRun != aRunning.mRun) {
-    leftover = {};
-    leftover.mRun = aRunning.mRun;
-    if (aKnown.mStarted != aRunning.mRun) {
-      // An earlier agent may have slowed it down.
-      leftover.mInForce.reset();
-      leftover.mWanted = aRunning.mFigure > 0 ? kFull : 0;
+  BestEffortTask& bestEffort = mBestEffort[aRunning.mTask];
+  if (bestEffort.mRun != aRunning.mRun) {
+    bestEffort = {};
+    bestEffort.mRun = aRunning.mRun;
+    if (aEntry.mStarted != aRunning.mRun) {
+      // An earlier agent may have throttled it.
+      bestEffort.mInForce.reset();
+      bestEffort.mWanted = aRunning.mFigure > 0 ? kFull : 0;
     }
   }
-  leftover.mCores = static_cast<double>(aRunning.mFigure) / kMillicores;
-  leftover.mSeen = true;
+  bestEffort.mCores = static_cast<double>(aRunning.mFigure) / kMillicores;
+  bestEffort.mObserved = true;
 }
 
 void ThrottleController::OnPoll(std::span<const RunningTask> aRunning,
                                 Instant aNow)
 {
   for (auto& [image, serving] : mServing) {
-    serving.mSeen = false;
+    serving.mObserved = false;
   }
-  for (auto& [task, leftover] : mBestEffort) {
-    leftover.mSeen = false;
+  for (auto& [task, bestEffort] : mBestEffort) {
+    bestEffort.mObserved = false;
   }
   mMetadata.BeginPoll();
   std::map<std::string, double> worst; ///< Share of the target, by image.
@@ -108,32 +109,32 @@
       ++mUnknownTasks;
       continue;
     }
-    const TaskMetadata& traits = known->mMetadata;
-    if (traits.mLatencyTarget > Duration::zero()) {
-      // A gap in its figures does not end the time that it is over.
-      if (const auto image = mServing.find(traits.mImage);
+    const TaskMetadata& metadata = known->mMetadata;
+    if (metadata.mLatencyTarget > Duration::zero()) {
+      // A poll without a measurement does not end its time over the target.
+      if (const auto image = mServing.find(metadata.mImage);
           image != mServing.end()) {
-        image->second.mSeen = true;
+        image->second.mObserved = true;
       }
-      // While it starts up its figure says nothing.
+      // Its measurement is meaningless while it starts up.
       if (running.mFigure > 0 && running.mPercent == kFull) {
-        double& share = worst[traits.mImage];
-        share = std::max(share, ShareOfTarget(traits, running.mFigure));
+        double& share = worst[metadata.mImage];
+        share = std::max(share, ShareOfTarget(metadata, running.mFigure));
       }
     }
-    if (traits.mBestEffort) {
+    if (metadata.mBestEffort) {
       UpdateBestEffort(*known, running);
     }
   }
   for (const auto& [image, share] : worst) {
     UpdateServing(image, share, aNow);
-    mServing.at(image).mSeen = true;
+    mServing.at(image).mObserved = true;
   }
   mMetadata.EndPoll();
   std::erase_if(mServing,
-                [](const auto& aEntry) { return !aEntry.second.mSeen; });
+                [](const auto& aEntry) { return !aEntry.second.mObserved; });
   std::erase_if(mBestEffort,
-                [](const auto& aEntry) { return !aEntry.second.mSeen; });
+                [](const auto& aEntry) { return !aEntry.second.mObserved; });
 }
 
 double ThrottleController::InterferenceOf(
@@ -141,7 +142,7 @@
   const TaskRef& aTask,
   const BestEffortTask& aBestEffort) const
 {
-  // At full pace; a slowed task uses less than it would.
+  // At full speed; a throttled task uses less than it would.
   const double cores =
     aBestEffort.mInForce >= kSmallestStep && aBestEffort.mCores > 0
       ? std::min(kUnknownCores * 2,
@@ -150,42 +151,42 @@
   return PerCore(aServing, mMetadata.ImageOf(aTask)) * cores;
 }
 
-/// Lowers the paces of those that press most, until the pressure is expected to
-/// be lower by `aExcess`.
+/// Throttles the tasks that interfere most, until the interference is expected
+/// to fall by `aExcess`.
 void ThrottleController::Lower(const std::string& aServing, double aExcess)
 {
-  std::vector<std::pair<double, TaskRef>> pressing;
-  for (const auto& [task, leftover] : mBestEffort) {
-    const double pressure = InterferenceOf(aServing, task, leftover);
-    if (pressure > 0 && leftover.mWanted > 0) {
-      pressing.emplace_back(pressure, task);
+  std::vector<std::pair<double, TaskRef>> interfering;
+  for (const auto& [task, bestEffort] : mBestEffort) {
+    const double interference = InterferenceOf(aServing, task, bestEffort);
+    if (interference > 0 && bestEffort.mWanted > 0) {
+      interfering.emplace_back(interference, task);
     }
   }
-  std::ranges::sort(pressing, std::greater());
-  for (const auto& [pressure, task] : pressing) {
+  std::ranges::sort(interfering, std::greater());
+  for (const auto& [interference, task] : interfering) {
     if (aExcess <= 0) {
       return;
     }
-    BestEffortTask& leftover = mBestEffort.at(task);
-    const double now = pressure * leftover.mWanted / kFullShare;
-    const double taken = std::min(now, aExcess);
-    aExcess -= taken;
-    leftover.mWanted = static_cast<std::int32_t>(
-      std::floor(kFullShare * (now - taken) / pressure));
-    leftover.mCause = Cause(ThrottleReason::Interferes, aServing, task);
+    BestEffortTask& bestEffort = mBestEffort.at(task);
+    const double now = interference * bestEffort.mWanted / kFullShare;
+    const double reduction = std::min(now, aExcess);
+    aExcess -= reduction;
+    bestEffort.mWanted = static_cast<std::int32_t>(
+      std::floor(kFullShare * (now - reduction) / interference));
+    bestEffort.mCause = Cause(ThrottleReason::Interferes, aServing, task);
   }
 }
 
 void ThrottleController::Stop(const std::string& aServing,
                               ThrottleReason aReason)
 {
-  const double least =
+  const double minWeight =
     aReason == ThrottleReason::TooLongOver ? 0.0 : mSettings.mHarmlessWeight;
-  for (auto& [task, leftover] : mBestEffort) {
+  for (auto& [task, bestEffort] : mBestEffort) {
     const ThrottleCause cause = Cause(aReason, aServing, task);
-    if (cause.mPerCore >= least && leftover.mWanted > 0) {
-      leftover.mWanted = 0;
-      leftover.mCause = cause;
+    if (cause.mPerCore >= minWeight && bestEffort.mWanted > 0) {
+      bestEffort.mWanted = 0;
+      bestEffort.mCause = cause;
     }
   }
 }
@@ -200,48 +201,49 @@
            .mPerCore = PerCore(aServing, mMetadata.ImageOf(aTask)) };
 }
 
-/// InterferenceWeight that the serving tasks beside it can still take, in units
-/// of this task's pressure at full pace.
+/// Interference that the colocated serving tasks can still absorb, as a share
+/// of what this task causes at full speed.
 double ThrottleController::HeadroomFor(const TaskRef& aTask, Instant aNow) const
 {
-  double room = 1.0;
+  double headroom = 1.0;
   for (const auto& [image, serving] : mServing) {
     if (TimeOver(serving, aNow) > mSettings.mStopAllAfter) {
       return 0;
     }
-    const double pressure = InterferenceOf(image, aTask, mBestEffort.at(aTask));
+    const double interference =
+      InterferenceOf(image, aTask, mBestEffort.at(aTask));
     if (PerCore(image, mMetadata.ImageOf(aTask)) < mSettings.mHarmlessWeight) {
       continue;
     }
-    if (aNow - serving.mLoweredAt < mSettings.mStepEvery) {
+    if (aNow - serving.mLoweredAt < mSettings.mStepInterval) {
       return 0;
     }
     const double left = std::log(mSettings.mAimedShare) - serving.mLatency;
-    room = std::min(room, kRaiseShare * left / pressure);
+    headroom = std::min(headroom, kRaiseShare * left / interference);
   }
-  return std::max(0.0, room);
+  return std::max(0.0, headroom);
 }
 
 void ThrottleController::Raise(Instant aNow)
 {
-  for (auto& [task, leftover] : mBestEffort) {
-    if (leftover.mWanted == kFull ||
-        aNow - leftover.mRaisedAt < mSettings.mStepEvery) {
+  for (auto& [task, bestEffort] : mBestEffort) {
+    if (bestEffort.mWanted == kFull ||
+        aNow - bestEffort.mRaisedAt < mSettings.mStepInterval) {
       continue;
     }
-    const auto room = static_cast<std::int32_t>(
+    const auto headroom = static_cast<std::int32_t>(
       std::floor(HeadroomFor(task, aNow) * kFullShare));
     const std::int32_t step =
-      std::min({ room, mSettings.mRaiseStep, kFull - leftover.mWanted });
+      std::min({ headroom, mSettings.mRaiseStep, kFull - bestEffort.mWanted });
     if (step < kSmallestStep) {
       continue;
     }
-    leftover.mWanted += step;
-    leftover.mRaisedAt = aNow;
-    leftover.mCause = {};
+    bestEffort.mWanted += step;
+    bestEffort.mRaisedAt = aNow;
+    bestEffort.mCause = {};
     for (auto& [image, serving] : mServing) {
       serving.mLatency +=
-        InterferenceOf(image, task, leftover) * step / kFullShare;
+        InterferenceOf(image, task, bestEffort) * step / kFullShare;
     }
   }
 }
@@ -258,11 +260,11 @@
                   mPollInterval.Expected() - mSettings.mUsualPollInterval);
 }
 
-void ThrottleController::Relieve(Instant aNow)
+void ThrottleController::ReduceInterference(Instant aNow)
 {
   for (auto& [image, serving] : mServing) {
     if (serving.mLatency > std::log(mSettings.mOverTargetShare) &&
-        aNow - serving.mLoweredAt >= mSettings.mStepEvery) {
+        aNow - serving.mLoweredAt >= mSettings.mStepInterval) {
       Lower(image, serving.mLatency - std::log(mSettings.mAimedShare));
       serving.mLoweredAt = aNow;
     }
@@ -292,12 +294,12 @@
 {
   mPollInterval.Update(aNow);
   OnPoll(aRunning, aNow);
-  Relieve(aNow);
+  ReduceInterference(aNow);
   Raise(aNow);
   std::vector<ThrottleChange> changes;
-  for (auto& [task, leftover] : mBestEffort) {
-    if (IsDue(leftover)) {
-      changes.push_back(ChangeOf(task, leftover));
+  for (auto& [task, bestEffort] : mBestEffort) {
+    if (IsDue(bestEffort)) {
+      changes.push_back(ChangeOf(task, bestEffort));
     }
   }
   return changes;
@@ -316,15 +318,15 @@
              aBestEffort.mWanted > *aBestEffort.mInForce };
 }
 
-const std::string* ThrottleController::Protected(const TaskRef& aTask,
-                                                 Instant aNow) const
+const std::string* ThrottleController::ServingToProtect(const TaskRef& aTask,
+                                                        Instant aNow) const
 {
-  const std::string& leftover = mMetadata.ImageOf(aTask);
+  const std::string& bestEffortImage = mMetadata.ImageOf(aTask);
   for (const auto& [image, serving] : mServing) {
-    const bool mayPress =
-      PerCore(image, leftover) >= mSettings.mHarmlessWeight ||
+    const bool mayInterfere =
+      PerCore(image, bestEffortImage) >= mSettings.mHarmlessWeight ||
       TimeOver(serving, aNow) > mSettings.mStopAllAfter;
-    if (serving.mTimer.IsOver() && mayPress) {
+    if (serving.mTimer.IsOver() && mayInterfere) {
       return &image;
     }
   }
@@ -344,24 +346,24 @@
   started.mTask = aTask;
   started.mRun = aRun;
   UpdateBestEffort(*known, started);
-  const std::string* serving = Protected(aTask, aNow);
+  const std::string* serving = ServingToProtect(aTask, aNow);
   if (serving == nullptr) {
     return std::nullopt;
   }
-  BestEffortTask& leftover = mBestEffort.at(aTask);
-  leftover.mWanted = 0;
-  leftover.mCause = Cause(ThrottleReason::Interferes, *serving, aTask);
-  return ChangeOf(aTask, leftover);
+  BestEffortTask& bestEffort = mBestEffort.at(aTask);
+  bestEffort.mWanted = 0;
+  bestEffort.mCause = Cause(ThrottleReason::Interferes, *serving, aTask);
+  return ChangeOf(aTask, bestEffort);
 }
 
 std::vector<OverTarget> ThrottleController::OverTargets(Instant aNow) const
 {
-  std::vector<std::string> beside;
-  for (const auto& [task, leftover] : mBestEffort) {
-    beside.push_back(
-      absl::StrCat(mMetadata.ImageOf(task),
-                   "=",
-                   leftover.mInForce ? absl::StrCat(*leftover.mInForce) : "?"));
+  std::vector<std::string> colocated;
+  for (const auto& [task, bestEffort] : mBestEffort) {
+    colocated.push_back(absl::StrCat(
+      mMetadata.ImageOf(task),
+      "=",
+      bestEffort.mInForce ? absl::StrCat(*bestEffort.mInForce) : "?"));
   }
   std::vector<OverTarget> over;
   for (const auto& [image, serving] : mServing) {
@@ -369,7 +371,7 @@
       over.push_back({ image,
                        serving.mTimer.TimeOver(aNow),
                        std::exp(serving.mLatency),
-                       beside });
+                       colocated });
     }
   }
   return over;
--- a/src/core/cell/ThrottleController.h
+++ b/src/core/cell/ThrottleController.h
@@ -23,29 +23,31 @@
 struct ThrottleSettings
 {
   /// Share of its target that a serving task's tail latency is brought to, and
-  /// the share above which it is.
+  /// the share above which that is done.
   double mAimedShare = 0.85;
   double mOverTargetShare = 1.05;
-  /// Over its target for so long, everything that may disturb a serving task
-  /// stands still; after the second time, every leftover task beside it. Most
-  /// swings pass before.
+  /// When a serving task has been over its target for the first duration, every
+  /// best-effort task that may interfere with it is stopped; after the second,
+  /// every colocated best-effort task. Most load swings are shorter.
   Duration mStopAfter = std::chrono::milliseconds(1400);
   Duration mStopAllAfter = std::chrono::milliseconds(2300);
-  /// Looks that come further apart than this bring the hard stops forward.
+  /// Polls further apart than this make the stops come earlier.
   Duration mUsualPollInterval = std::chrono::milliseconds(500);
-  /// Weight for each core below which an image may work beside a serving task
-  /// that is near its target. Just above the weight that is assumed of unknown
-  /// pairs, most of which are harmless.
+  /// Weight per core below which an image is not throttled for a serving task
+  /// near its target. Just above the prior of unknown pairs, most of which are
+  /// harmless.
   double mHarmlessWeight = 0.03;
   OverTargetSettings mOverTarget;
-  /// Figures cover half a second: a faster step would judge the same one twice.
-  Duration mStepEvery = std::chrono::milliseconds(500);
+  /// A measurement covers half a second: a shorter step would react to the same
+  /// one twice.
+  Duration mStepInterval = std::chrono::milliseconds(500);
   std::int32_t mRaiseStep = 50; ///< Percent.
-  /// Weight of the newest figure in the mean that is judged.
+  /// Weight of the newest measurement in the exponential moving average.
   double mNewestWeight = 0.6;
 };
 
-/// A pace to be set at the worker.
+/// A throttle to set at the worker, in percent of full speed; 100 = not
+/// throttled.
 struct ThrottleChange
 {
   TaskRef mTask;
@@ -53,72 +55,74 @@
   std::int32_t mPercent = 100;
   std::string mImage;
   ThrottleCause mCause;
-  bool mRaises = false; ///< The others are to be set before it.
+  bool mRaises = false; ///< Sent after the changes that lower a throttle.
 };
 
-/// Slows down those leftover tasks of one worker that press a serving task
-/// beside them over its target latency, and speeds them up again. Pure: the
-/// looks go in, paces come out. What presses what comes from the cell's owner;
-/// without its word every image is taken to press a little.
+/// Throttles the best-effort tasks of one worker that push a colocated serving
+/// task over its target latency, and speeds them up again. Does no I/O: poll
+/// results go in, throttle changes come out. The cell's owner supplies the
+/// interference weights; without them every image is assumed to interfere a
+/// little.
 class ThrottleController
 {
 public:
   explicit ThrottleController(ThrottleSettings aSettings = {});
 
-  /// What a task is that runs, or may run.
-  void SetMetadata(const TaskMetadata& aTraits);
-  /// A run of it is about to be started, and works at full pace at first. The
-  /// paces of other runs are not known.
-  void OnStart(const TaskMetadata& aTraits, RunNumber aRun);
-  void SetInterferenceWeights(std::span<const InterferenceWeight> aPressures);
+  /// Sets the metadata of a task that runs or may run.
+  void SetMetadata(const TaskMetadata& aMetadata);
+  /// A run of the task is about to be started, at full speed. The throttle of a
+  /// run that was not started here is unknown.
+  void OnStart(const TaskMetadata& aMetadata, RunNumber aRun);
+  void SetInterferenceWeights(std::span<const InterferenceWeight> aWeights);
 
-  /// The pace to be set for a run that has just started, if it is not to work
-  /// at full pace: beside a serving task that is over its target it begins at a
-  /// standstill, as the next look may be late.
+  /// The throttle for a run that has just started, unless it may run at full
+  /// speed. A run that may interfere with a serving task over its target starts
+  /// stopped, as the next poll may be late.
   std::optional<ThrottleChange> ThrottleForStart(const TaskRef& aTask,
                                                  RunNumber aRun,
                                                  Instant aNow);
 
-  /// Paces to be set after a look. A pace stays due until OnThrottled().
+  /// Changes to send after a poll. A change stays due until OnThrottled().
   std::vector<ThrottleChange> Update(std::span<const RunningTask> aRunning,
                                      Instant aNow);
   void OnThrottled(const ThrottleChange& aChange);
-  /// The pace may or may not be in force.
+  /// The change may or may not be in force.
   void OnUnanswered(const ThrottleChange& aChange);
 
-  /// Serving images that were over their target in the newest look.
+  /// Serving images that were over their target in the newest poll.
   std::vector<OverTarget> OverTargets(Instant aNow) const;
-  /// Tasks of the newest look whose traits are not known.
+  /// Tasks of the newest poll whose metadata is not known.
   std::size_t UnknownTasks() const { return mUnknownTasks; }
 
 private:
   struct Serving
   {
-    double mLatency = 0; ///< Logarithm of the worst latency over the target.
+    double mLatency =
+      0; ///< Logarithm of the worst latency as a share of the target.
     OverTargetTimer mTimer;
     Instant mLoweredAt{};
-    bool mSeen = false; ///< In the look that is judged.
+    bool mObserved = false; ///< In the poll being processed.
   };
 
   struct BestEffortTask
   {
     RunNumber mRun = 0;
     std::int32_t mWanted = 100;
-    /// The pace in force; empty when it is not known.
+    /// The throttle in force; empty when it is not known.
     std::optional<std::int32_t> mInForce = 100;
     double mCores = 0; ///< In use over the last half second.
     Instant mRaisedAt{};
-    bool mSeen = false;
-    ThrottleCause mCause; ///< Of the pace that is wanted.
+    bool mObserved = false;
+    ThrottleCause mCause; ///< Of mWanted.
   };
 
-  /// The serving image that the task must not press now.
-  const std::string* Protected(const TaskRef& aTask, Instant aNow) const;
+  /// A serving image over its target that the task may interfere with, or null.
+  const std::string* ServingToProtect(const TaskRef& aTask, Instant aNow) const;
   ThrottleChange ChangeOf(const TaskRef& aTask,
                           const BestEffortTask& aBestEffort) const;
   static bool IsDue(const BestEffortTask& aBestEffort);
   void OnPoll(std::span<const RunningTask> aRunning, Instant aNow);
-  void UpdateBestEffort(const TaskMetadataTable::Entry& aKnown,
+  void UpdateBestEffort(const TaskMetadataTable::Entry& aEntry,
                         const RunningTask& aRunning);
   void UpdateServing(const std::string& aImage, double aShare, Instant aNow);
   double PerCore(const std::string& aServing, const std::string& aImage) const;
@@ -130,10 +134,10 @@
   ThrottleCause Cause(ThrottleReason aReason,
                       const std::string& aServing,
                       const TaskRef& aTask) const;
-  void Relieve(Instant aNow);
+  void ReduceInterference(Instant aNow);
   void Raise(Instant aNow);
-  /// How long the image will have been over its target by the look after the
-  /// next one, at the pace of the looks so far.
+  /// How long the image has been over its target, plus the delay that late
+  /// polls are expected to add.
   Duration TimeOver(const Serving& aServing, Instant aNow) const;
   double HeadroomFor(const TaskRef& aTask, Instant aNow) const;
 
--- a/src/core/cell/Timeliness.cpp
+++ b/src/core/cell/Timeliness.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// A job that ends later than this many times its allowed time earns nothing.
+/// A job that takes longer than this many times its allowed time earns nothing.
 constexpr int kHopelessFactor = 3;
 
-/// Part of the remaining chain that a job which has begun still has before it,
-/// on average.
+/// Average part of the remaining chain that is still to run once a job has
+/// begun.
 constexpr double kBegunShare = 0.5;
 
 } // namespace
--- a/src/core/cell/Timeliness.h
+++ b/src/core/cell/Timeliness.h
@@ -6,7 +6,7 @@
 
 namespace foxtailbarrow::cell {
 
-/// How much a job can still earn, best first.
+/// Whether a job can still meet its deadline, best first.
 enum class Timeliness : std::uint8_t
 {
   OnTime,
@@ -14,12 +14,13 @@
   Hopeless,
 };
 
-/// Of standing tasks, at any age: they earn by the time that they run, and the
-/// oldest job is served first. Batch work that can be on time comes before
-/// them, as it soon frees its room.
+/// Of standing tasks, whatever their age: they earn by running time, and the
+/// oldest job is placed first. Batch work that can be on time precedes them, as
+/// it soon frees its capacity.
 inline constexpr Timeliness kStandingTimeliness = Timeliness::Late;
 
-/// What a job can still earn by one occurrence, by declared run times. Pure.
+/// Classifies one occurrence of a job by the declared run times of its
+/// remaining steps. Does no I/O.
 Timeliness TimelinessOf(const JobEntry& aJob,
                         const OccurrenceEntry& aOccurrence,
                         bool aBegun,
--- a/src/core/cell/WorkerInterference.cpp
+++ b/src/core/cell/WorkerInterference.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-double InterferenceWeightCache::On(const std::string& aServing)
+double InterferenceWeightCache::WeightOn(const std::string& aServing)
 {
   const auto known = std::ranges::find(
     mKnown, aServing, [](const auto& aEntry) { return aEntry.first; });
@@ -33,13 +33,13 @@
   mAt = aNow;
   mRows.clear();
   for (const auto& [job, serving] : aUse.mServing) {
-    double over =
+    double excess =
       -aInterference.Budget(job, serving.mImage, aPlannedShare, aNow);
     for (const auto& [image, millicores] : aUse.mBestEffortByImage) {
-      over += aInterference.PerCore(serving.mImage, image) *
-              static_cast<double>(millicores) / kMillicores;
+      excess += aInterference.PerCore(serving.mImage, image) *
+                static_cast<double>(millicores) / kMillicores;
     }
-    mRows.push_back({ serving.mImage, over });
+    mRows.push_back({ serving.mImage, excess });
   }
 }
 
@@ -49,7 +49,8 @@
   const double cores = static_cast<double>(aMillicores) / kMillicores;
   double worst = 0;
   for (const Row& row : mRows) {
-    worst = std::max(worst, row.mExcess + aWeights.On(row.mServing) * cores);
+    worst =
+      std::max(worst, row.mExcess + aWeights.WeightOn(row.mServing) * cores);
   }
   return worst;
 }
--- a/src/core/cell/WorkerInterference.h
+++ b/src/core/cell/WorkerInterference.h
@@ -12,7 +12,8 @@
 
 namespace foxtailbarrow::cell {
 
-/// Weights of one leftover image on serving images, each looked up once.
+/// Interference weights of one best-effort image on serving images, each looked
+/// up once.
 class InterferenceWeightCache
 {
 public:
@@ -23,8 +24,8 @@
   {
   }
 
-  /// For each core; `aServing` must outlive this object.
-  double On(const std::string& aServing);
+  /// Weight per core; `aServing` must outlive this object.
+  double WeightOn(const std::string& aServing);
 
 private:
   const InterferenceEstimator* mInterference;
@@ -32,20 +33,20 @@
   std::vector<std::pair<std::string_view, double>> mKnown;
 };
 
-/// What presses on the serving tasks of a worker over what they can bear, kept
-/// for a while: a round of placing asks for it once for each image that waits.
-/// Pure.
+/// Caches by how much the best-effort tasks of a worker exceed the latency
+/// budgets of its serving jobs: a scheduling round asks once for each waiting
+/// image. Does no I/O.
 class WorkerInterference
 {
 public:
-  /// The load of serving tasks changes by a third of the logarithm in a second
-  /// at most, and so by little within this.
+  /// Short, as the logarithm of the serving tasks' load changes by up to a
+  /// third in a second.
   static constexpr Duration kMaxAge = std::chrono::milliseconds(100);
 
   /// The worker's tasks changed.
-  void Forget() { mAt = {}; }
+  void Invalidate() { mAt = {}; }
 
-  /// Computes it anew where it was forgotten or is too old.
+  /// Recomputes the rows if they were invalidated or are too old.
   void Refresh(const WorkerUse& aUse,
                const InterferenceEstimator& aInterference,
                double aPlannedShare,
@@ -53,8 +54,8 @@
 
   bool IsKnown() const { return mAt != Instant{}; }
 
-  /// Worst pressure over the budget of any serving job, with `aMillicores` of
-  /// one more leftover image; at least 0.
+  /// Largest interference beyond the budget of any serving job, with
+  /// `aMillicores` of one more best-effort image added; at least 0.
   double WorstExcess(InterferenceWeightCache& aWeights,
                      std::int64_t aMillicores) const;
 
@@ -62,10 +63,10 @@
   struct Row
   {
     std::string mServing;
-    double mExcess = 0; ///< Without anything more.
+    double mExcess = 0; ///< Without the added image.
   };
 
-  std::vector<Row> mRows; ///< One a serving job.
+  std::vector<Row> mRows; ///< One per serving job.
   Instant mAt{};
 };
 
--- a/tests/cell/CandidacyTest.cpp
+++ b/tests/cell/CandidacyTest.cpp
@@ -21,7 +21,7 @@
 class CandidacyTest : public testing::TestWithParam<CandidacyCase>
 {};
 
-TEST_P(CandidacyTest, LetsStrongerOnesGoFirst)
+TEST_P(CandidacyTest, WeakSchedulersWait)
 {
   const Instant start{ std::chrono::seconds(10) };
   Candidacy candidacy(GetParam().mProcessorShare);
@@ -39,7 +39,7 @@
     CandidacyCase{ "WeakWhenNobodyElse", 0.12, milliseconds(500), true }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(CandidacyAgain, AnOwnerSeenBetweenStartsTheWaitAnew)
+TEST(CandidacyAgain, AnOwnerSeenInBetweenRestartsTheWait)
 {
   const Instant start{ std::chrono::seconds(10) };
   Candidacy candidacy(0.12);
--- a/tests/cell/HeartbeatOrderTest.cpp
+++ b/tests/cell/HeartbeatOrderTest.cpp
@@ -8,29 +8,29 @@
 
 namespace {
 
-/// After heartbeat 5 of incarnation "x" was taken.
+/// After heartbeat 5 of incarnation "x" was accepted.
 struct HeartbeatCase
 {
   const char* mName;
   const char* mIncarnation;
   std::int64_t mSequence;
-  bool mGone; ///< "x" has said that it leaves.
-  HeartbeatDecision mUse;
+  bool mLeft; ///< "x" has announced that it leaves.
+  HeartbeatDecision mDecision;
 };
 
 class HeartbeatOrderTest : public testing::TestWithParam<HeartbeatCase>
 {};
 
-TEST_P(HeartbeatOrderTest, JudgesAfterAnother)
+TEST_P(HeartbeatOrderTest, ClassifiesTheNextHeartbeat)
 {
   HeartbeatOrder order;
   order.OnAccepted(WorkerIncarnation("x"), 5);
-  if (GetParam().mGone) {
+  if (GetParam().mLeft) {
     EXPECT_TRUE(order.OnWorkerLeft(WorkerIncarnation("x")));
   }
   EXPECT_EQ(order.Classify(WorkerIncarnation(GetParam().mIncarnation),
                            GetParam().mSequence),
-            GetParam().mUse);
+            GetParam().mDecision);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -63,7 +63,7 @@
                    HeartbeatDecision::Confirm }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(HeartbeatOrderStart, TheFirstIsTaken)
+TEST(HeartbeatOrderStart, TheFirstIsAccepted)
 {
   EXPECT_EQ(HeartbeatOrder().Classify(WorkerIncarnation("x"), 9),
             HeartbeatDecision::Accept);
--- a/tests/cell/JobForwardTest.cpp
+++ b/tests/cell/JobForwardTest.cpp
@@ -41,8 +41,8 @@
       "NotRun",
       JobRefused{ RefusalCause::StoreUnavailable, Verdict::NotRun, "away" },
       true },
-    // What may have been done must not be asked of another one: the answer of
-    // the first stands.
+    // A request that may have been done must not be forwarded to another
+    // scheduler.
     AnswerCase{
       "InDoubt",
       JobRefused{ RefusalCause::Unknown, Verdict::MayHaveRun, "lost" } }),
--- a/tests/cell/LoadFilterTest.cpp
+++ b/tests/cell/LoadFilterTest.cpp
@@ -20,9 +20,9 @@
 struct Wave
 {
   const char* mName;
-  double mReach;
+  double mAmplitude;
   double mPeriodS;
-  double mMostError; ///< Of a forecast of one second.
+  double mMaxError; ///< Of a one-second forecast.
 };
 
 class FollowedWave : public testing::TestWithParam<Wave>
@@ -30,22 +30,23 @@
 protected:
   static double Level(double aSeconds)
   {
-    return -0.75 + GetParam().mReach * std::sin(2 * std::numbers::pi *
-                                                aSeconds / GetParam().mPeriodS);
+    return -0.75 +
+           GetParam().mAmplitude *
+             std::sin(2 * std::numbers::pi * aSeconds / GetParam().mPeriodS);
   }
 };
 
-TEST_P(FollowedWave, IsKnownASecondAhead)
+TEST_P(FollowedWave, IsPredictedASecondAhead)
 {
-  LoadFilter track(-0.5, 0.1, At(0));
-  constexpr double kLookS = 0.1;
-  for (int look = 1; look < 400; ++look) {
-    const double now = look * kLookS;
-    track.Predict(At(now));
-    track.Correct(Level(now) - track.Level(), kNoise);
+  LoadFilter filter(-0.5, 0.1, At(0));
+  constexpr double kStepS = 0.1;
+  for (int step = 1; step < 400; ++step) {
+    const double now = step * kStepS;
+    filter.Predict(At(now));
+    filter.Correct(Level(now) - filter.Level(), kNoise);
     if (now > GetParam().mPeriodS) {
       EXPECT_NEAR(
-        track.LevelAt(At(now + 1)), Level(now + 1), GetParam().mMostError)
+        filter.LevelAt(At(now + 1)), Level(now + 1), GetParam().mMaxError)
         << now;
     }
   }
@@ -60,35 +61,35 @@
                            return std::string(aInfo.param.mName);
                          });
 
-TEST(LoadFilter, DoubtGrowsWithTimeAndShrinksWithLooks)
+TEST(LoadFilter, VarianceGrowsWithTimeAndShrinksWithMeasurements)
 {
-  LoadFilter track(-0.5, 0.1, At(0));
-  track.Correct(0.1, kNoise);
-  const double seen = track.Variance();
-  EXPECT_LT(seen, 0.1);
-  track.Predict(At(2));
-  EXPECT_GT(track.Variance(), seen);
+  LoadFilter filter(-0.5, 0.1, At(0));
+  filter.Correct(0.1, kNoise);
+  const double corrected = filter.Variance();
+  EXPECT_LT(corrected, 0.1);
+  filter.Predict(At(2));
+  EXPECT_GT(filter.Variance(), corrected);
 }
 
-TEST(LoadFilter, AnOlderTimeChangesNothing)
+TEST(LoadFilter, AnEarlierTimeChangesNothing)
 {
-  LoadFilter track(-0.5, 0.1, At(5));
-  track.Correct(0.2, kNoise);
-  const double level = track.Level();
-  track.Predict(At(4));
-  EXPECT_EQ(track.Level(), level);
-  EXPECT_EQ(track.PredictedAt(), At(5));
+  LoadFilter filter(-0.5, 0.1, At(5));
+  filter.Correct(0.2, kNoise);
+  const double level = filter.Level();
+  filter.Predict(At(4));
+  EXPECT_EQ(filter.Level(), level);
+  EXPECT_EQ(filter.PredictedAt(), At(5));
 }
 
 TEST(LoadFilter, AForecastIsBounded)
 {
   LoadFilterSettings settings;
-  LoadFilter track(0, 0.1, At(0), settings);
-  for (int look = 1; look < 20; ++look) {
-    track.Predict(At(look * 0.1));
-    track.Correct(look * 0.1 - track.Level(), kNoise);
+  LoadFilter filter(0, 0.1, At(0), settings);
+  for (int step = 1; step < 20; ++step) {
+    filter.Predict(At(step * 0.1));
+    filter.Correct(step * 0.1 - filter.Level(), kNoise);
   }
-  EXPECT_LE(track.LevelAt(At(100)), track.Level() + settings.mMaxChange);
+  EXPECT_LE(filter.LevelAt(At(100)), filter.Level() + settings.mMaxChange);
 }
 
 } // namespace
--- a/tests/cell/LogRateLimiterTest.cpp
+++ b/tests/cell/LogRateLimiterTest.cpp
@@ -10,28 +10,28 @@
 
 namespace {
 
-TEST(LogRateLimiter, TellsTheFirstAndThenEachPowerOfTen)
+TEST(LogRateLimiter, LogsTheFirstAndThenEachPowerOfTen)
 {
-  LogRateLimiter findings;
-  std::vector<std::int64_t> told;
-  for (int found = 0; found < 1000; ++found) {
-    if (const auto count = findings.Note("sender", "reason")) {
-      told.push_back(*count);
+  LogRateLimiter limiter;
+  std::vector<std::int64_t> logged;
+  for (int event = 0; event < 1000; ++event) {
+    if (const auto count = limiter.OnEvent("sender", "reason")) {
+      logged.push_back(*count);
     }
   }
-  EXPECT_EQ(told, (std::vector<std::int64_t>{ 1, 10, 100, 1000 }));
-  EXPECT_EQ(findings.Note("sender", "other reason"), 1);
-  EXPECT_EQ(findings.Note("other", "reason"), 1);
+  EXPECT_EQ(logged, (std::vector<std::int64_t>{ 1, 10, 100, 1000 }));
+  EXPECT_EQ(limiter.OnEvent("sender", "other reason"), 1);
+  EXPECT_EQ(limiter.OnEvent("other", "reason"), 1);
 }
 
 TEST(LogRateLimiter, ManySendersAreBounded)
 {
-  LogRateLimiter findings;
-  int told = 0;
+  LogRateLimiter limiter;
+  int logged = 0;
   for (int sender = 0; sender < 100'000; ++sender) {
-    told += findings.Note(std::to_string(sender), "reason") ? 1 : 0;
+    logged += limiter.OnEvent(std::to_string(sender), "reason") ? 1 : 0;
   }
-  EXPECT_LT(told, 110);
+  EXPECT_LT(logged, 110);
 }
 
 } // namespace
--- a/tests/cell/OutagePolicyTest.cpp
+++ b/tests/cell/OutagePolicyTest.cpp
@@ -48,35 +48,35 @@
 
 TEST(OutagePolicyTest, PeersThatRefusedAreAskedAgainLater)
 {
-  OutagePolicy answers;
+  OutagePolicy policy;
   const Instant now{ seconds(100) };
-  EXPECT_TRUE(answers.MayForward(now));
-  answers.OnPeersRefused(now);
-  EXPECT_FALSE(answers.MayForward(now + milliseconds(299)));
-  EXPECT_TRUE(answers.MayForward(now + milliseconds(300)));
+  EXPECT_TRUE(policy.MayForward(now));
+  policy.OnPeersRefused(now);
+  EXPECT_FALSE(policy.MayForward(now + milliseconds(299)));
+  EXPECT_TRUE(policy.MayForward(now + milliseconds(300)));
 }
 
-/// A job whose first submission may have been stored was told to have not run
-/// when it was handed in again.
+/// A job whose first submission may have been stored must not be answered as
+/// not run when it is submitted again.
 TEST(OutagePolicyTest, AJobInDoubtStaysSoUntilItsFateIsKnown)
 {
-  OutagePolicy answers;
+  OutagePolicy policy;
   const Instant now{ seconds(100) };
   const JobId job("job");
-  EXPECT_FALSE(answers.InDoubt(job, now));
-  answers.MarkInDoubt(job, now);
-  EXPECT_TRUE(answers.InDoubt(job, now + seconds(20)));
-  EXPECT_FALSE(answers.InDoubt(JobId("other"), now));
-  answers.OnSettled(job);
-  EXPECT_FALSE(answers.InDoubt(job, now));
+  EXPECT_FALSE(policy.InDoubt(job, now));
+  policy.MarkInDoubt(job, now);
+  EXPECT_TRUE(policy.InDoubt(job, now + seconds(20)));
+  EXPECT_FALSE(policy.InDoubt(JobId("other"), now));
+  policy.OnSettled(job);
+  EXPECT_FALSE(policy.InDoubt(job, now));
 }
 
 TEST(OutagePolicyTest, DoubtsAreForgottenAfterAWhile)
 {
-  OutagePolicy answers;
+  OutagePolicy policy;
   const Instant now{ seconds(100) };
-  answers.MarkInDoubt(JobId("job"), now);
-  EXPECT_FALSE(answers.InDoubt(
+  policy.MarkInDoubt(JobId("job"), now);
+  EXPECT_FALSE(policy.InDoubt(
     JobId("job"), now + OutagePolicy::kInDoubtFor + milliseconds(1)));
 }
 
--- a/tests/cell/OverTargetTimerTest.cpp
+++ b/tests/cell/OverTargetTimerTest.cpp
@@ -12,29 +12,29 @@
 
 using std::chrono::milliseconds;
 
-struct Figure
+struct Measurement
 {
   int mAtMs;
-  double mShare; ///< Of the target.
+  double mShare; ///< As a share of the target.
 };
 
 struct OverTargetCase
 {
   const char* mName;
-  std::vector<Figure> mFigures;
-  int mOverMs; ///< After the last of them; 0 = under.
+  std::vector<Measurement> mMeasurements;
+  int mOverMs; ///< After the last measurement; 0 = under.
 };
 
 class OverTargetTimerTest : public testing::TestWithParam<OverTargetCase>
 {};
 
-TEST_P(OverTargetTimerTest, CountsFromTheLastLookUnderTheTarget)
+TEST_P(OverTargetTimerTest, CountsFromTheLastPollUnderTheTarget)
 {
   OverTargetTimer timer;
   Instant now;
-  for (const Figure& figure : GetParam().mFigures) {
-    now = Instant(milliseconds(100'000 + figure.mAtMs));
-    timer.Update(figure.mShare, {}, now);
+  for (const Measurement& measurement : GetParam().mMeasurements) {
+    now = Instant(milliseconds(100'000 + measurement.mAtMs));
+    timer.Update(measurement.mShare, {}, now);
   }
   EXPECT_EQ(timer.TimeOver(now), milliseconds(GetParam().mOverMs));
 }
@@ -57,7 +57,7 @@
     OverTargetCase{ "TwoLowFigures",
                     { { 0, 0.5 }, { 400, 1.2 }, { 800, 0.75 }, { 1200, 0.7 } },
                     0 },
-    // Figures of a replay in which the image was over its target for 4 s.
+    // From a replay in which the image was over its target for 4 s.
     OverTargetCase{ "TwoLowOnesOfRoughFigures",
                     { { 0, 0.5 },
                       { 400, 0.8 },
@@ -83,7 +83,7 @@
 struct PollIntervalCase
 {
   const char* mName;
-  std::vector<int> mLooksMs;
+  std::vector<int> mPollsMs;
   int mExpectedMs;
 };
 
@@ -91,13 +91,13 @@
   : public testing::TestWithParam<PollIntervalCase>
 {};
 
-TEST_P(PollIntervalEstimatorTest, IsTheLongestOfTheLastSeconds)
+TEST_P(PollIntervalEstimatorTest, IsTheLongestIntervalOfTheLastSeconds)
 {
-  PollIntervalEstimator gap;
-  for (const int look : GetParam().mLooksMs) {
-    gap.Update(Instant(milliseconds(100'000 + look)));
+  PollIntervalEstimator estimator;
+  for (const int poll : GetParam().mPollsMs) {
+    estimator.Update(Instant(milliseconds(100'000 + poll)));
   }
-  EXPECT_EQ(gap.Expected(), milliseconds(GetParam().mExpectedMs));
+  EXPECT_EQ(estimator.Expected(), milliseconds(GetParam().mExpectedMs));
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/cell/OwnerLoadTest.cpp
+++ b/tests/cell/OwnerLoadTest.cpp
@@ -12,7 +12,7 @@
 
 const Instant kBegin{ seconds(100) };
 
-TEST(OwnerLoadTest, TellsEachSecondWhereTheTimeWent)
+TEST(OwnerLoadTest, SummarizesEachSecond)
 {
   OwnerLoad load;
   EXPECT_FALSE(load.TakeSummary(kBegin, seconds(5)).has_value());
@@ -44,21 +44,21 @@
 {
   const char* mName;
   Duration mRound;
-  Duration mLeast;
-  Duration mMost;
+  Duration mMin;
+  Duration mMax;
 };
 
 class RoundPacingTest : public testing::TestWithParam<PacingCase>
 {};
 
-/// Rounds of 3 ms after each of 500 reports a second would take more than
-/// there is.
+/// A round of 3 ms after each of 500 reports per second would take more than
+/// the available time.
 TEST_P(RoundPacingTest, GivesRoundsABoundedShareOfTheTime)
 {
   RoundPacing pacing;
   pacing.RecordRound(GetParam().mRound);
-  EXPECT_GE(pacing.Pause(), GetParam().mLeast);
-  EXPECT_LE(pacing.Pause(), GetParam().mMost);
+  EXPECT_GE(pacing.Pause(), GetParam().mMin);
+  EXPECT_LE(pacing.Pause(), GetParam().mMax);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/cell/OwnerSurveyTest.cpp
+++ b/tests/cell/OwnerSurveyTest.cpp
@@ -15,19 +15,19 @@
   const char* mName;
   std::size_t mPeers;
   std::vector<Generation> mAnswers;
-  bool mNobodyAfter;
+  bool mNoLaterOwner;
 };
 
 class OwnerSurveyTest : public testing::TestWithParam<SurveyCase>
 {};
 
-TEST_P(OwnerSurveyTest, TellsWhetherAnybodyCanKnowBetter)
+TEST_P(OwnerSurveyTest, DetectsWhetherALaterOwnerIsPossible)
 {
   OwnerSurvey survey(GetParam().mPeers);
   for (const Generation known : GetParam().mAnswers) {
     survey.OnAnswer(known);
   }
-  EXPECT_EQ(survey.HasNoLaterOwner(kOwn), GetParam().mNobodyAfter);
+  EXPECT_EQ(survey.HasNoLaterOwner(kOwn), GetParam().mNoLaterOwner);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/cell/OwnerTermTest.cpp
+++ b/tests/cell/OwnerTermTest.cpp
@@ -29,10 +29,10 @@
   term.ExtendKey(kStart, seconds(2));
   EXPECT_TRUE(term.IsSole(kStart + milliseconds(1999)));
   EXPECT_FALSE(term.IsSole(kStart + seconds(2)));
-  // An older call that is answered late takes nothing back.
+  // An older call that is answered late shortens nothing.
   term.ExtendKey(kStart - seconds(1), seconds(2));
   EXPECT_TRUE(term.IsSole(kStart + milliseconds(1999)));
-  // It is confirmed for leases all the while.
+  // It may still grant leases.
   EXPECT_GT(term.GrantAt(kStart + seconds(2)), Duration::zero());
 }
 
--- a/tests/cell/PeerAvailabilityTest.cpp
+++ b/tests/cell/PeerAvailabilityTest.cpp
@@ -13,46 +13,47 @@
 const Instant kSoon = kNow + PeerAvailability::kUsualAnswerTime;
 constexpr Duration kTick(1);
 
-TEST(PeerAvailabilityTest, ASilentOneIsLeftOutForAWhile)
+TEST(PeerAvailabilityTest, ASilentPeerIsSkippedForAWhile)
 {
-  PeerAvailability reach;
-  EXPECT_TRUE(reach.MayAsk(kPeer, kNow));
-  reach.OnSilent(kPeer, kNow, kNow);
-  EXPECT_FALSE(reach.MayAsk(kPeer, kNow));
-  EXPECT_TRUE(reach.MayAsk(kOther, kNow));
+  PeerAvailability peers;
+  EXPECT_TRUE(peers.MayAsk(kPeer, kNow));
+  peers.OnSilent(kPeer, kNow, kNow);
+  EXPECT_FALSE(peers.MayAsk(kPeer, kNow));
+  EXPECT_TRUE(peers.MayAsk(kOther, kNow));
 }
 
-TEST(PeerAvailabilityTest, OneRequestFindsOutWhetherItIsBack)
+TEST(PeerAvailabilityTest, OneRequestProbesASilentPeer)
 {
-  PeerAvailability reach;
-  reach.OnSilent(kPeer, kNow, kNow);
-  EXPECT_TRUE(reach.MayAsk(kPeer, kLater));
-  reach.OnAsked(kPeer, kLater);
-  EXPECT_FALSE(reach.MayAsk(kPeer, kLater));
-  reach.OnAnswered(kPeer, kLater);
-  EXPECT_TRUE(reach.MayAsk(kPeer, kLater));
+  PeerAvailability peers;
+  peers.OnSilent(kPeer, kNow, kNow);
+  EXPECT_TRUE(peers.MayAsk(kPeer, kLater));
+  peers.OnAsked(kPeer, kLater);
+  EXPECT_FALSE(peers.MayAsk(kPeer, kLater));
+  peers.OnAnswered(kPeer, kLater);
+  EXPECT_TRUE(peers.MayAsk(kPeer, kLater));
 }
 
-/// Those that came in the second until the first time-out all waited for it.
-TEST(PeerAvailabilityTest, OneThatIsLateIsNotAskedByMore)
+/// Otherwise all requests that arrive before the first timeout wait for the
+/// same peer.
+TEST(PeerAvailabilityTest, ALatePeerIsNotAskedByMoreRequests)
 {
-  PeerAvailability reach;
-  reach.OnAsked(kPeer, kNow);
-  reach.OnAsked(kPeer, kNow + kTick);
-  EXPECT_TRUE(reach.MayAsk(kPeer, kSoon));
-  EXPECT_FALSE(reach.MayAsk(kPeer, kSoon + kTick));
-  reach.OnAnswered(kPeer, kNow);
-  EXPECT_TRUE(reach.MayAsk(kPeer, kSoon + kTick));
-  reach.OnAnswered(kPeer, kNow + kTick);
-  EXPECT_TRUE(reach.MayAsk(kPeer, kLater));
+  PeerAvailability peers;
+  peers.OnAsked(kPeer, kNow);
+  peers.OnAsked(kPeer, kNow + kTick);
+  EXPECT_TRUE(peers.MayAsk(kPeer, kSoon));
+  EXPECT_FALSE(peers.MayAsk(kPeer, kSoon + kTick));
+  peers.OnAnswered(kPeer, kNow);
+  EXPECT_TRUE(peers.MayAsk(kPeer, kSoon + kTick));
+  peers.OnAnswered(kPeer, kNow + kTick);
+  EXPECT_TRUE(peers.MayAsk(kPeer, kLater));
 }
 
-TEST(PeerAvailabilityTest, OneThatRefusesAtOnceIsAskedAgain)
+TEST(PeerAvailabilityTest, APeerThatRefusesAtOnceIsAskedAgain)
 {
-  PeerAvailability reach;
-  reach.OnAsked(kPeer, kNow);
-  reach.OnRefused(kPeer, kNow);
-  EXPECT_TRUE(reach.MayAsk(kPeer, kLater));
+  PeerAvailability peers;
+  peers.OnAsked(kPeer, kNow);
+  peers.OnRefused(kPeer, kNow);
+  EXPECT_TRUE(peers.MayAsk(kPeer, kLater));
 }
 
 } // namespace
--- a/tests/cell/ShownPhaseTest.cpp
+++ b/tests/cell/ShownPhaseTest.cpp
@@ -6,7 +6,7 @@
 
 const TaskRef kFirst{ JobId("job"), 0, 0, 0 };
 
-/// What callers are told of a job, and when.
+/// The phase of a job that callers are shown.
 class ShownPhaseTest : public CellFixture
 {};
 
--- a/tests/cell/StoreHealthTest.cpp
+++ b/tests/cell/StoreHealthTest.cpp
@@ -22,56 +22,56 @@
 
 TEST(StoreHealth, IsSilentWhileCallsWaitWithoutAnyAnswer)
 {
-  StoreHealth pulse;
-  pulse.OnSent(At(0));
-  EXPECT_TRUE(pulse.Answers(At(400)));
-  EXPECT_FALSE(pulse.Answers(At(460)));
+  StoreHealth health;
+  health.OnSent(At(0));
+  EXPECT_TRUE(health.Answers(At(400)));
+  EXPECT_FALSE(health.Answers(At(460)));
 }
 
 TEST(StoreHealth, ASlowStoreAnswers)
 {
-  StoreHealth pulse;
+  StoreHealth health;
   for (int call = 0; call < 10; ++call) {
-    pulse.OnSent(At(call * 300));
+    health.OnSent(At(call * 300));
     if (call > 0) {
-      EXPECT_TRUE(pulse.Answers(At(call * 300 + 69)));
-      pulse.OnEnded(At((call - 1) * 300), true, At(call * 300 + 70));
+      EXPECT_TRUE(health.Answers(At(call * 300 + 69)));
+      health.OnEnded(At((call - 1) * 300), true, At(call * 300 + 70));
     }
-    EXPECT_TRUE(pulse.Answers(At(call * 300 + 299)));
+    EXPECT_TRUE(health.Answers(At(call * 300 + 299)));
   }
 }
 
 TEST(StoreHealth, StaysSilentAfterATimeoutUntilAnAnswer)
 {
-  StoreHealth pulse;
-  pulse.OnSent(At(0));
-  pulse.OnEnded(At(0), false, At(1000));
-  EXPECT_FALSE(pulse.Answers(At(1001)));
-  pulse.OnSent(At(1100));
-  EXPECT_FALSE(pulse.Answers(At(1101)));
-  pulse.OnEnded(At(1100), true, At(1104));
-  EXPECT_TRUE(pulse.Answers(At(1105)));
+  StoreHealth health;
+  health.OnSent(At(0));
+  health.OnEnded(At(0), false, At(1000));
+  EXPECT_FALSE(health.Answers(At(1001)));
+  health.OnSent(At(1100));
+  EXPECT_FALSE(health.Answers(At(1101)));
+  health.OnEnded(At(1100), true, At(1104));
+  EXPECT_TRUE(health.Answers(At(1105)));
 }
 
 TEST(StoreHealth, AWatchsAnswerShowsThatTheStoreAnswers)
 {
-  StoreHealth pulse;
-  pulse.OnSent(At(0));
-  pulse.OnEnded(At(0), false, At(1000));
-  EXPECT_FALSE(pulse.Answers(At(1000)));
-  pulse.OnAnswer(At(1200));
-  EXPECT_TRUE(pulse.Answers(At(1200)));
-  EXPECT_EQ(pulse.SinceAnswer(At(1500)), milliseconds(300));
+  StoreHealth health;
+  health.OnSent(At(0));
+  health.OnEnded(At(0), false, At(1000));
+  EXPECT_FALSE(health.Answers(At(1000)));
+  health.OnAnswer(At(1200));
+  EXPECT_TRUE(health.Answers(At(1200)));
+  EXPECT_EQ(health.SinceAnswer(At(1500)), milliseconds(300));
 }
 
-TEST(StoreHealth, TellsForHowLongTheStoreHasBeenSilent)
+TEST(StoreHealth, ReportsHowLongTheStoreHasBeenSilent)
 {
-  StoreHealth pulse;
-  pulse.OnAnswer(At(100));
-  EXPECT_EQ(pulse.SilentFor(At(150)), Duration::zero());
-  pulse.OnSent(At(200));
-  pulse.OnEnded(At(200), false, At(1200));
-  EXPECT_EQ(pulse.SilentFor(At(2200)), milliseconds(2000));
+  StoreHealth health;
+  health.OnAnswer(At(100));
+  EXPECT_EQ(health.SilentFor(At(150)), Duration::zero());
+  health.OnSent(At(200));
+  health.OnEnded(At(200), false, At(1200));
+  EXPECT_EQ(health.SilentFor(At(2200)), milliseconds(2000));
 }
 
 } // namespace
--- a/tests/cell/ThrottleControllerTest.cpp
+++ b/tests/cell/ThrottleControllerTest.cpp
@@ -15,13 +15,13 @@
 const TaskRef kHeavy{ JobId("heavy"), 0, 0, 0 };
 const TaskRef kLight{ JobId("light"), 0, 0, 0 };
 
-RunningTask At(const TaskRef& aTask, std::int64_t aFigure)
+RunningTask At(const TaskRef& aTask, std::int64_t aMeasurement)
 {
   RunningTask task;
   task.mTask = aTask;
   task.mRun = 1;
   task.mPercent = 100;
-  task.mFigure = aFigure;
+  task.mFigure = aMeasurement;
   return task;
 }
 
@@ -34,12 +34,12 @@
       { kServing, milliseconds(kTargetMs), false, "service" });
     mController.OnStart({ kHeavy, {}, true, "heavy", {} }, 1);
     mController.OnStart({ kLight, {}, true, "light", {} }, 1);
-    const InterferenceWeight pressures[] = { { "service", "heavy", 0.15 },
-                                             { "service", "light", 0.0 } };
-    mController.SetInterferenceWeights(pressures);
+    const InterferenceWeight weights[] = { { "service", "heavy", 0.15 },
+                                           { "service", "light", 0.0 } };
+    mController.SetInterferenceWeights(weights);
   }
 
-  /// A look after `aPause`; the paces are carried out.
+  /// Polls after `aPause` and applies the changes.
   std::vector<ThrottleChange> Poll(std::int64_t aLatencyMs,
                                    milliseconds aPause = milliseconds(600),
                                    std::int32_t aServingPercent = 100)
@@ -61,13 +61,13 @@
   Instant mNow{ std::chrono::seconds(100) };
 };
 
-TEST_F(ThrottleControllerTest, LeavesCalmTasksAlone)
+TEST_F(ThrottleControllerTest, LeavesTasksUnderTheirTargetAlone)
 {
   EXPECT_TRUE(Poll(9).empty());
   EXPECT_TRUE(Poll(12).empty());
 }
 
-TEST_F(ThrottleControllerTest, SlowsDownWhatPresses)
+TEST_F(ThrottleControllerTest, ThrottlesTheTaskThatInterferes)
 {
   const auto changes = Poll(40);
   ASSERT_EQ(changes.size(), 1U);
@@ -75,7 +75,7 @@
   EXPECT_LT(changes[0].mPercent, 50);
 }
 
-TEST_F(ThrottleControllerTest, JudgesAFigureOnce)
+TEST_F(ThrottleControllerTest, ReactsOnceToAMeasurement)
 {
   ASSERT_EQ(Poll(30).size(), 1U);
   EXPECT_TRUE(Poll(30, milliseconds(30)).empty());
@@ -87,11 +87,11 @@
   EXPECT_TRUE(Poll(200, milliseconds(600), 40).empty());
 }
 
-TEST_F(ThrottleControllerTest, SpeedsUpAgainWhenThereIsRoom)
+TEST_F(ThrottleControllerTest, SpeedsUpAgainWithHeadroom)
 {
   ASSERT_FALSE(Poll(40).empty());
   std::int32_t percent = 0;
-  for (int look = 0; look < 6; ++look) {
+  for (int poll = 0; poll < 6; ++poll) {
     for (const ThrottleChange& change : Poll(8)) {
       percent = change.mPercent;
     }
@@ -99,9 +99,9 @@
   EXPECT_EQ(percent, 100);
 }
 
-TEST_F(ThrottleControllerTest, KnowsATaskThatALookDoesNotShowYet)
+TEST_F(ThrottleControllerTest, KnowsATaskThatAPollDoesNotListYet)
 {
-  // A look that was sent before the start was answered.
+  // A poll that was sent before the start was answered.
   EXPECT_TRUE(mController.Update({}, mNow).empty());
   EXPECT_FALSE(Poll(40).empty());
 }
@@ -110,9 +110,9 @@
 {
   const char* mName;
   std::int64_t mLatencyMs;
-  int mLooks; ///< With this latency, 0.4 s apart.
+  int mPolls; ///< Polls with this latency, 0.4 s apart.
   const char* mImage;
-  bool mStands; ///< A run that starts then.
+  bool mStopped; ///< Whether a run that starts then is stopped.
 };
 
 class ThrottleAtStartTest
@@ -120,17 +120,18 @@
   , public testing::WithParamInterface<StartCase>
 {};
 
-/// Until the next look a run that pressed was at work beside a serving task
-/// that was over its target.
-TEST_P(ThrottleAtStartTest, ARunThatPressesAnImageOverItsTargetBeginsSlow)
+/// Without this a new run interferes with a serving task over its target until
+/// the next poll.
+TEST_P(ThrottleAtStartTest,
+       ARunThatInterferesWithAnImageOverItsTargetStartsStopped)
 {
-  for (int look = 0; look < GetParam().mLooks; ++look) {
+  for (int poll = 0; poll < GetParam().mPolls; ++poll) {
     Poll(GetParam().mLatencyMs, milliseconds(400));
   }
   const TaskRef started{ JobId("started"), 0, 0, 0 };
   mController.OnStart({ started, {}, true, GetParam().mImage, {} }, 1);
   const auto change = mController.ThrottleForStart(started, 1, mNow);
-  ASSERT_EQ(change.has_value(), GetParam().mStands);
+  ASSERT_EQ(change.has_value(), GetParam().mStopped);
   if (change) {
     EXPECT_EQ(change->mPercent, 0);
     EXPECT_EQ(change->mCause.mServing, "service");
@@ -146,7 +147,7 @@
                   StartCase{ "OverForLong", 40, 9, "light", true }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST_F(ThrottleControllerTest, ALookWithoutAFigureDoesNotEndTheTimeOver)
+TEST_F(ThrottleControllerTest, APollWithoutAMeasurementDoesNotEndTheTimeOver)
 {
   Poll(40, milliseconds(400));
   Poll(40, milliseconds(400));
@@ -156,8 +157,8 @@
   EXPECT_EQ(mController.OverTargets(mNow)[0].mOver, milliseconds(1200));
 }
 
-/// The last step of an image decided for all steps of that image.
-TEST_F(ThrottleControllerTest, EachTaskIsJudgedByItsOwnTarget)
+/// Guards against using the target of an image's last step for all its steps.
+TEST_F(ThrottleControllerTest, EachTaskIsMeasuredAgainstItsOwnTarget)
 {
   const TaskRef strict{ JobId("serving"), 0, 1, 0 };
   const TaskRef lenient{ JobId("serving"), 0, 2, 0 };
@@ -169,12 +170,12 @@
   EXPECT_FALSE(mController.Update(running, mNow).empty());
 }
 
-TEST_F(ThrottleControllerTest, RoughFiguresAroundTheTargetCountAsOver)
+TEST_F(ThrottleControllerTest, NoisyMeasurementsAroundTheTargetCountAsOver)
 {
   bool lightStopped = false;
-  const std::int64_t figures[] = { 21, 19, 21, 19, 20, 19 };
-  for (const std::int64_t figure : figures) {
-    for (const ThrottleChange& change : Poll(figure)) {
+  const std::int64_t measurements[] = { 21, 19, 21, 19, 20, 19 };
+  for (const std::int64_t measurement : measurements) {
+    for (const ThrottleChange& change : Poll(measurement)) {
       lightStopped =
         lightStopped || (change.mTask == kLight && change.mPercent == 0);
     }
@@ -185,13 +186,13 @@
 TEST_F(ThrottleControllerTest, StopsEverythingBeforeATaskIsOverForTooLong)
 {
   bool lightStopped = false;
-  for (int look = 0; look < 6; ++look) {
+  for (int poll = 0; poll < 6; ++poll) {
     for (const ThrottleChange& change : Poll(60)) {
       lightStopped =
         lightStopped || (change.mTask == kLight && change.mPercent == 0);
     }
   }
-  EXPECT_TRUE(lightStopped); // Within 3.6 s, whatever was learned.
+  EXPECT_TRUE(lightStopped); // Within 3.6 s, whatever its weight.
 }
 
 } // namespace
