--- a/tests/load/ColocatedWorker.cpp
+++ b/tests/load/ColocatedWorker.cpp
@@ -14,13 +14,13 @@
 
 constexpr double kLength = 60;
 constexpr double kStep = 0.02;
-constexpr double kFigureSpan = 0.5;
-constexpr double kPaceDelay = 0.1;
+constexpr double kMeasurementSpan = 0.5;
+constexpr double kThrottleDelay = 0.1;
 constexpr double kLate = 1.0;
-constexpr double kPaceTimeout = 0.25;
+constexpr double kThrottleTimeout = 0.25;
 constexpr int kThrottleAttempts = 2;
 constexpr double kTargetMs = 200;
-constexpr double kCalmShare = 0.47;
+constexpr double kBaselineShare = 0.47;
 constexpr double kSwing = 0.5;
 constexpr double kCores = 6;
 constexpr double kHeavyPerCore = 0.07;
@@ -30,7 +30,7 @@
 constexpr double kMillicores = 1000;
 constexpr double kFull = 100;
 
-/// Of a pace that the worker has answered: no later fence undoes it.
+/// Fence of a call that the worker has answered: no later fence cancels it.
 constexpr Fence kAccepted = std::numeric_limits<Fence>::max();
 
 const TaskRef kServing{ JobId("serving"), 0, 0, 0 };
@@ -54,10 +54,10 @@
                             false,
                             "serving",
                             {} });
-  const InterferenceWeight pressures[] = {
+  const InterferenceWeight weights[] = {
     { "serving", "heavy", kHeavyPerCore }, { "serving", "light", kLightPerCore }
   };
-  mController.SetInterferenceWeights(pressures);
+  mController.SetInterferenceWeights(weights);
   const int tasks = std::uniform_int_distribution<int>(1, kImages)(mRandom);
   for (int number = 0; number < tasks; ++number) {
     AddTask();
@@ -90,36 +90,37 @@
 
 double ColocatedWorker::OwnLoad(double aNow) const
 {
-  return std::log(kCalmShare) +
+  return std::log(kBaselineShare) +
          kSwing * std::sin(2 * std::numbers::pi * (aNow / mPeriod + mPhase));
 }
 
 double ColocatedWorker::CurrentInterference() const
 {
-  double pressure = 0;
+  double interference = 0;
   for (const BestEffortTask& task : mTasks) {
-    pressure += task.mPerCore * kCores * task.mThrottle;
+    interference += task.mPerCore * kCores * task.mThrottle;
   }
-  return pressure;
+  return interference;
 }
 
-void ColocatedWorker::Pass(double aNow)
+void ColocatedWorker::Advance(double aNow)
 {
-  double pace = 0;
+  double throttle = 0;
   for (BestEffortTask& task : mTasks) {
-    std::erase_if(task.mPending, [&](const LateThrottle& aPace) {
-      if (aPace.mAt > aNow) {
+    std::erase_if(task.mPending, [&](const LateThrottle& aThrottle) {
+      if (aThrottle.mAt > aNow) {
         return false;
       }
-      if (aPace.mFence >= mWorkerFence) {
-        task.mThrottle = aPace.mPercent / kFull;
+      if (aThrottle.mFence >= mWorkerFence) {
+        task.mThrottle = aThrottle.mPercent / kFull;
       }
       return true;
     });
     task.mWorked += task.mThrottle * kStep;
-    pace += task.mThrottle;
+    throttle += task.mThrottle;
   }
-  mOutcome.mWork += pace / static_cast<double>(mTasks.size()) * kStep / kLength;
+  mOutcome.mWork +=
+    throttle / static_cast<double>(mTasks.size()) * kStep / kLength;
   const std::size_t before = mTasks.size();
   std::erase_if(mTasks, [](const BestEffortTask& aTask) {
     return aTask.mWorked >= aTask.mEndsAt;
@@ -145,11 +146,11 @@
   }
 }
 
-void ColocatedWorker::UpdateFigure()
+void ColocatedWorker::UpdateMeasurement()
 {
   const double noise =
     std::normal_distribution<double>(0, mPattern.mNoise)(mRandom);
-  mFigure =
+  mMeasurement =
     std::lround(kTargetMs * std::exp(mLatencySum / mLatencySteps + noise));
   mLatencySum = 0;
   mLatencySteps = 0;
@@ -167,12 +168,13 @@
     return false;
   }
   mWorkerFence = mAgentFence;
-  task->mPending.push_back({ aNow + kPaceDelay, kAccepted, aChange.mPercent });
+  task->mPending.push_back(
+    { aNow + kThrottleDelay, kAccepted, aChange.mPercent });
   mController.OnThrottled(aChange);
   return true;
 }
 
-/// With a second try where there is no answer. Returns when it is done.
+/// Retries once if there is no answer. Returns the time when it is done.
 double ColocatedWorker::SendThrottles(const ThrottleChange& aChange,
                                       double aNow)
 {
@@ -180,7 +182,7 @@
   for (int attempt = 0;
        attempt < kThrottleAttempts && !SendThrottle(aChange, now);
        ++attempt) {
-    now += kPaceTimeout;
+    now += kThrottleTimeout;
   }
   return now;
 }
@@ -193,12 +195,12 @@
   serving.mTask = kServing;
   serving.mRun = 1;
   serving.mPercent = static_cast<std::int32_t>(kFull);
-  serving.mFigure = mFigure;
+  serving.mFigure = mMeasurement;
   for (const BestEffortTask& task : mTasks) {
-    RunningTask& leftover = running.emplace_back();
-    leftover.mTask = task.mTask;
-    leftover.mRun = 1;
-    leftover.mFigure = std::lround(kCores * kMillicores * task.mThrottle);
+    RunningTask& bestEffort = running.emplace_back();
+    bestEffort.mTask = task.mTask;
+    bestEffort.mRun = 1;
+    bestEffort.mFigure = std::lround(kCores * kMillicores * task.mThrottle);
   }
   double done = aNow;
   const std::vector<ThrottleChange> changes =
@@ -216,16 +218,16 @@
 
 ColocatedWorkerOutcome ColocatedWorker::Play()
 {
-  double nextLook = mPattern.mPollEvery;
-  double nextFigure = kFigureSpan;
+  double nextPoll = mPattern.mPollInterval;
+  double nextMeasurement = kMeasurementSpan;
   for (double now = kStep; now < kLength; now += kStep) {
-    Pass(now);
-    if (now >= nextFigure) {
-      UpdateFigure();
-      nextFigure += kFigureSpan;
+    Advance(now);
+    if (now >= nextMeasurement) {
+      UpdateMeasurement();
+      nextMeasurement += kMeasurementSpan;
     }
-    if (now >= nextLook && mFigure > 0) {
-      nextLook = Poll(now) + mPattern.mPollEvery +
+    if (now >= nextPoll && mMeasurement > 0) {
+      nextPoll = Poll(now) + mPattern.mPollInterval +
                  (Chance(mPattern.mLatePolls) ? kLate : 0);
     }
   }
--- a/tests/load/ColocatedWorker.h
+++ b/tests/load/ColocatedWorker.h
@@ -10,28 +10,29 @@
 
 namespace foxtailbarrow::cell::test {
 
-/// One worker with a serving image whose load swings, beside leftover tasks
-/// that press it, and an agent that may be late. Times are in seconds.
+/// One worker with a serving image whose load swings, colocated best-effort
+/// tasks that interfere with it, and an agent that may be late. Times are in
+/// seconds.
 struct ColocatedWorkerPattern
 {
   const char* mName;
-  double mNoise = 0.08; ///< Deviation of a figure's logarithm.
-  double mPollEvery = 0.4;
-  double mLatePolls = 0;     ///< Share of the looks that come 1 s late.
-  double mTaskLength = 0;    ///< Mean; 0 = leftover tasks do not end.
-  double mLateThrottles = 0; ///< Share without an answer, carried out late.
+  double mNoise = 0.08; ///< Standard deviation of a measurement's logarithm.
+  double mPollInterval = 0.4;
+  double mLatePolls = 0;     ///< Share of the polls that are 1 s late.
+  double mTaskLength = 0;    ///< Mean; 0 = best-effort tasks do not end.
+  double mLateThrottles = 0; ///< Share of unanswered calls, applied late.
 };
 
-/// What came of one replay.
+/// Result of one replay.
 struct ColocatedWorkerOutcome
 {
-  double mLongestOverTarget = 0; ///< On end, by what runs beside it.
-  double mOver = 0;              ///< In all.
-  double mWork = 0;              ///< Share of the leftover tasks' full speed.
+  double mLongestOverTarget = 0; ///< In a row, because of colocated tasks.
+  double mOver = 0;              ///< In total.
+  double mWork = 0; ///< Share of the best-effort tasks' full speed.
 };
 
-/// Plays the pattern in virtual time against a ThrottleController that knows
-/// how much each pair of images presses.
+/// Replays the pattern in virtual time against a ThrottleController that knows
+/// the interference weight of each pair of images.
 class ColocatedWorker
 {
 public:
@@ -51,7 +52,7 @@
   {
     TaskRef mTask;
     double mPerCore = 0;
-    double mEndsAt = 0; ///< In its own work.
+    double mEndsAt = 0; ///< In seconds of work at full speed.
     double mWorked = 0;
     double mThrottle = 1;
     std::vector<LateThrottle> mPending;
@@ -61,12 +62,13 @@
   void AddTask();
   double OwnLoad(double aNow) const;
   double CurrentInterference() const;
-  /// Lets one step of time pass at the worker.
-  void Pass(double aNow);
-  void UpdateFigure();
-  /// The agent's look and the paces that follow. Returns when it is done.
+  /// Advances the worker by one time step.
+  void Advance(double aNow);
+  void UpdateMeasurement();
+  /// The agent polls and sends the resulting changes. Returns the time when it
+  /// is done.
   double Poll(double aNow);
-  /// Returns true when the pace was answered.
+  /// Returns true when the call was answered.
   bool SendThrottle(const ThrottleChange& aChange, double aNow);
   double SendThrottles(const ThrottleChange& aChange, double aNow);
   bool Chance(double aShare);
@@ -79,9 +81,9 @@
   Fence mWorkerFence = 0;
   double mPeriod = 0;
   double mPhase = 0;
-  double mLatencySum = 0; ///< Logarithms since the last figure.
+  double mLatencySum = 0; ///< Sum of logarithms since the last measurement.
   int mLatencySteps = 0;
-  std::int64_t mFigure = 0;
+  std::int64_t mMeasurement = 0;
   int mNumber = 0;
   double mOverSince = -1;
   ColocatedWorkerOutcome mOutcome;
--- a/tests/load/CrashingLoadTest.cpp
+++ b/tests/load/CrashingLoadTest.cpp
@@ -1,6 +1,6 @@
-// One job in a hundred, or in twenty, with a task that takes its worker down:
-// before crashes counted, up to 11 workers went down under one task, which went
-// on to the end of the load.
+// One job in a hundred, or in twenty, has a task that crashes its worker.
+// Without counting the crashes, one such task was restarted until the end of
+// the load and crashed up to 11 workers.
 
 #include <cmath>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The worst load, with jobs whose tasks take their workers down.
+/// The worst-case load, with jobs whose tasks crash their workers.
 struct CrashingLoad
 {
   const char* mName;
@@ -35,30 +35,30 @@
   return pattern;
 }
 
-/// The aims: no task starts a fourth time after three crashes, no sound job is
-/// given up, three workers at most are lost to one task, and all other work is
-/// worth 0.97 of what it is where the same tasks do no harm.
+/// Targets: no task starts a fourth time after three crashes, no job without a
+/// crashing task fails, one task crashes at most three workers, and all other
+/// work scores at least 0.97 of the score without the crashes.
 void ExpectSoundWorkToGoOn(const CrashingLoad& aLoad)
 {
   constexpr int kSeeds = 8;
-  constexpr int kMostCrashes = 3;
-  constexpr double kLeastWorth = 0.97;
-  double worth = 0;
-  double without = 0;
+  constexpr int kMaxCrashes = 3;
+  constexpr double kMinScoreRatio = 0.97;
+  double score = 0;
+  double harmlessScore = 0;
   int crashingJobs = 0;
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
     LoadPattern pattern = PatternOf(aLoad, seed);
     const LoadOutcome crashing = LoadReplay(pattern, {}).Play();
     pattern.mCrashes = false;
-    const LoadOutcome calm = LoadReplay(pattern, {}).Play();
+    const LoadOutcome harmless = LoadReplay(pattern, {}).Play();
     crashingJobs += crashing.mCrashingJobs;
     EXPECT_EQ(crashing.mGivenUp, 0);
-    EXPECT_LE(crashing.mMaxCrashes, kMostCrashes);
-    worth += crashing.ServedScore();
-    without += calm.ServedScore();
+    EXPECT_LE(crashing.mMaxCrashes, kMaxCrashes);
+    score += crashing.ServedScore();
+    harmlessScore += harmless.ServedScore();
   }
   EXPECT_GT(crashingJobs, 0);
-  EXPECT_GE(worth, kLeastWorth * without);
+  EXPECT_GE(score, kMinScoreRatio * harmlessScore);
 }
 
 class CrashingLoadTest : public testing::TestWithParam<CrashingLoad>
@@ -77,7 +77,7 @@
                   CrashingLoad{ "OneIn100Of160", 160, 0.01, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-/// Apart from the table, so that it can be listed by a name of its own.
+/// Outside the table, so that it can be listed by its own name.
 TEST(CrashingLoadAim, OneIn20Of64Workers)
 {
   ExpectSoundWorkToGoOn({ "OneIn20Of64", 64, 0.05, false });
--- a/tests/load/LoadPattern.h
+++ b/tests/load/LoadPattern.h
@@ -4,10 +4,9 @@
 
 namespace foxtailbarrow::cell::test {
 
-/// A load at its worst: standing serving tasks have reserved most of the cell,
-/// their own load swings, and leftover jobs come faster than the workers can
-/// do them for a while. The defaults are the pattern that the cell's limits
-/// were chosen for.
+/// A worst-case load: standing serving tasks have reserved most of the cell,
+/// their load swings, and during a burst best-effort jobs arrive faster than
+/// the workers can run them. The cell's limits are set for the default pattern.
 struct LoadPattern
 {
   std::uint32_t mSeed = 1;
@@ -21,15 +20,15 @@
   int mStandingReplicas = 6;
   std::int64_t mStandingMillicores = 13'000;
   int mServingImages = 5;
-  double mStandingLoad = 0.42; ///< Share of its reservation in use, on average.
+  double mStandingLoad = 0.42; ///< Mean share of the reservation in use.
   double mTargetMs = 18;
-  /// Of the target beside nothing, in the middle of a swing, and the reach of
-  /// the swing in the logarithm, either way. From 28,800 figures of one played
-  /// day: 0.28 to 0.78 of the target.
+  /// Latency without colocated tasks in the middle of a swing, as a share of
+  /// the target, and the amplitude of the swing in the logarithm. 28,800
+  /// measurements of one replayed day: 0.28 to 0.78 of the target.
   double mBaselineShare = 0.47;
   double mSwing = 0.5;
   double mSwingPeriodS = 10;
-  double mNoise = 0.08; ///< Deviation of a figure's logarithm.
+  double mNoise = 0.08; ///< Standard deviation of a measurement's logarithm.
 
   int mBestEffortImages = 9;
   double mBestEffortJobsPerS = 1.0;
@@ -41,35 +40,35 @@
   std::int64_t mBestEffortMillicores = 7'000;
   double mTaskS = 2.7; ///< Mean run time at full speed.
 
-  /// Share of the pairs of images that press hard, and how hard, in the
-  /// logarithm of the latency for each core; the others press less.
+  /// Share of the pairs of images that interfere heavily, and the weights of
+  /// heavy and light pairs: increase of the latency's logarithm per core.
   double mHeavyShare = 0.25;
   double mHeavyPerCore = 0.07;
   double mLightPerCore = 0.010;
 
-  /// Share of the leftover jobs with one task that takes its worker down as it
-  /// starts. They are the same jobs whether it does so or not.
+  /// Share of the best-effort jobs with one task that crashes its worker when
+  /// it starts. mCrashes turns the crashes off without changing the jobs.
   double mCrashingShare = 0;
   bool mCrashes = true;
-  double mDownS = 3; ///< Until a worker is back.
-  /// An eighth of the workers crash by themselves then; 0 = never.
+  double mDownS = 3; ///< Until a crashed worker is back.
+  /// When an eighth of the workers crash for another reason; 0 = never.
   double mRackCrashesAtS = 0;
 };
 
-/// What came of it.
+/// Result of one replay.
 struct LoadOutcome
 {
-  double mOnTime = 0;     ///< Share of the leftover work whose job was on time.
+  double mOnTime = 0; ///< Share of the best-effort work whose job was on time.
   double mOverTarget = 0; ///< Share of the serving tasks' time over the target.
-  double mServed = 0;     ///< Share of the time that serving tasks were there.
+  double mServed = 0;     ///< Share of the time that serving tasks ran.
 
-  int mGivenUp = 0;      ///< Jobs shown as failed whose tasks are sound.
-  int mMaxCrashes = 0;   ///< Workers that went down under one task.
-  int mCrashingJobs = 0; ///< Jobs with a task that takes its worker down.
-  int mNotGivenUp = 0;   ///< Of these, still open though such a task began.
+  int mGivenUp = 0;      ///< Jobs shown as failed without a crashing task.
+  int mMaxCrashes = 0;   ///< Most workers crashed by one task.
+  int mCrashingJobs = 0; ///< Jobs with a task that crashes its worker.
+  int mNotGivenUp = 0;   ///< Of these, not failed though that task has started.
 
-  /// Both in one figure: leftover work is worth a little more than serving, and
-  /// time over the target counts four times.
+  /// Single score: best-effort work weighs a little more than serving, and time
+  /// over the target counts four times.
   double Score() const
   {
     constexpr double kBestEffortShare = 0.6;
@@ -78,7 +77,7 @@
            (1 - kBestEffortShare) * (1 - kOverTargetFactor * mOverTarget);
   }
 
-  /// The same where serving tasks may be away.
+  /// As Score(), but time without serving tasks counts against it.
   double ServedScore() const
   {
     constexpr double kBestEffortShare = 0.6;
--- a/tests/load/LoadReplay.cpp
+++ b/tests/load/LoadReplay.cpp
@@ -11,9 +11,10 @@
 namespace {
 
 constexpr double kTickS = 0.1;
-constexpr int kTicksPerFigure = 5;
+constexpr int kTicksPerMeasurement = 5;
 constexpr double kMillicores = 1000.0;
-/// A job's allowed time: so many times its chain of run times, and a second.
+/// A job's allowed time: this factor times its chain of run times, plus a
+/// second.
 constexpr double kStretch = 2.0;
 constexpr Session kSession = 1;
 
@@ -22,7 +23,7 @@
   return "serving" + std::to_string(aNumber);
 }
 
-std::string LeftoverImage(int aNumber)
+std::string BestEffortImage(int aNumber)
 {
   return "leftover" + std::to_string(aNumber);
 }
@@ -43,8 +44,9 @@
   mScheduler.SetQueues({ queue });
   std::bernoulli_distribution heavy(mPattern.mHeavyShare);
   for (int serving = 0; serving < mPattern.mServingImages; ++serving) {
-    for (int leftover = 0; leftover < mPattern.mBestEffortImages; ++leftover) {
-      mWeights[{ ServingImage(serving), LeftoverImage(leftover) }] =
+    for (int bestEffort = 0; bestEffort < mPattern.mBestEffortImages;
+         ++bestEffort) {
+      mWeights[{ ServingImage(serving), BestEffortImage(bestEffort) }] =
         heavy(mRandom) ? mPattern.mHeavyPerCore : mPattern.mLightPerCore;
     }
   }
@@ -95,7 +97,7 @@
   step.mDemand = { mPattern.mBestEffortMillicores, 13'000, 0 };
   step.mBestEffort = true;
   step.mCheckpoints = true;
-  step.mImage = LeftoverImage(std::uniform_int_distribution<int>(
+  step.mImage = BestEffortImage(std::uniform_int_distribution<int>(
     0, mPattern.mBestEffortImages - 1)(mRandom));
   step.mEstimate =
     std::chrono::milliseconds(std::lround(mPattern.mTaskS * 1000));
@@ -120,7 +122,7 @@
   Add(graph);
 }
 
-void LoadReplay::Arrive(double aSeconds)
+void LoadReplay::AddArrivals(double aSeconds)
 {
   const bool burst = mSeconds >= mPattern.mBurstFromS &&
                      mSeconds < mPattern.mBurstFromS + mPattern.mBurstS;
@@ -156,8 +158,8 @@
   }
 }
 
-/// The agent knows what ran at the last answer. The worker's process is gone,
-/// so that connections are refused.
+/// The agent knows the tasks of the last answer. The worker's process has
+/// ended, so that connections are refused.
 void LoadReplay::ReportDown(ManagedWorker& aWorker)
 {
   constexpr double kRefusedTwiceS = 0.15;
@@ -178,7 +180,7 @@
   mScheduler.HandleReport(report, Clock());
 }
 
-/// True when the task takes its worker down now.
+/// True when the task crashes its worker now.
 bool LoadReplay::CrashesWorker(const TaskRef& aTask)
 {
   const auto job = mBestEffortJobs.find(aTask.mJob);
@@ -230,19 +232,20 @@
   }
 }
 
-/// Core-seconds of the task: uneven, and the same however often it starts.
+/// Core-seconds of the task: random per task, and the same however often it
+/// starts.
 double LoadReplay::WorkOf(const TaskRef& aTask, const StepSpec& aSpec)
 {
-  constexpr double kUneven = 0.3;
+  constexpr double kSpread = 0.3;
   std::mt19937 random(static_cast<std::uint32_t>(
     std::hash<std::string>()(ToString(aTask)) + mPattern.mSeed));
   const double factor =
-    std::uniform_real_distribution<double>(1 - kUneven, 1 + kUneven)(random);
+    std::uniform_real_distribution<double>(1 - kSpread, 1 + kSpread)(random);
   return factor * mPattern.mTaskS *
          static_cast<double>(aSpec.mDemand.mMillicores) / kMillicores;
 }
 
-void LoadReplay::CarryOut(ManagedWorker& aWorker)
+void LoadReplay::ExecuteOrders(ManagedWorker& aWorker)
 {
   const OrderRequest orders = mScheduler.TakeOrders(aWorker.mAgent);
   std::vector<StartResult> results;
@@ -293,22 +296,22 @@
   const int ticks = static_cast<int>(mPattern.mLengthS / kTickS);
   for (int tick = 1; tick <= ticks; ++tick) {
     mSeconds = tick * kTickS;
-    Arrive(kTickS);
+    AddArrivals(kTickS);
     Record();
     if (mPattern.mRackCrashesAtS > 0 &&
         tick == std::lround(mPattern.mRackCrashesAtS / kTickS)) {
       CrashRack();
     }
     for (auto& worker : mManaged) {
-      worker->mModel.Pass(kTickS, mSeconds);
-      if (tick % kTicksPerFigure == 0) {
-        worker->mModel.UpdateFigures(mRandom);
+      worker->mModel.Advance(kTickS, mSeconds);
+      if (tick % kTicksPerMeasurement == 0) {
+        worker->mModel.UpdateMeasurements(mRandom);
       }
       Report(*worker);
     }
     mScheduler.Schedule(Clock());
     for (auto& worker : mManaged) {
-      CarryOut(*worker);
+      ExecuteOrders(*worker);
     }
     OnFinished();
   }
@@ -346,7 +349,7 @@
     LoadPattern pattern;
     pattern.mSeed = static_cast<std::uint32_t>(seed);
     LoadReplay replay(pattern, aPolicy);
-    if (aPolicy.mKeepsLearned) {
+    if (aPolicy.mStartsLearned) {
       LoadReplay before(pattern, aPolicy);
       before.Play();
       replay.Adopt(before.Learned());
--- a/tests/load/LoadReplay.h
+++ b/tests/load/LoadReplay.h
@@ -12,18 +12,18 @@
 
 namespace foxtailbarrow::cell::test {
 
-/// What is decided by, in one replay.
+/// Settings of the components under test in one replay.
 struct LoadPolicy
 {
   CellSettings mCell;
   ThrottleSettings mThrottle;
-  /// Begin with what a replay of the same cell has learned.
-  bool mKeepsLearned = false;
+  /// Start from what a previous replay of the same cell has learned.
+  bool mStartsLearned = false;
 };
 
-/// Plays a load pattern in virtual time against the scheduler of a cell and the
-/// pace governors of its workers. Calls take no time and none is lost; figures
-/// are half a second old and rough.
+/// Replays a load pattern in virtual time against the scheduler of a cell and
+/// the throttle controllers of its workers. Calls take no time and none is
+/// lost; measurements are noisy and cover half a second.
 class LoadReplay
 {
 public:
@@ -38,7 +38,7 @@
   }
 
 private:
-  /// A worker with the state of its agent.
+  /// A worker and the state of its agent.
   struct ManagedWorker
   {
     AgentId mAgent;
@@ -46,7 +46,7 @@
     ThrottleController mController;
     std::int64_t mSequence = 0;
     double mDownUntil = 0;
-    WorkerState mLastState{}; ///< That its agent knows.
+    WorkerState mLastState{}; ///< Last state known to its agent.
     double mAnsweredAt = 0;
   };
 
@@ -56,18 +56,18 @@
     double mAllowed = 0;
     double mArrived = 0;
     bool mOnTime = false;
-    std::optional<TaskRef> mCrashing; ///< Its task that crashes workers.
+    std::optional<TaskRef> mCrashing; ///< Its task that crashes its worker.
     int mCrashes = 0;
   };
 
   CellClock Clock() const;
   void AddStandingJobs();
   void AddBestEffortJob();
-  void Arrive(double aSeconds);
+  void AddArrivals(double aSeconds);
   void Add(const JobGraph& aGraph);
   void Record();
   void Report(ManagedWorker& aWorker);
-  void CarryOut(ManagedWorker& aWorker);
+  void ExecuteOrders(ManagedWorker& aWorker);
   void OnFinished();
   void CrashWorker(ManagedWorker& aWorker);
   void CrashRack();
@@ -78,7 +78,7 @@
 
   LoadPattern mPattern;
   std::mt19937 mRandom;
-  std::mt19937 mCrashRandom; ///< Apart, so that the load stays the same.
+  std::mt19937 mCrashRandom; ///< Separate, so that the load stays the same.
   HiddenWeights mWeights;
   CellScheduler mScheduler;
   std::vector<std::unique_ptr<ManagedWorker>> mManaged;
@@ -88,7 +88,7 @@
   int mJobs = 0;
 };
 
-/// Mean worth over `aSeeds` replays.
+/// Mean score over `aSeeds` replays.
 double MeanScore(const LoadPolicy& aPolicy, int aSeeds);
 
 } // namespace foxtailbarrow::cell::test
--- a/tests/load/LoadReplayTest.cpp
+++ b/tests/load/LoadReplayTest.cpp
@@ -12,24 +12,24 @@
 
 constexpr int kSeeds = 20;
 
-/// A limit or mechanism of the cell, and what it replaced.
+/// A limit or mechanism of the cell, and the alternative without it.
 struct GainCase
 {
   const char* mName;
   void (*mWithout)(LoadPolicy&);
-  double mLeastGain; ///< Of the mean worth; about half of what it was.
+  double mMinGain; ///< Of the mean score; about half of the measured gain.
 };
 
 class LoadGainTest : public testing::TestWithParam<GainCase>
 {};
 
-TEST_P(LoadGainTest, IsWorthItUnderTheWorstLoad)
+TEST_P(LoadGainTest, ImprovesTheScoreUnderTheWorstLoad)
 {
   const LoadPolicy with;
   LoadPolicy without;
   GetParam().mWithout(without);
   EXPECT_GT(MeanScore(with, kSeeds),
-            MeanScore(without, kSeeds) + GetParam().mLeastGain);
+            MeanScore(without, kSeeds) + GetParam().mMinGain);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -87,12 +87,12 @@
                             0.015 }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-/// An owner that begins with what the one before it learned.
-TEST(LoadReplayTest, WhatWasLearnedIsWorthKeeping)
+/// A new owner starts from what its predecessor learned.
+TEST(LoadReplayTest, SavingWhatWasLearnedImprovesTheScore)
 {
-  LoadPolicy keeps;
-  keeps.mKeepsLearned = true;
-  EXPECT_GT(MeanScore(keeps, kSeeds), MeanScore({}, kSeeds) + 0.06);
+  LoadPolicy learned;
+  learned.mStartsLearned = true;
+  EXPECT_GT(MeanScore(learned, kSeeds), MeanScore({}, kSeeds) + 0.06);
 }
 
 } // namespace
--- a/tests/load/ModelWorker.cpp
+++ b/tests/load/ModelWorker.cpp
@@ -74,7 +74,8 @@
   mTasks.erase(aTask);
 }
 
-/// Of a serving task, between -1 and 1; tasks of one job swing together.
+/// Load of a serving task, between -1 and 1; the tasks of one job swing
+/// together.
 double ModelWorker::LoadOf(const Task& aTask, double aNow) const
 {
   const double phase =
@@ -85,7 +86,7 @@
                   (aNow / mPattern.mSwingPeriodS + phase));
 }
 
-void ModelWorker::Pass(double aSeconds, double aNow)
+void ModelWorker::Advance(double aSeconds, double aNow)
 {
   mNow = aNow;
   double left = static_cast<double>(mPattern.mWorkerMillicores) / kMillicores;
@@ -111,14 +112,14 @@
       done.push_back(ref);
     }
   }
-  PassServing(aSeconds, aNow);
+  AdvanceServing(aSeconds, aNow);
   for (const TaskRef& ref : done) {
     End(ref, RunEnd::Done);
   }
   mCovered += aSeconds;
 }
 
-void ModelWorker::PassServing(double aSeconds, double aNow)
+void ModelWorker::AdvanceServing(double aSeconds, double aNow)
 {
   for (const auto& [ref, task] : mTasks) {
     if (!task.mStanding) {
@@ -126,22 +127,22 @@
     }
     const double own =
       std::log(mPattern.mBaselineShare) + mPattern.mSwing * LoadOf(task, aNow);
-    double pressure = 0;
-    for (const auto& [other, leftover] : mTasks) {
-      if (!leftover.mStanding) {
-        pressure +=
-          mWeights->at({ task.mOrder.mImage, leftover.mOrder.mImage }) *
-          leftover.mRate;
+    double interference = 0;
+    for (const auto& [other, bestEffort] : mTasks) {
+      if (!bestEffort.mStanding) {
+        interference +=
+          mWeights->at({ task.mOrder.mImage, bestEffort.mOrder.mImage }) *
+          bestEffort.mRate;
       }
     }
     double& sum = mLatencySum[task.mOrder.mImage];
-    sum = std::max(sum, std::exp(own + pressure));
+    sum = std::max(sum, std::exp(own + interference));
     mServingSeconds += aSeconds;
-    mOverTargetSeconds += own <= 0 && own + pressure > 0 ? aSeconds : 0.0;
+    mOverTargetSeconds += own <= 0 && own + interference > 0 ? aSeconds : 0.0;
   }
 }
 
-void ModelWorker::UpdateFigures(std::mt19937& aRandom)
+void ModelWorker::UpdateMeasurements(std::mt19937& aRandom)
 {
   std::normal_distribution<double> noise(0, mPattern.mNoise);
   for (auto& [ref, task] : mTasks) {
--- a/tests/load/ModelWorker.h
+++ b/tests/load/ModelWorker.h
@@ -11,12 +11,12 @@
 
 namespace foxtailbarrow::cell::test {
 
-/// How much each pair of a serving and a leftover image presses, hidden from
-/// the scheduler.
+/// Interference weight of each pair of a serving and a best-effort image,
+/// hidden from the scheduler.
 using HiddenWeights = std::map<std::pair<std::string, std::string>, double>;
 
-/// A worker that runs what it is told: leftover tasks share what the serving
-/// ones leave, and press them. In virtual time.
+/// Model of a worker in virtual time: best-effort tasks share the cores that
+/// the serving tasks leave, and interfere with them.
 class ModelWorker
 {
 public:
@@ -24,18 +24,18 @@
               const HiddenWeights& aWeights,
               int aNumber);
 
-  /// What runs is lost; the next incarnation is empty.
+  /// All running tasks are lost; the next incarnation is empty.
   void Crash();
 
-  /// `aWork`: core-seconds until it is done; 0 = lasts.
+  /// `aWork`: core-seconds until the task is done; 0 = runs until stopped.
   void Start(const StartOrder& aOrder, const StepSpec& aSpec, double aWork);
   void Stop(const StopOrder& aOrder);
   void Throttle(const TaskRef& aTask, std::int32_t aPercent);
 
-  /// Lets `aSeconds` pass; `aNow` is the end of them.
-  void Pass(double aSeconds, double aNow);
-  /// Brings the figures up to date: they cover the time since the last call.
-  void UpdateFigures(std::mt19937& aRandom);
+  /// Advances the model by `aSeconds` to `aNow`.
+  void Advance(double aSeconds, double aNow);
+  /// Updates the measurements, which cover the time since the last call.
+  void UpdateMeasurements(std::mt19937& aRandom);
 
   WorkerState State() const;
   void Acknowledge(std::int64_t aNumber);
@@ -52,15 +52,15 @@
     bool mStanding = false;
     double mWork = 0;
     double mWorkDone = 0;
-    double mShare = 1; ///< Its pace.
+    double mShare = 1; ///< Throttle, as a share of full speed.
     double mRate = 0;  ///< Cores in use now.
-    double mUsed = 0;  ///< Core-seconds since the last figures.
+    double mUsed = 0;  ///< Core-seconds since the last measurement.
     std::int64_t mFigure = 0;
   };
 
   double LoadOf(const Task& aTask, double aNow) const;
   void End(const TaskRef& aTask, RunEnd aEnd);
-  void PassServing(double aSeconds, double aNow);
+  void AdvanceServing(double aSeconds, double aNow);
 
   LoadPattern mPattern;
   const HiddenWeights* mWeights;
@@ -71,7 +71,7 @@
   std::vector<EndedTask> mEnded;
   std::int64_t mLastEnd = 0;
   std::map<std::string, double> mLatencySum; ///< Logarithms, by image.
-  double mCovered = 0;                       ///< Seconds of the figures.
+  double mCovered = 0; ///< Seconds that the next measurements cover.
   double mServingSeconds = 0;
   double mOverTargetSeconds = 0;
 };
--- a/tests/load/NearlyReservedCellTest.cpp
+++ b/tests/load/NearlyReservedCellTest.cpp
@@ -1,18 +1,17 @@
-// On a quiet day a cell earned 0.25 to 0.40 of its leftover work: standing
-// tasks had reserved 88 % of its processors, and each worker served two to four
-// images. Of the 2,350 cores that they left, leftover tasks used 860, while 300
-// tasks waited:
+// Guards against planning free capacity for best-effort work from the mean
+// latency of a serving image. The load of a standing job swings for all of its
+// tasks at once: on a replayed day the latencies of 14 tasks of one job went
+// from 0.28 to 0.78 of the target and back every 14 s, and differed by a tenth
+// at any moment. Planned from the mean, workers refused work at the bottom of a
+// swing that they could have run, throttled at the top what they had accepted,
+// while it kept its capacity, and the swings were mistaken for interference of
+// whatever ran there at the time.
 //
-//   leftover-load "left=2365 wanted=1383 stalled=276 used=795 ..."
-//   step-waits "image=56acce idle=18 full=13 pressed=25 crowded=20 ..."
-//
-// Room for leftover work was planned from the mean latency of a serving image.
-// But the load of a standing job swings, for all of its tasks at once: the
-// latencies of 14 tasks of one job went from 0.28 to 0.78 of the target and
-// back every 14 s and differed by a tenth at any moment. At the bottom of a
-// swing workers refused work that they could bear. At the top they held work
-// down that they had taken, and it kept its room. Swings were taken for
-// pressure of whatever ran there at the time, too.
+// With 88 % of the processors reserved by standing tasks and two to four images
+// per worker, the cell then earned 0.25 to 0.40 of its best-effort work: of the
+// 2,350 cores left, best-effort tasks used 860 while 300 tasks waited. At one
+// moment 1,383 of 2,365 cores were wanted, 795 used and 276 wanted by stalled
+// tasks.
 
 #include <string>
 
@@ -24,8 +23,8 @@
 
 namespace {
 
-/// A quarter of the cell of that day: the same share of its processors is
-/// reserved, and leftover work wants half of what is left.
+/// A quarter of that cell: the same share of its processors is reserved, and
+/// best-effort work demands half of the rest.
 LoadPattern NearlyReserved()
 {
   LoadPattern pattern;
@@ -47,7 +46,7 @@
   return pattern;
 }
 
-TEST(NearlyReservedCell, EarnsMostOfItsLeftoverWork)
+TEST(NearlyReservedCell, CompletesMostOfItsBestEffortWork)
 {
   constexpr int kSeeds = 10;
   LoadOutcome mean;
@@ -58,8 +57,8 @@
     mean.mOnTime += outcome.mOnTime / kSeeds;
     mean.mOverTarget += outcome.mOverTarget / kSeeds;
   }
-  // Ten replays: 0.469 and 0.009 with room planned from the image's mean, 0.595
-  // and 0.006 with it planned from the load of each job.
+  // Ten replays: 0.469 and 0.009 with capacity planned from the image's mean,
+  // 0.595 and 0.006 with capacity planned from the load of each job.
   EXPECT_GT(mean.mOnTime, 0.53);
   EXPECT_LT(mean.mOverTarget, 0.008);
 }
--- a/tests/load/ServingTargetTest.cpp
+++ b/tests/load/ServingTargetTest.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// The longest time that a serving task may be over its target by what runs
-/// beside it.
+/// Longest time that a serving task may be over its target because of colocated
+/// tasks, in seconds.
 constexpr double kLongestOver = 4.0;
 constexpr int kReplays = 1000;
 
 class ServingTargetTest : public testing::TestWithParam<ColocatedWorkerPattern>
 {};
 
-TEST_P(ServingTargetTest, NoTaskStaysOverItsTargetByWhatRunsBesideIt)
+TEST_P(ServingTargetTest, NoTaskStaysOverItsTargetBecauseOfColocatedTasks)
 {
   double longest = 0;
   double over = 0;
@@ -40,7 +40,7 @@
   Agents,
   ServingTargetTest,
   testing::Values(
-    ColocatedWorkerPattern{ .mName = "InTime", .mPollEvery = 0.1 },
+    ColocatedWorkerPattern{ .mName = "InTime", .mPollInterval = 0.1 },
     ColocatedWorkerPattern{ .mName = "SlowLooks" },
     ColocatedWorkerPattern{ .mName = "RoughFigures", .mNoise = 0.2 },
     ColocatedWorkerPattern{ .mName = "ShortTasks", .mTaskLength = 0.7 },
