--- a/src/core/ownership/EntryRoster.h
+++ b/src/core/ownership/EntryRoster.h
@@ -10,47 +10,48 @@
 
 namespace foxtailbarrow {
 
-/// An entry of the roster, with the mod revision of its record.
+/// A live entry and the mod revision of its store record.
 struct LiveEntry
 {
   EntryRecord mRecord;
   Revision mModRevision = 0;
 };
 
-/// The entries now live, as the store listed them after it renewed this
-/// entry's lease.
+/// The live entries, as the store listed them after renewing this entry's
+/// lease.
 ///
-/// Decides: whether this entry still counts as live (Confirmed()), and whether
-/// what it claims by its rank counts yet (Joined()).
-/// Input: successful rounds, dated by their start on this process's clock.
-/// Promise: while Confirmed() is true, the store has not let this entry's
-/// lease lapse, so no other entry has seen a roster without it.
-/// Survives: lost and late replies (a round is dated by its start) and pauses
-/// (time passes on).
+/// Decides whether this entry still counts as live (Confirmed()) and whether
+/// it may use rights derived from its rank (Joined()). A round is timestamped
+/// by its start on this process's clock, so lost or late replies and pauses
+/// can only shorten its validity.
+/// Guarantees that while Confirmed() is true, the store has not expired this
+/// entry's lease, so no other entry has read a roster without it.
 class EntryRoster
 {
 public:
   EntryRoster(EntryId aSelf, Duration aValidity, Duration aJoinWait);
 
-  /// Takes the listing of a round that began at `aStarted`, renewed the lease
-  /// and then listed `aLive`.
+  /// Applies a round that began at `aStarted`, renewed the lease and then
+  /// listed `aLive`.
   void Confirm(Instant aStarted, std::vector<LiveEntry> aLive);
 
-  /// Forgets this entry's membership (its lease is gone); the list stays for
+  /// Ends this entry's membership when its lease has ended. The list stays for
   /// routing.
   void Leave();
 
-  /// True less than the validity after the start of the last good round.
+  /// True for less than the validity after the last successful round started.
   bool Confirmed(Instant aNow) const;
 
-  /// True when confirmed, and a member for so long that every other confirmed
-  /// entry has seen it. Before, rights by rank must not be used.
+  /// True when confirmed and a member for long enough that every other
+  /// confirmed entry lists it. Until then, rights derived from the rank must
+  /// not be used.
   bool Joined(Instant aNow) const;
 
-  /// When the last good round began; nullopt when there is none.
+  /// Start of the last successful round; nullopt when there is none.
   std::optional<Instant> LastConfirmedRound() const { return mStarted; }
 
-  /// Place of this entry in the order of ids, from 0; nullopt when not listed.
+  /// Zero-based position of this entry in the order of ids; nullopt when not
+  /// listed.
   std::optional<std::size_t> Rank() const;
 
   std::size_t LiveCount() const { return mLive.size(); }
@@ -61,7 +62,7 @@
   /// nullptr when not live. Valid until the next Confirm().
   const LiveEntry* Find(const EntryId& aEntry) const;
 
-  /// Where the voter listens now, as far as known.
+  /// The voter's current endpoint, or the recorded one when it is not live.
   Endpoint AddressOf(const Voter& aVoter) const;
 
   /// The live entries as voters.
--- a/src/core/ownership/OwnershipEvents.h
+++ b/src/core/ownership/OwnershipEvents.h
@@ -7,37 +7,37 @@
 #include "foxtailbarrow/Ownership.h"
 #include "src/core/ownership/StoreCommand.h"
 
-/// What ShardOwnership takes in and asks for.
+/// Input events and output actions of ShardOwnership.
 namespace foxtailbarrow {
 
-/// Time has passed. Send one at least four times a second.
+/// Advances time-based work. Send one at least four times a second.
 struct OwnershipTick
 {};
 
-/// Release every shard and leave. While the store is out of reach this cannot
-/// end; the shell bounds its wait for Drained.
+/// Releases every shard and deregisters the entry. Cannot complete while the
+/// store is unreachable, so the shell bounds its wait for Drained.
 struct OwnershipDrain
 {};
 
 using OwnershipEvent = std::
   variant<OwnershipTick, OwnershipDrain, StoreReply, AttestReply, PromiseReply>;
 
-/// This entry now holds the shard: list its jobs, adopt what agents report,
-/// start and reassign as MayReassign() allows.
+/// This entry now holds the shard. The shell lists its jobs, adopts the tasks
+/// that agents report, and starts and reassigns tasks as MayReassign() allows.
 struct ShardGained
 {
   ShardId mShard = 0;
   Generation mGeneration = 0;
 };
 
-/// This entry holds the shard no longer: drop all state of it.
+/// This entry no longer holds the shard. The shell discards its state.
 struct ShardGivenUp
 {
   ShardId mShard = 0;
 };
 
-/// No task lease is left that an owner before this entry may have granted:
-/// MayReassign() turned true for the shard.
+/// Every task lease that an earlier owner may have granted has expired;
+/// MayReassign() has become true for the shard.
 struct EarlierLeasesExpired
 {
   ShardId mShard = 0;
@@ -57,11 +57,11 @@
   PromiseRequest mRequest;
 };
 
-/// A later process registered under this entry's id: this one must exit.
+/// A later process registered under this entry's id; this one must exit.
 struct Superseded
 {};
 
-/// Every shard is released and the entry's record is gone.
+/// Every shard is released and the entry's record is deleted.
 struct Drained
 {};
 
--- a/src/core/ownership/OwnershipSettings.cpp
+++ b/src/core/ownership/OwnershipSettings.cpp
@@ -15,17 +15,17 @@
 
 bool OwnershipSettings::Check() const
 {
-  const bool confirmedWithinLease = WithClockError(mValidity) < mStoreLease;
+  const bool validityWithinLease = WithClockError(mValidity) < mStoreLease;
   const bool joinSeenByAll = mJoinWait >= WithClockError(mValidity);
-  const bool oneBound = mValidity <= mAttestationValidity;
-  const bool silenceOutlastsPromise =
+  const bool validityWithinAttestation = mValidity <= mAttestationValidity;
+  const bool silenceExceedsPromise =
     mRestartSilence >= WithClockError(mPromiseWindow + mAttestationValidity);
-  const bool holdOutlastsStretch =
+  const bool timeoutExceedsExtension =
     mTenureTimeout >=
     WithClockError(mMaxExtension + mAttestationValidity + mTaskLease);
-  return mShards > 0 && mShardsPerCommit > 0 && confirmedWithinLease &&
-         joinSeenByAll && oneBound && silenceOutlastsPromise &&
-         holdOutlastsStretch;
+  return mShards > 0 && mShardsPerCommit > 0 && validityWithinLease &&
+         joinSeenByAll && validityWithinAttestation && silenceExceedsPromise &&
+         timeoutExceedsExtension;
 }
 
 } // namespace foxtailbarrow
--- a/src/core/ownership/Records.h
+++ b/src/core/ownership/Records.h
@@ -9,38 +9,38 @@
 #include "foxtailbarrow/Messages.h"
 #include "foxtailbarrow/Store.h"
 
-/// Records of shard ownership in the store, as JSON texts.
+/// Store records of shard ownership and their JSON encoding.
 namespace foxtailbarrow {
 
-/// A live entry. Key: `/foxtailbarrow/entries/<id>`, attached to the store
-/// lease of the entry, so that it vanishes with it.
+/// A live entry. Key: `/foxtailbarrow/entries/<id>`, attached to the entry's
+/// store lease, so the store deletes it when the lease expires.
 struct EntryRecord
 {
   EntryId mEntry;
   Incarnation mIncarnation = 0;
   Endpoint mEndpoint;
-  StoreLease mTenure = 0; ///< The lease that it is attached to.
+  StoreLease mTenure = 0; ///< The store lease that the key is attached to.
 
   bool operator==(const EntryRecord&) const = default;
 };
 
-/// Who holds a shard. Key: `/foxtailbarrow/shards/<n>`, attached to no lease:
-/// the holder is live while its EntryRecord names the same tenure. Its mod
-/// revision is the generation; it changes only when the holder does.
+/// The holder of a shard. Key: `/foxtailbarrow/shards/<n>`, not attached to a
+/// lease: the holder is live while its EntryRecord has the same tenure. The
+/// record's mod revision is the generation; it changes only with the holder.
 struct ShardRecord
 {
   EntryId mOwner;         ///< Empty: released by the last holder.
-  StoreLease mTenure = 0; ///< Tenure of the owner under which it was taken.
+  StoreLease mTenure = 0; ///< The owner's tenure when it took the shard.
   std::string mToken;     ///< Unique to one attempt to write the record.
 
-  /// Earlier tenures that nobody had shown to be over when this was written.
+  /// Earlier tenures that were not known to be closed at the time of writing.
   std::vector<StoreLease> mPredecessors;
 
   bool operator==(const ShardRecord&) const = default;
 };
 
-/// An entry that attests and promises a tenure, with its address, since it may
-/// be asked when the store does not list it.
+/// An entry that attests and promises for a tenure. The endpoint is stored
+/// because requests may be sent when the store does not list the entry.
 struct Voter
 {
   EntryId mEntry;
@@ -52,9 +52,9 @@
 /// Sorted by id, each entry once.
 using Voters = std::vector<Voter>;
 
-/// One unbroken membership of an entry under one store lease. Key:
-/// `/foxtailbarrow/tenures/<lease>`, attached to no lease. While it exists,
-/// task leases granted under the tenure may still run.
+/// An uninterrupted membership of an entry under one store lease. Key:
+/// `/foxtailbarrow/tenures/<lease>`, not attached to a lease. While the record
+/// exists, task leases granted under the tenure may still be valid.
 struct TenureRecord
 {
   EntryId mEntry;
@@ -68,7 +68,7 @@
 std::string Encode(const ShardRecord& aRecord);
 std::string Encode(const TenureRecord& aRecord);
 
-/// nullopt for a text that is no such record.
+/// nullopt when the text is not a valid record of that type.
 std::optional<EntryRecord> DecodeEntryRecord(std::string_view aText);
 std::optional<ShardRecord> DecodeShardRecord(std::string_view aText);
 std::optional<TenureRecord> DecodeTenureRecord(std::string_view aText);
--- a/src/core/ownership/ShardKeeper.cpp
+++ b/src/core/ownership/ShardKeeper.cpp
@@ -32,10 +32,10 @@
   mTable.OnRoster(mSession.Roster(), aNow);
 }
 
-void ShardKeeper::LoseAll(OwnershipActions& aOut)
+void ShardKeeper::GiveUpAll(OwnershipActions& aOut)
 {
   while (!mHeld.empty()) {
-    Lose(mHeld.begin()->first, aOut);
+    GiveUp(mHeld.begin()->first, aOut);
   }
   mTableCurrent = false;
 }
@@ -78,11 +78,11 @@
 
 bool ShardKeeper::StartListing(Instant aNow, OwnershipActions& aOut)
 {
-  const bool hurried =
+  const bool expectsChange =
     !mTableCurrent || mPlan.AwaitsShard(mTable, mSession.Roster());
-  const Duration pause =
-    hurried ? mSettings.mRoundInterval : mSettings.mIdleListInterval;
-  if (aNow < mListedAt + pause) {
+  const Duration interval =
+    expectsChange ? mSettings.mRoundInterval : mSettings.mIdleListInterval;
+  if (aNow < mListedAt + interval) {
     return false;
   }
   mListedAt = aNow;
@@ -105,7 +105,7 @@
   mLastRelease = aNow;
   for (const auto& [shard, record] : work.mShards) {
     mReleasing.insert(shard);
-    Lose(shard, aOut);
+    GiveUp(shard, aOut);
   }
   StoreTransaction transaction = ReleaseTransaction(work.mShards);
   SendCall(std::move(work), CommitCall{ std::move(transaction) }, aOut);
@@ -133,8 +133,8 @@
 
 std::vector<ShardId> ShardKeeper::ToRelease(Instant aNow) const
 {
-  // Releases of unknown outcome come first; they are repeated under the same
-  // condition, so that at most one of them takes effect.
+  // Releases with an unknown outcome come first. They are repeated under the
+  // same condition, so at most one of them takes effect.
   std::vector<ShardId> shards(mReleasing.begin(), mReleasing.end());
   if (mDraining) {
     for (const auto& [shard, held] : mHeld) {
@@ -188,7 +188,7 @@
     transaction.mCompares.push_back({ ShardKey(shard), slot.mModRevision });
     transaction.mWrites.push_back({ ShardKey(shard), Encode(record), 0 });
     if (slot.mRecord && !slot.mRecord->mOwner.Empty()) {
-      // Only while the old owner's tenure is still over.
+      // The old owner's record must be unchanged, so its tenure is still over.
       const EntryId& owner = slot.mRecord->mOwner;
       const LiveEntry* const live = mSession.Roster().Find(owner);
       entries.try_emplace(owner, live == nullptr ? 0 : live->mModRevision);
@@ -226,7 +226,7 @@
 {
   const EntryRecord& self = mSession.Self();
   return self.mEntry.Value() + "/" + std::to_string(self.mIncarnation) + "/" +
-         std::to_string(++mTokens);
+         std::to_string(++mTokenCount);
 }
 
 void ShardKeeper::OnDone(const Listing&,
@@ -286,14 +286,14 @@
     const ShardSlot& slot = mTable.Slot(shard);
     if (!IsOwn(shard)) {
       mReleasing.erase(shard);
-      Lose(shard, aOut);
+      GiveUp(shard, aOut);
       continue;
     }
     const auto held = mHeld.find(shard);
     const bool known =
       held != mHeld.end() && held->second.mGeneration == slot.mModRevision;
     if (!known && !mReleasing.contains(shard)) {
-      Lose(shard, aOut);
+      GiveUp(shard, aOut);
       Hold(shard, *slot.mRecord, slot.mModRevision, aNow, aOut);
     }
   }
@@ -321,7 +321,7 @@
   aOut.push_back(ShardGained{ aShard, aRevision });
 }
 
-void ShardKeeper::Lose(ShardId aShard, OwnershipActions& aOut)
+void ShardKeeper::GiveUp(ShardId aShard, OwnershipActions& aOut)
 {
   if (mHeld.erase(aShard) != 0) {
     aOut.push_back(ShardGivenUp{ aShard });
--- a/src/core/ownership/ShardKeeper.h
+++ b/src/core/ownership/ShardKeeper.h
@@ -23,23 +23,25 @@
 {
   Generation mGeneration = 0;
 
-  /// Tenures that must close before a silent agent's task is reassigned.
+  /// Tenures that must close before tasks of agents that do not report are
+  /// reassigned.
   std::vector<StoreLease> mPredecessors;
 
-  /// And not before this: leases of a holder that released it.
+  /// Earliest time of such a reassignment, when task leases granted by a holder
+  /// that released the shard have expired.
   Instant mReassignFrom{};
 };
 
 /// Takes and releases shards in the store.
 ///
-/// Decides: when to list, take and release, by ShardPlan; one shard at a time
-/// is handed over for balance, all when draining.
-/// Promise: a shard is acted for only under the generation that the store
-/// shows; a shard being released is not acted for from before the write is
-/// sent. One call is under way at a time; many shards share one transaction.
-/// Survives: lost replies (the listing is read and judged by the record's own
-/// tenure), races with other entries (compare-and-swap on the shard and on the
-/// entry records of both sides).
+/// Lists, takes and releases shards according to ShardPlan. Rebalancing
+/// releases one shard at a time, draining releases all of them.
+/// Guarantees that a shard is held only under the generation in the store, and
+/// that it is given up before the write that releases it is sent. One call is
+/// in flight at a time; many shards share one transaction.
+/// After a lost reply, the next listing shows by the tenure in the record
+/// whether the write took effect. Races with other entries are resolved by
+/// compare-and-swap on the shard and on the records of both entries.
 class ShardKeeper
 {
 public:
@@ -52,18 +54,18 @@
   void OnRegistered(Instant aNow);
   void OnRound(Instant aNow);
 
-  /// The tenure holds no longer: all shards are lost.
-  void LoseAll(OwnershipActions& aOut);
+  /// Gives up all shards because the tenure is no longer valid.
+  void GiveUpAll(OwnershipActions& aOut);
 
   void Drain() { mDraining = true; }
 
-  /// True when no record names this tenure as owner, as far as known for sure.
+  /// True when it is certain that no shard record names this tenure as owner.
   bool Empty() const;
 
-  /// Starts the next piece of work when one is due.
+  /// Starts the next store call when one is due.
   void Advance(Instant aNow, OwnershipActions& aOut);
 
-  /// Ignores replies to calls of others.
+  /// Ignores replies to calls of other components.
   void OnReply(const StoreReply& aReply, Instant aNow, OwnershipActions& aOut);
 
   const std::map<ShardId, HeldShard>& Held() const { return mHeld; }
@@ -118,7 +120,7 @@
             Revision aRevision,
             Instant aNow,
             OwnershipActions& aOut);
-  void Lose(ShardId aShard, OwnershipActions& aOut);
+  void GiveUp(ShardId aShard, OwnershipActions& aOut);
 
   OwnershipSettings mSettings;
   const StoreSession& mSession;
@@ -127,14 +129,14 @@
   ShardPlan mPlan;
   ShardTable mTable;
   std::map<ShardId, HeldShard> mHeld;
-  std::set<ShardId> mReleasing; ///< Not acted for; outcome not known yet.
+  std::set<ShardId> mReleasing; ///< No longer held; outcome not known yet.
   std::optional<Work> mWork;
   CallId mCall = 0;
   bool mDraining = false;
-  bool mTableCurrent = false; ///< The table is as listed or written by us.
+  bool mTableCurrent = false; ///< The table shows the last known store state.
   Instant mListedAt{};
   Instant mLastRelease{};
-  std::uint64_t mTokens = 0;
+  std::uint64_t mTokenCount = 0;
 };
 
 } // namespace foxtailbarrow
--- a/src/core/ownership/ShardOwnership.cpp
+++ b/src/core/ownership/ShardOwnership.cpp
@@ -23,7 +23,7 @@
 {
   OwnershipActions out;
   if (mTenureValidity.CheckLapsed(aNow)) {
-    mKeeper.LoseAll(out);
+    mKeeper.GiveUpAll(out);
   }
   std::visit([&](const auto& aAny) { Handle(aAny, aNow, out); }, aEvent);
   mSession.Advance(aNow, out);
@@ -178,7 +178,7 @@
 void ShardOwnership::EndTenure(Instant aNow, OwnershipActions& aOut)
 {
   mTenureValidity.End();
-  mKeeper.LoseAll(aOut);
+  mKeeper.GiveUpAll(aOut);
   if (mActingTenure) {
     mCloser.OnOwnTenureEnded(*mActingTenure, aNow);
     mActingTenure.reset();
@@ -187,7 +187,8 @@
 
 void ShardOwnership::Leave(OwnershipActions& aOut)
 {
-  // No shard names the tenure as its owner, so its record may go at once.
+  // No shard record names the tenure as owner, so the tenure's record can be
+  // deleted at once.
   const StoreLease tenure = *mSession.Tenure();
   StoreTransaction transaction;
   transaction.mWrites = {
--- a/src/core/ownership/ShardOwnership.h
+++ b/src/core/ownership/ShardOwnership.h
@@ -15,23 +15,23 @@
 
 namespace foxtailbarrow {
 
-/// Which shards of the job space this entry owns, and what that allows now.
+/// Manages the shards that this entry owns and what it may do with them.
 ///
-/// Decides: membership of the entry, the shards it takes and releases, until
-/// when it may extend task leases, and from when it may reassign tasks of
-/// silent agents that an earlier owner assigned.
-/// Input: ticks, replies of the store, messages of other entries. Output:
-/// calls to the store, messages to other entries, shards won and lost.
-/// Promise: of two entries never does one reassign a task whose lease the other
-/// may still extend. Argument: docs/design/0006-ownership.md.
-/// Survives: outages of the store up to the stretch limit while a majority of
-/// the entries lives, cut-off entries, lost replies, pauses, restarts.
-/// Not thread-safe; drive it from one fiber.
+/// Decides the entry's membership, the shards it takes and releases, until when
+/// it may extend task leases, and from when it may reassign tasks that an
+/// earlier owner assigned to agents that no longer report.
+/// Input: ticks, store replies, messages of other entries. Output: store calls,
+/// messages to other entries, shards gained and lost.
+/// Guarantees that no entry reassigns a task whose lease another entry may
+/// still extend; docs/design/0006-ownership.md gives the proof.
+/// Tolerates store outages up to the maximum extension while a majority of the
+/// entries is live, partitioned entries, lost replies, pauses and restarts.
+/// Not thread-safe; use it from one fiber.
 class ShardOwnership
 {
 public:
   /// @param aSelf this entry's id, incarnation and endpoint.
-  /// @param aNow start of the process, or later.
+  /// @param aNow start of the process or later.
   ShardOwnership(const OwnershipSettings& aSettings,
                  const EntryRecord& aSelf,
                  Instant aNow);
@@ -48,14 +48,15 @@
   /// Answers `entry.promise`.
   PromiseReply OnPromise(const PromiseRequest& aRequest);
 
-  /// May task leases of the shard be extended, and its tasks be acted for, by a
-  /// message whose request the agent sent before now? To start or reassign a
-  /// task, the store must also accept a write under Generation().
+  /// True when a message whose request the agent sent before now may extend
+  /// task leases of the shard and control its tasks. To start or reassign a
+  /// task, the store must also accept a write under HeldGeneration().
   bool MayExtend(ShardId aShard, Instant aNow) const;
 
-  /// May a task that an EARLIER generation assigned be reassigned although its
-  /// agent is silent? (Tasks assigned under this generation need only their own
-  /// lease and margin; agents that report are simply adopted.)
+  /// True when a task that an earlier generation assigned may be reassigned
+  /// although its agent does not report. Tasks assigned under this generation
+  /// only need their own lease and margin to pass; tasks that agents report are
+  /// adopted.
   bool MayReassign(ShardId aShard, Instant aNow) const;
 
   /// Set while this entry holds the shard.
@@ -64,20 +65,20 @@
   /// Shards that this entry holds, by number.
   const std::map<ShardId, HeldShard>& Held() const { return mKeeper.Held(); }
 
-  /// The entry that holds the shard as far as known here, for routing; nullptr
-  /// when none. Valid until the next On().
+  /// The last known live holder of the shard, for routing; nullptr when there
+  /// is none. Valid until the next On().
   const LiveEntry* OwnerOf(ShardId aShard) const;
 
   const EntryRoster& Roster() const { return mSession.Roster(); }
   std::optional<StoreLease> Tenure() const { return mSession.Tenure(); }
 
-  /// True while only attestations carry the tenure.
+  /// True while the tenure is valid only by attestations.
   bool ExtendedByVoters(Instant aNow) const
   {
     return mTenureValidity.ExtendedByVoters(aNow);
   }
 
-  /// Ended tenures that are not closed yet, as far as known here.
+  /// Number of known ended tenures that are not closed yet.
   std::size_t OpenTenures() const { return mCloser.OpenCount(); }
 
 private:
@@ -105,9 +106,10 @@
   TenureCloser mCloser;
   ShardKeeper mKeeper;
   TenureMaintenance mMaintenance;
-  std::optional<StoreLease> mActingTenure; ///< Tenure acted under.
-  std::map<ShardId, Generation>
-    mReportedExpired; ///< Reported, by generation held.
+  std::optional<StoreLease>
+    mActingTenure; ///< Tenure that shards are held under.
+  /// Generations for which EarlierLeasesExpired was sent.
+  std::map<ShardId, Generation> mReportedExpired;
   bool mDraining = false;
   std::optional<CallId> mLeaving;
 };
--- a/src/core/ownership/ShardPlan.cpp
+++ b/src/core/ownership/ShardPlan.cpp
@@ -90,12 +90,12 @@
   if (!hadOwner) {
     return true;
   }
-  // After an outage of the store, or when the owner is back under a new
-  // tenure, it takes its shards again without moving any task.
+  // After a store outage, or when the owner is back under a new tenure, the
+  // owner can take its shards again without moving any task.
   const bool ownerIsBack = aRoster.Find(aSlot.mRecord->mOwner) != nullptr;
-  const Instant patience =
+  const Instant waitsSince =
     ownerIsBack ? aSlot.mVacantSince.value_or(aNow) : mMemberSince;
-  return aNow >= patience + mSettings.mOutageGrace;
+  return aNow >= waitsSince + mSettings.mOutageGrace;
 }
 
 } // namespace foxtailbarrow
--- a/src/core/ownership/ShardPlan.h
+++ b/src/core/ownership/ShardPlan.h
@@ -9,10 +9,10 @@
 
 namespace foxtailbarrow {
 
-/// Which shards this entry should take, and which it should hand over.
+/// Plans which shards this entry should take and which it should release.
 ///
-/// Input: the roster of each round, the table of shards. Keeps the targets of
-/// the newest roster and how long each entry has been seen.
+/// Input: the roster of each round and the shard table. Keeps the shard targets
+/// of the newest roster and the time since which each entry has been listed.
 class ShardPlan
 {
 public:
@@ -21,17 +21,19 @@
   void OnRegistered(Instant aNow) { mMemberSince = aNow; }
   void OnRoster(const EntryRoster& aRoster, Instant aNow);
 
-  /// Shards without a live owner that this entry may take now: its own of an
-  /// earlier tenure at once, others when it is their target and has waited.
+  /// Shards without a live owner that this entry may take now: those of its own
+  /// earlier tenure at once, others when it is their target and their waiting
+  /// time has passed.
   std::vector<ShardId> ToTake(const ShardTable& aTable,
                               const EntryRoster& aRoster,
                               Instant aNow) const;
 
-  /// True when this entry waits for a shard: one without a live owner, or one
-  /// whose target it is.
+  /// True when some shard has no live owner, or has this entry as its target
+  /// but another owner.
   bool AwaitsShard(const ShardTable& aTable, const EntryRoster& aRoster) const;
 
-  /// True when the shard's target is another entry, seen long enough.
+  /// True when the shard's target is another entry that has been listed for
+  /// `mSettleTime`.
   bool BelongsToOther(ShardId aShard,
                       const EntryRoster& aRoster,
                       Instant aNow) const;
--- a/src/core/ownership/ShardTable.h
+++ b/src/core/ownership/ShardTable.h
@@ -9,17 +9,18 @@
 
 namespace foxtailbarrow {
 
-/// A shard as the store last showed it. No record: it never had an owner.
+/// The last known store state of a shard. Without a record, it never had an
+/// owner.
 struct ShardSlot
 {
   std::optional<ShardRecord> mRecord;
   Revision mModRevision = 0;
 
-  /// Since when nobody live holds it, as far as this entry saw.
+  /// When this entry first found the shard without a live holder.
   std::optional<Instant> mVacantSince;
 };
 
-/// The shards as the store last listed them, by number.
+/// The last known store state of all shards, by number.
 class ShardTable
 {
 public:
@@ -30,10 +31,10 @@
 
   void OnListing(const StoreListing& aListing);
 
-  /// This process wrote the record itself.
+  /// Applies a record that this process wrote.
   void OnWritten(ShardId aShard, ShardRecord aRecord, Revision aRevision);
 
-  /// Notes which shards nobody live holds.
+  /// Updates which shards have no live holder.
   void OnRoster(const EntryRoster& aRoster, Instant aNow);
 
   const ShardSlot& Slot(ShardId aShard) const { return mSlots.at(aShard); }
@@ -42,7 +43,7 @@
     return static_cast<std::uint32_t>(mSlots.size());
   }
 
-  /// The live owner, nullptr when there is none. Valid until the roster's next
+  /// The live owner; nullptr when there is none. Valid until the roster's next
   /// round.
   const LiveEntry* Owner(ShardId aShard, const EntryRoster& aRoster) const;
 
--- a/src/core/ownership/ShardTarget.h
+++ b/src/core/ownership/ShardTarget.h
@@ -7,16 +7,16 @@
 
 namespace foxtailbarrow {
 
-/// The entry that should hold each shard, by index of the shard.
+/// Computes the entry that should hold each shard.
 ///
-/// Rendezvous hashing with a bound: a shard goes to the entry with the highest
-/// score for it, unless that one has a quarter more than its even part already;
-/// then to the next. Depends on nothing but the arguments, so that entries with
-/// the same roster agree without a word. One entry more or less moves only the
-/// shards of that entry and the few that the bound displaces.
+/// Rendezvous hashing with bounded load: a shard goes to the entry with the
+/// highest score for it, or to the next one if that entry already has a quarter
+/// more than an even share. The result depends only on the arguments, so
+/// entries with the same roster agree without communication. Adding or removing
+/// an entry moves only its shards and the few that the bound displaces.
 ///
 /// @param aEntries sorted by id.
-/// @return one index into `aEntries` a shard; empty when `aEntries` is.
+/// @return an index into `aEntries` per shard; empty when `aEntries` is empty.
 std::vector<std::size_t> ShardTargets(std::span<const EntryId> aEntries,
                                       std::uint32_t aShards);
 
--- a/src/core/ownership/StoreCommand.h
+++ b/src/core/ownership/StoreCommand.h
@@ -9,7 +9,7 @@
 
 namespace foxtailbarrow {
 
-/// Matches a reply of the store to its request.
+/// Matches a store reply to its request.
 using CallId = std::uint64_t;
 
 struct GrantLeaseCall
@@ -48,7 +48,7 @@
 struct LeaseKept
 {};
 
-/// The lease is unknown to the store: it lapsed or was revoked.
+/// The store does not know the lease: it expired or was revoked.
 struct LeaseNotFound
 {};
 
@@ -75,15 +75,15 @@
   StoreCommand mCall;
 };
 
-/// What became of it. Every request gets one reply; the shell bounds each call
-/// by a timeout, after which it replies CallFailed with MayHaveRun.
+/// The result of a StoreRequest. Every request gets one reply; the shell bounds
+/// each call by a timeout, after which it replies CallFailed with MayHaveRun.
 struct StoreReply
 {
   CallId mId = 0;
   StoreResult mResult;
 };
 
-/// Gives each request a number that no other of this process has.
+/// Generates call ids that are unique within the process.
 class CallIdGenerator
 {
 public:
--- a/src/core/ownership/StoreKeys.h
+++ b/src/core/ownership/StoreKeys.h
@@ -17,10 +17,10 @@
 std::string ShardKey(ShardId aShard);
 std::string TenureKey(StoreLease aTenure);
 
-/// Reverse of ShardKey().
+/// Inverse of ShardKey(); nullopt for any other key.
 std::optional<ShardId> ParseShardKey(std::string_view aKey);
 
-/// Reverse of TenureKey().
+/// Inverse of TenureKey(); nullopt for any other key.
 std::optional<StoreLease> ParseTenureKey(std::string_view aKey);
 
 } // namespace foxtailbarrow
--- a/src/core/ownership/StoreSession.cpp
+++ b/src/core/ownership/StoreSession.cpp
@@ -117,8 +117,8 @@
   for (const LiveEntry& entry : live) {
     listed.push_back({ entry.mRecord.mEntry, entry.mRecord.mEndpoint });
   }
-  // Members of the last roster stay, so that the first entry back after an
-  // outage is not the only voter of its own tenure.
+  // Members of the last roster remain voters, so the first entry to return
+  // after an outage is not the only voter of its own tenure.
   const std::array<Voters, 2> lists = { std::move(listed), mRoster.AsVoters() };
   mVoters = Union(lists);
 
@@ -210,7 +210,7 @@
 StoreSession::Change StoreSession::OnFailure(OwnershipActions& aOut)
 {
   if (mStep == Step::Registering) {
-    // Never repeated: it may have taken effect.
+    // The registration may have taken effect, so it is read back, not repeated.
     SendCall(Step::ReadingBack, ListCall{ std::string(kEntriesPrefix) }, aOut);
     return Change::None;
   }
--- a/src/core/ownership/StoreSession.h
+++ b/src/core/ownership/StoreSession.h
@@ -9,27 +9,28 @@
 
 namespace foxtailbarrow {
 
-/// Keeps this entry registered in the store and its roster fresh.
+/// Keeps this entry registered in the store and its roster up to date.
 ///
-/// Decides: when to take a new tenure, when to renew, whether the tenure has
-/// ended. One call is under way at a time.
-/// Promise: a tenure is registered at most once; one that ended never returns.
-/// Survives: lost replies of the registration (read back and judged by the
-/// tenure's number, which is unique), outages, a lapsed lease, a second process
-/// under the same id (the older one gives way).
+/// Decides when to start a new tenure, when to renew it, and whether it has
+/// ended. One call is in flight at a time.
+/// Guarantees that a tenure is registered at most once and that an ended tenure
+/// is never resumed.
+/// After a lost reply to a registration, the record is read back and compared
+/// by the tenure's unique number. Tolerates outages, an expired lease, and a
+/// second process under the same id, to which the older process yields.
 class StoreSession
 {
 public:
   enum class Change : std::uint8_t
   {
     None,
-    Registered, ///< A tenure began; not confirmed by a round yet.
+    Registered, ///< A tenure began; no round has confirmed it yet.
     Confirmed,  ///< A round succeeded.
     Ended,      ///< The store ended the tenure.
-    Superseded, ///< A later process has this id.
+    Superseded, ///< A later process registered under this id.
   };
 
-  /// @param aSelf record to register; its tenure is filled in here.
+  /// @param aSelf record to register; the session fills in its tenure.
   StoreSession(const OwnershipSettings& aSettings,
                EntryRecord aSelf,
                CallIdGenerator& aCallIds);
@@ -37,22 +38,22 @@
   /// Starts the next round when it is due.
   void Advance(Instant aNow, OwnershipActions& aOut);
 
-  /// Ignores replies to calls of others.
+  /// Ignores replies to calls of other components.
   Change OnReply(const StoreReply& aReply,
                  Instant aNow,
                  OwnershipActions& aOut);
 
-  /// Ends the tenure on this side, for example on leaving.
+  /// Ends the tenure locally and starts no further round.
   void Stop();
 
   const EntryRoster& Roster() const { return mRoster; }
   std::optional<StoreLease> Tenure() const { return mTenure; }
   const EntryRecord& Self() const { return mSelf; }
 
-  /// Mod revision of this entry's record; the condition of all its writes.
+  /// Mod revision of this entry's record; writes of the entry compare it.
   Revision RecordRevision() const { return mRecordRevision; }
 
-  /// Voters written with the tenure at its registration.
+  /// Voters that were written when the tenure was registered.
   const Voters& FirstVoters() const { return mVoters; }
 
 private:
--- a/src/core/ownership/TenureCloser.cpp
+++ b/src/core/ownership/TenureCloser.cpp
@@ -42,7 +42,7 @@
   if (!found->second.mVoters) {
     found->second.mVoters = aRecord.mVoters;
   }
-  // A process is started under an id only once its predecessor is dead.
+  // A process starts under an id only after its predecessor has exited.
   if (aRecord.mEntry == mSelf) {
     ScheduleClose(found->second, aNow);
   }
@@ -86,8 +86,8 @@
       continue;
     }
     Ended& ended = found->second;
-    Instant& date = ended.mPromised[aReply.mVoter];
-    date = std::max(date, sent->second);
+    Instant& promisedAt = ended.mPromised[aReply.mVoter];
+    promisedAt = std::max(promisedAt, sent->second);
     if (HasMajority(ended, aNow)) {
       ScheduleClose(ended, aNow);
     }
--- a/src/core/ownership/TenureCloser.h
+++ b/src/core/ownership/TenureCloser.h
@@ -14,31 +14,34 @@
 
 namespace foxtailbarrow {
 
-/// Finds out when no task lease of an ended tenure can be left.
+/// Determines when every task lease of an ended tenure has expired.
 ///
-/// Input: tenures that the store shows ended; their records read after that;
-/// promises of voters. Output: Closed().
-/// A tenure closes: at once when its record is gone (another entry closed it);
-/// a wait after a majority of its voters promised within one window; a wait
-/// after its own holder's word, which is this process itself or the process
-/// that started after it under the same id; else after the hold.
-/// Survives: loss of voters (the hold), voters that restart between promise and
-/// majority (the window), lost and late replies (dated by sending).
+/// Input: tenures that ended according to the store, their records as read
+/// afterwards, and promises of voters. Output: Closed().
+/// A tenure closes
+/// - at once when its record is deleted, because another entry closed it;
+/// - OwnershipSettings::TenureWait() after a majority of its voters promised
+///   within one window, or after its holder confirmed the end (the holder is
+///   this process or its predecessor under the same id);
+/// - otherwise after `mTenureTimeout`.
+/// The timeout covers the loss of voters, the window covers voters that restart
+/// between promise and majority. Replies are timestamped by the sending of
+/// their request, so lost and late replies are safe.
 class TenureCloser
 {
 public:
   TenureCloser(const OwnershipSettings& aSettings, EntryId aSelf);
 
-  /// The store showed `aTenure` ended before `aNow`. Idempotent.
+  /// `aTenure` ended before `aNow` according to the store. Idempotent.
   void OnTenureEnded(StoreLease aTenure, Instant aNow);
 
-  /// This process held `aTenure` and ceased to act under it before `aNow`.
+  /// This process held `aTenure` and stopped acting under it before `aNow`.
   void OnOwnTenureEnded(StoreLease aTenure, Instant aNow);
 
-  /// Record of an open tenure, read after it had ended.
+  /// Record of an ended tenure, read after its end.
   void OnRecord(StoreLease aTenure, const TenureRecord& aRecord, Instant aNow);
 
-  /// The store has no record of this open tenure any more.
+  /// The store no longer has a record of this ended tenure.
   void OnRecordDeleted(StoreLease aTenure);
 
   void Advance(const EntryRoster& aRoster,
@@ -46,13 +49,14 @@
                OwnershipActions& aOut);
   void OnReply(const PromiseReply& aReply, Instant aNow);
 
-  /// True when no lease of the tenure is left. Tenures never opened are not.
+  /// True when every task lease of the tenure has expired. False for a tenure
+  /// that was never reported as ended.
   bool Closed(StoreLease aTenure, Instant aNow) const;
 
-  /// OnTenureEnded tenures whose records were not read yet.
+  /// Ended tenures whose records have not been read yet.
   std::vector<StoreLease> WithoutRecords() const;
 
-  /// Closed tenures whose records are to be deleted.
+  /// Closed tenures whose records can be deleted.
   std::vector<StoreLease> Deletable(Instant aNow) const;
   void OnDeleted(std::span<const StoreLease> aTenures);
 
@@ -64,10 +68,10 @@
     Instant mTimeoutAt{};
     std::optional<Voters> mVoters;
     std::optional<Instant> mClosesAt;
-    absl::flat_hash_map<EntryId, Instant> mPromised; ///< By sending.
+    absl::flat_hash_map<EntryId, Instant> mPromised; ///< When requested.
   };
 
-  void ScheduleClose(Ended& aOpen, Instant aNow) const;
+  void ScheduleClose(Ended& aEnded, Instant aNow) const;
   std::vector<StoreLease> AwaitingPromises() const;
   Voters VotersOf(std::span<const StoreLease> aTenures) const;
   bool HasMajority(const Ended& aEnded, Instant aNow) const;
--- a/src/core/ownership/TenureMaintenance.cpp
+++ b/src/core/ownership/TenureMaintenance.cpp
@@ -169,8 +169,9 @@
       continue;
     }
     suspects.insert(tenure);
-    // One that was there a sweep ago and is not in today's newer roster ended
-    // before this listing; a new one may only be younger than the roster.
+    // A tenure that was listed in the previous sweep and is not in the newer
+    // roster ended before this listing. One listed for the first time may just
+    // be newer than the roster.
     if (mSuspects.contains(tenure)) {
       mCloser.OnTenureEnded(tenure, aNow);
       mCloser.OnRecord(tenure, record, aNow);
@@ -191,8 +192,8 @@
     const auto record = DecodeTenureRecord(entry.mValue);
     if (entry.mKey == TenureKey(aWork.mTenure) && record) {
       mRevision = entry.mModRevision;
-      // Not the roster's, so that a write follows: only that one's success
-      // proves that no older write is still under way.
+      // Differs from the roster, so that a write follows: only its success
+      // proves that no older write is still in flight.
       mVoters.clear();
     }
   }
--- a/src/core/ownership/TenureMaintenance.h
+++ b/src/core/ownership/TenureMaintenance.h
@@ -16,12 +16,12 @@
 
 namespace foxtailbarrow {
 
-/// The store work around tenure records: keeps the voters of this entry's
-/// tenure like the roster, reads the records of ended tenures, deletes those of
-/// closed ones, and looks for ended tenures that nobody names.
+/// Maintains tenure records in the store: updates the voters of this entry's
+/// tenure to the roster, reads the records of ended tenures, deletes those of
+/// closed ones, and searches for ended tenures that no shard refers to.
 ///
-/// One call is under way at a time. Survives lost replies: while it is unsure
-/// which voters the record names, majorities of all candidates are needed.
+/// One call is in flight at a time. After a lost reply, while the recorded
+/// voters are uncertain, a majority of every possible voter list is required.
 class TenureMaintenance
 {
 public:
@@ -36,7 +36,7 @@
   void OnRound(Instant aNow);
   void Advance(Instant aNow, OwnershipActions& aOut);
 
-  /// Ignores replies to calls of others.
+  /// Ignores replies to calls of other components.
   void OnReply(const StoreReply& aReply, Instant aNow);
 
 private:
@@ -87,11 +87,11 @@
   CallId mCall = 0;
   Instant mNextRead{};
   Instant mNextSweep{};
-  Voters mVoters; ///< As the record says, if mRevision is known.
+  Voters mVoters; ///< As recorded in the store if mRevision is known.
   std::optional<Revision> mRevision;
   Voters mLastRoster;
   Instant mRosterSince{};
-  absl::flat_hash_set<StoreLease> mSuspects; ///< Not live at the last sweep.
+  absl::flat_hash_set<StoreLease> mSuspects; ///< Not live in the last sweep.
 };
 
 } // namespace foxtailbarrow
--- a/src/core/ownership/TenureValidity.cpp
+++ b/src/core/ownership/TenureValidity.cpp
@@ -51,11 +51,11 @@
                              Instant aNow,
                              OwnershipActions& aOut)
 {
-  // A round that is late by half its interval is the first sign of an outage.
+  // A round that is late by half an interval may be the start of an outage.
   const Duration late = mSettings.mRoundInterval * 3 / 2;
-  const bool doubted =
+  const bool roundOverdue =
     mTenure && mConfirmed && !mLapsed && aNow >= *mConfirmed + late;
-  if (doubted && aNow >= mLastSent + mSettings.mAttestationInterval) {
+  if (roundOverdue && aNow >= mLastSent + mSettings.mAttestationInterval) {
     Send(aRoster, aNow, aOut);
   }
 }
@@ -85,8 +85,8 @@
   if (!aReply.mAttested || mTenure != aReply.mTenure || sent == mSent.end()) {
     return;
   }
-  Instant& date = mAttested[aReply.mVoter];
-  date = std::max(date, sent->second);
+  Instant& attestedAt = mAttested[aReply.mVoter];
+  attestedAt = std::max(attestedAt, sent->second);
 }
 
 bool TenureValidity::CheckLapsed(Instant aNow)
@@ -118,11 +118,11 @@
 {
   Instant until = *mConfirmed + mSettings.mMaxExtension;
   for (const Voters& voters : mVoterSets) {
-    const auto date = MajorityAttestedAt(voters, aNow);
-    if (!date) {
+    const auto attestedAt = MajorityAttestedAt(voters, aNow);
+    if (!attestedAt) {
       return std::nullopt;
     }
-    until = std::min(until, *date + mSettings.mAttestationValidity);
+    until = std::min(until, *attestedAt + mSettings.mAttestationValidity);
   }
   return until;
 }
@@ -130,21 +130,21 @@
 std::optional<Instant> TenureValidity::MajorityAttestedAt(const Voters& aVoters,
                                                           Instant aNow) const
 {
-  std::vector<Instant> dates;
+  std::vector<Instant> times;
   for (const Voter& voter : aVoters) {
     if (voter.mEntry == mSelf) {
-      dates.push_back(aNow);
+      times.push_back(aNow);
     } else if (const auto found = mAttested.find(voter.mEntry);
                found != mAttested.end()) {
-      dates.push_back(found->second);
+      times.push_back(found->second);
     }
   }
   const std::size_t majority = MajorityOf(aVoters);
-  if (dates.size() < majority) {
+  if (times.size() < majority) {
     return std::nullopt;
   }
-  std::ranges::sort(dates, std::ranges::greater{});
-  return dates[majority - 1];
+  std::ranges::sort(times, std::ranges::greater{});
+  return times[majority - 1];
 }
 
 } // namespace foxtailbarrow
--- a/src/core/ownership/TenureValidity.h
+++ b/src/core/ownership/TenureValidity.h
@@ -12,50 +12,54 @@
 
 namespace foxtailbarrow {
 
-/// How long this entry may act under its tenure.
+/// Determines how long this entry may act under its tenure.
 ///
-/// Decides: until when the tenure holds. A round of the store carries it by the
-/// validity; while the store is out of reach, attestations of a majority of the
-/// recorded voters carry it on, each dated by the sending of its request.
-/// Promise: once there was a gap, only the store can revive the tenure, never
-/// attestations. Nothing is stretched beyond the limit after the last round.
-/// Survives: pauses and late replies (everything is dated by its sending).
+/// A successful store round makes the tenure valid for `mValidity`. While the
+/// store is unreachable, attestations of a majority of the recorded voters
+/// extend it.
+/// Guarantees that after the validity has lapsed, only the store can renew the
+/// tenure, never attestations, and that no extension goes beyond
+/// `mMaxExtension` after the last round.
+/// Rounds and attestations are timestamped by the sending of their requests, so
+/// pauses and late replies cannot prolong the validity.
 class TenureValidity
 {
 public:
   TenureValidity(const OwnershipSettings& aSettings, EntryId aSelf);
 
-  /// A tenure began; `aVoters` is what its record in the store says.
+  /// A tenure began with `aVoters` in its store record.
   void Begin(StoreLease aTenure, Voters aVoters);
   void End();
 
-  /// A round of the store that began at `aStarted` succeeded.
+  /// A store round that began at `aStarted` succeeded.
   void Confirm(Instant aStarted);
 
-  /// The record may now say `aVoters`: majorities of all that it may say are
-  /// needed until SetVoters().
+  /// The record may now contain `aVoters`. Until SetVoters(), a majority of
+  /// every voter list that it may contain is required.
   void AddPossibleVoters(Voters aVoters);
 
-  /// The record certainly says `aVoters` and no older write is under way.
+  /// The record contains `aVoters` and no older write is in flight.
   void SetVoters(Voters aVoters);
 
-  /// Asks the voters when the store is late. `aRoster` gives the addresses.
+  /// Requests attestations when a store round is late. `aRoster` provides the
+  /// endpoints.
   void Advance(const EntryRoster& aRoster,
                Instant aNow,
                OwnershipActions& aOut);
 
   void OnReply(const AttestReply& aReply);
 
-  /// This entry itself promised the tenure: only the store can revive it.
+  /// This entry promised not to attest its own tenure; only the store can
+  /// renew it.
   void OnOwnPromise() { mLapsed = true; }
 
-  /// Notices a gap. True when the tenure holds no longer.
+  /// Detects that the tenure has lapsed. True when it is no longer valid.
   bool CheckLapsed(Instant aNow);
 
   /// True while this entry may act under its tenure.
   bool Holds(Instant aNow) const;
 
-  /// True while it holds by attestations only.
+  /// True while the tenure is valid only by attestations.
   bool ExtendedByVoters(Instant aNow) const;
 
 private:
@@ -72,7 +76,7 @@
   bool mLapsed = true;
   std::uint64_t mSequence = 0;
   Instant mLastSent{};
-  /// Recent sendings by sequence, and the newest one that each voter attested.
+  /// Recent requests by sequence, and the newest one that each voter attested.
   absl::flat_hash_map<std::uint64_t, Instant> mSent;
   absl::flat_hash_map<EntryId, Instant> mAttested;
 };
--- a/src/core/ownership/TenureVoter.cpp
+++ b/src/core/ownership/TenureVoter.cpp
@@ -47,7 +47,8 @@
     return false;
   }
   if (mHasRoster) {
-    // Seen live since this process began, so nothing about it is forgotten.
+    // A tenure that was live after this process started cannot be one whose
+    // promise was lost in the restart.
     return mLive.contains(aTenure);
   }
   return aNow >= mStarted + mSettings.mRestartSilence;
--- a/src/core/ownership/TenureVoter.h
+++ b/src/core/ownership/TenureVoter.h
@@ -8,14 +8,15 @@
 
 namespace foxtailbarrow {
 
-/// An entry's part as a voter on the tenures of others.
+/// Answers this entry's attestation and promise requests as a voter on tenures.
 ///
-/// Decides: whether to attest that it knows of nobody who ended a tenure.
-/// Promise: after it promised a tenure, or saw the store without it, it never
-/// attests it. After a restart it attests what it has seen live in the store
-/// since; without the store it first stays silent for so long that whatever
-/// promise it may have forgotten has taken effect.
-/// Keeps nothing beyond its process.
+/// Attests a tenure unless it knows that the tenure has ended.
+/// Guarantees that it never attests a tenure that it promised not to attest, or
+/// that was missing from its last roster. After a restart it attests the
+/// tenures that are live in the store; while the store is unreachable, it first
+/// attests nothing until any promise that the restart may have lost has taken
+/// effect.
+/// Persists no state.
 class TenureVoter
 {
 public:
@@ -23,7 +24,7 @@
               EntryId aSelf,
               Instant aStarted);
 
-  /// Takes the roster of a successful round.
+  /// Applies the roster of a successful round.
   void OnRound(const EntryRoster& aRoster);
 
   AttestReply OnAttest(const AttestRequest& aRequest, Instant aNow) const;
--- a/src/core/ownership/VoterList.h
+++ b/src/core/ownership/VoterList.h
@@ -7,10 +7,10 @@
 
 namespace foxtailbarrow {
 
-/// Votes that make a majority of these voters: any two majorities share one.
+/// Number of votes that form a majority; any two majorities share a voter.
 std::size_t MajorityOf(const Voters& aVoters);
 
-/// All voters of the lists, sorted by id, each once.
+/// All voters of the lists, sorted by id, without duplicates.
 Voters Union(std::span<const Voters> aLists);
 
 } // namespace foxtailbarrow
