--- a/tests/ownership/Chaos.h
+++ b/tests/ownership/Chaos.h
@@ -11,26 +11,26 @@
   StoreDown,
   LostReplies,
   Stragglers,
-  EntriesLoseStore, ///< The targets among the entries.
-  CutOff,           ///< Targets reach one another only, and not the store.
-  Straddle,         ///< Targeted entries reach both sides, not the store.
+  EntriesLoseStore, ///< Targeted entries cannot reach the store.
+  CutOff,           ///< Targets reach only one another, and not the store.
+  Straddle,         ///< Targeted entries reach both sides, but not the store.
   PauseEntries,
   PauseAgents,
-  RestartEntries, ///< Killed now, started again after the span.
+  RestartEntries, ///< Killed, and started again after the span.
 };
 
-/// Something that breaks now and is well again after a span.
+/// A fault that is injected now and removed after a span.
 struct Fault
 {
   FaultKind mKind = FaultKind::StoreDown;
   unsigned mTargets = 0; ///< Bits: entries from 0, agents from 8.
   int mSpan = 0;         ///< Seconds.
-  int mGap = 0;          ///< Seconds until the next one.
+  int mGap = 0;          ///< Seconds until the next fault.
 };
 
 std::ostream& operator<<(std::ostream& aOut, const Fault& aFault);
 
-/// A fleet that faults befall.
+/// A fleet with fault injection.
 class ChaosFleet : public TaskFleet
 {
 public:
--- a/tests/ownership/Fleet.cpp
+++ b/tests/ownership/Fleet.cpp
@@ -82,8 +82,8 @@
 void Fleet::Deliver(Node& aNode, Duration aDelay, Task aTask)
 {
   At(mNow + aDelay,
-     [this, &aNode, life = aNode.mIncarnation, task = std::move(aTask)] {
-       if (!aNode.mUp || aNode.mIncarnation != life) {
+     [this, &aNode, incarnation = aNode.mIncarnation, task = std::move(aTask)] {
+       if (!aNode.mUp || aNode.mIncarnation != incarnation) {
          return;
        }
        if (aNode.mPausedUntil > mNow) {
@@ -121,7 +121,7 @@
   if (Chance(mNetwork.mLost)) {
     return;
   }
-  // A pause of the caller between deciding and sending holds the call back.
+  // A pause of the caller between decision and sending delays the call.
   Deliver(aNode, Delay(), [this, &aNode, finish, aCall] {
     if (mNetwork.mStoreDown || !aNode.mReachesStore) {
       return;
@@ -136,7 +136,7 @@
 void Fleet::Send(Node& aFrom, Node& aTo, Task aTask)
 {
   ++mMessages;
-  // A pause of the sender between deciding and sending holds it back.
+  // A pause of the sender between decision and sending delays the message.
   Deliver(aFrom, Delay(), [this, &aFrom, &aTo, task = std::move(aTask)] {
     if ((aFrom.mSides & aTo.mSides) != 0 && !Chance(mNetwork.mLost)) {
       Deliver(aTo, Delay(), task);
--- a/tests/ownership/Fleet.h
+++ b/tests/ownership/Fleet.h
@@ -17,14 +17,15 @@
 
 inline constexpr unsigned kMainSide = 1;
 
-/// A process with a clock of its own, which can be paused, killed or cut off.
+/// A process with its own clock, which can be paused, killed or partitioned.
 struct Node
 {
   std::string mName;
-  double mRate = 1.0; ///< Of its clock.
+  double mRate = 1.0; ///< Clock rate.
   bool mUp = true;
-  int mIncarnation = 0; ///< Raised at every start; older deliveries are void.
-  unsigned mSides = kMainSide; ///< Nodes with a common bit reach each other.
+  int mIncarnation =
+    0; ///< Incremented at each start; older deliveries are dropped.
+  unsigned mSides = kMainSide; ///< Nodes that share a bit can reach each other.
   bool mReachesStore = true;
   Duration mPausedUntil{}; ///< True time.
 
@@ -34,13 +35,13 @@
   }
 };
 
-/// How the network and the store behave.
+/// Behavior of the network and the store.
 struct NetworkConditions
 {
-  Duration mDelay = 2ms;     ///< Mean, one way.
-  double mLostReplies = 0.0; ///< Of the store, after the effect.
-  double mLost = 0.0;        ///< Of messages and calls, before the effect.
-  double mStraggling = 0.0;  ///< Arrive up to 15 s late.
+  Duration mDelay = 2ms;     ///< Mean one-way delay.
+  double mLostReplies = 0.0; ///< Fraction of store replies lost.
+  double mLost = 0.0;        ///< Fraction of messages and calls lost.
+  double mStraggling = 0.0;  ///< Fraction delayed by up to 15 s.
   bool mStoreDown = false;
 };
 
@@ -73,14 +74,14 @@
     return mDrained.contains(aEntry);
   }
 
-  /// How many running entries say that they may act for the shard.
+  /// Number of running entries that may extend task leases of the shard.
   std::size_t Holders(ShardId aShard) const;
 
   ModelStore mStore;
   NetworkConditions mNetwork;
   OwnershipSettings mSettings;
 
-  /// Mutation: voters attest whatever they promised.
+  /// Mutation: voters attest tenures in spite of their promises.
   bool mVotersForget = false;
   std::uint64_t mMessages = 0;
 
@@ -90,8 +91,8 @@
 
   void At(Duration aTime, Task aTask);
 
-  /// Runs `aTask` at `aNode` when it gets there: never where the node died,
-  /// later where it is paused.
+  /// Runs `aTask` on `aNode` after the delay; later if the node is paused,
+  /// never if it was killed.
   void Deliver(Node& aNode, Duration aDelay, Task aTask);
   void Every(Node& aNode, Duration aLocalSpan, Task aTask);
   void CallStore(Node& aNode,
--- a/tests/ownership/ModelStore.h
+++ b/tests/ownership/ModelStore.h
@@ -8,11 +8,12 @@
 
 namespace foxtailbarrow::test {
 
-/// The platform's store in virtual time: compare-and-swap, leases, listings.
+/// A model of the platform's store in virtual time, with compare-and-swap,
+/// leases and listings.
 class ModelStore
 {
 public:
-  /// Applies one call at the true time `aNow`.
+  /// Applies a call at true time `aNow`.
   StoreResult Apply(const StoreCommand& aCall, Duration aNow);
 
   std::uint64_t Calls() const { return mCalls; }
--- a/tests/ownership/RecordsTest.cpp
+++ b/tests/ownership/RecordsTest.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(OwnershipRecords, SurviveTheStore)
+TEST(OwnershipRecords, SurviveEncodingAndDecoding)
 {
   const EntryRecord entry{ EntryId("e1"), 7, { "10.0.0.1", 80 }, 1234 };
   const ShardRecord shard{ EntryId("e1"), 1234, "e1/7/1", { 3, 5 } };
@@ -23,7 +23,7 @@
 class BadRecord : public testing::TestWithParam<const char*>
 {};
 
-TEST_P(BadRecord, IsNone)
+TEST_P(BadRecord, IsRejected)
 {
   EXPECT_EQ(DecodeEntryRecord(GetParam()), std::nullopt);
   EXPECT_EQ(DecodeShardRecord(GetParam()), std::nullopt);
@@ -53,7 +53,7 @@
 class SettingsCheck : public testing::TestWithParam<SettingsCase>
 {};
 
-TEST_P(SettingsCheck, RefusesWhatBreaksAnInequality)
+TEST_P(SettingsCheck, RejectsViolatedInequalities)
 {
   OwnershipSettings settings;
   GetParam().mChange(settings);
--- a/tests/ownership/SafetyPropertyTest.cpp
+++ b/tests/ownership/SafetyPropertyTest.cpp
@@ -20,7 +20,8 @@
                         gen::set(&Fault::mTargets, gen::inRange(0U, 0x800U)),
                         gen::set(&Fault::mSpan, gen::inRange(1, 120)),
                         gen::set(&Fault::mGap, gen::inRange(0, 40)));
-    // Ranges shrink with the size, which here is to bound the number of faults.
+    // RapidCheck scales ranges with the size, which should only limit the
+    // number of faults here.
     return gen::resize(kNominalSize, fault);
   }
 };
@@ -35,7 +36,7 @@
 struct SafetyCase
 {
   const char* mName;
-  bool mSafe; ///< False: a mutation that the check must notice.
+  bool mSafe; ///< False: a mutation that the check must detect.
   std::function<void(OwnershipSettings&)> mSettings;
   std::function<void(TaskFleet&)> mMutate;
 };
@@ -45,7 +46,8 @@
   return aOut << aCase.mName;
 }
 
-/// The first task in two places under these faults; empty when there is none.
+/// The first task that ran on two agents at once under these faults; empty if
+/// none.
 std::string FirstDoubleRun(const SafetyCase& aCase,
                            int aSeed,
                            const std::vector<Fault>& aFaults)
@@ -67,7 +69,7 @@
 class TaskSafety : public testing::TestWithParam<SafetyCase>
 {};
 
-TEST_P(TaskSafety, NoTaskRunsInTwoPlacesWhateverBefalls)
+TEST_P(TaskSafety, NoTaskRunsTwiceAtOnceUnderFaults)
 {
   rc::detail::TestParams params;
   params.seed = 20261202;
@@ -76,8 +78,8 @@
   params.disableShrinking = !GetParam().mSafe;
   const auto result = rc::detail::checkTestable(
     [](int aSeed, const std::vector<Fault>& aFaults) {
-      const std::string doubled = FirstDoubleRun(GetParam(), aSeed, aFaults);
-      RC_ASSERT(doubled == "");
+      const std::string doubleRun = FirstDoubleRun(GetParam(), aSeed, aFaults);
+      RC_ASSERT(doubleRun == "");
     },
     rc::detail::TestMetadata(),
     params);
@@ -87,36 +89,36 @@
   EXPECT_EQ(result.match(success), GetParam().mSafe) << text.str();
 }
 
-const auto kAsIs = [](OwnershipSettings&) {};
-const auto kNone = [](TaskFleet&) {};
+const auto kDefaults = [](OwnershipSettings&) {};
+const auto kNoMutation = [](TaskFleet&) {};
 
 INSTANTIATE_TEST_SUITE_P(
   Rules,
   TaskSafety,
   testing::Values(
-    SafetyCase{ "AsDesigned", true, kAsIs, kNone },
+    SafetyCase{ "AsDesigned", true, kDefaults, kNoMutation },
     SafetyCase{
-      "NoHold",
+      "ShortTenureTimeout",
       false,
       [](OwnershipSettings& aSettings) { aSettings.mTenureTimeout = 30s; },
-      kNone },
+      kNoMutation },
     SafetyCase{ "VotersForget",
                 false,
-                kAsIs,
+                kDefaults,
                 [](TaskFleet& aFleet) { aFleet.mVotersForget = true; } },
     SafetyCase{ "ValidityBeyondStoreLease",
                 false,
                 [](OwnershipSettings& aSettings) { aSettings.mValidity = 40s; },
-                kNone },
+                kNoMutation },
     SafetyCase{
       "LeaseDatedByReceipt",
       false,
-      kAsIs,
+      kDefaults,
       [](TaskFleet& aFleet) { aFleet.mMutations.mDatedByReceipt = true; } },
     SafetyCase{
       "BlindRetry",
       false,
-      kAsIs,
+      kDefaults,
       [](TaskFleet& aFleet) { aFleet.mMutations.mBlindRetry = true; } }),
   [](const testing::TestParamInfo<SafetyCase>& aInfo) {
     return aInfo.param.mName;
--- a/tests/ownership/SplitTest.cpp
+++ b/tests/ownership/SplitTest.cpp
@@ -7,8 +7,8 @@
 
 constexpr unsigned kOtherSide = 2;
 
-/// A split in which the owner of shard 0 and the agent that runs its task are
-/// on the other side, without the store.
+/// A network partition that puts the owner of shard 0 and the agent that runs
+/// its task on the side without the store.
 class Split
 {
 public:
@@ -28,7 +28,7 @@
     mFleet.AgentNode(mAgent).mSides = kOtherSide;
   }
 
-  /// Entries that are not wholly on the main side lose the store.
+  /// Entries that are not on the main side alone lose the store.
   void Move(std::size_t aEntry, unsigned aSides)
   {
     mFleet.EntryNode(aEntry).mSides = aSides;
@@ -72,7 +72,7 @@
   EXPECT_EQ(split.mFleet.mFirstDoubleRun, "");
 }
 
-TEST(CutOffMajority, KeepsTheTaskUntilTheHoldEnds)
+TEST(CutOffMajority, KeepsTheTaskUntilTheTenureTimesOut)
 {
   OwnershipSettings settings = OneShard();
   settings.mMaxExtension = 10min;
@@ -110,18 +110,18 @@
 
 using RightAfterItsPromise = RestartedVoter;
 
-TEST_P(RightAfterItsPromise, DoesNotKeepTheOldOwnerGoing)
+TEST_P(RightAfterItsPromise, DoesNotExtendTheOldOwner)
 {
-  std::string doubled;
+  std::string doubleRuns;
   for (int gap = 0; gap < 40; ++gap) {
     Split split(Settings(), 3, gap);
     split.Move(split.mOthers[0], kMainSide | kOtherSide);
     split.mFleet.RunFor(500ms * gap);
     split.Restart(split.mOthers[0]);
     split.mFleet.RunFor(80s);
-    doubled += split.mFleet.mFirstDoubleRun;
+    doubleRuns += split.mFleet.mFirstDoubleRun;
   }
-  EXPECT_EQ(doubled.empty(), GetParam().mSafe) << doubled;
+  EXPECT_EQ(doubleRuns.empty(), GetParam().mSafe) << doubleRuns;
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -141,7 +141,8 @@
   split.Move(others[2], kOtherSide);
   split.mFleet.RunFor(20s);
   ASSERT_TRUE(split.OwnerExtends());
-  // The first voter has promised. It forgets, and comes to the other side.
+  // The first voter has promised. It restarts, loses the promise, and moves to
+  // the other side.
   split.Move(others[0], kOtherSide);
   split.Restart(others[0]);
   split.mFleet.RunFor(20s);
--- a/tests/ownership/StandingWorkTest.cpp
+++ b/tests/ownership/StandingWorkTest.cpp
@@ -24,14 +24,14 @@
 struct OutageCase
 {
   std::size_t mEntries;
-  std::size_t mDead; ///< Entries that die during the outage.
-  bool mRunsOn;      ///< Whether a majority is left.
+  std::size_t mDead; ///< Entries that are killed during the outage.
+  bool mRunsOn;      ///< True when a majority of the entries is left.
 };
 
 class HourWithoutStore : public testing::TestWithParam<OutageCase>
 {};
 
-TEST_P(HourWithoutStore, StandingWorkRunsOnWhileAMajorityOfEntriesLives)
+TEST_P(HourWithoutStore, RunningTasksContinueWhileAMajorityOfEntriesIsLive)
 {
   TaskFleet fleet(Settings(), GetParam().mEntries, 3, 7);
   fleet.RunFor(30s);
--- a/tests/ownership/StoreBudgetTest.cpp
+++ b/tests/ownership/StoreBudgetTest.cpp
@@ -5,13 +5,13 @@
 namespace foxtailbarrow::test {
 namespace {
 
-/// The target size: entries of 13 failure domains.
+/// The target size of a fleet, with entries in 13 failure domains.
 constexpr std::size_t kEntries = 64;
 constexpr std::size_t kDomain = 5;
 
 struct Load
 {
-  double mMean = 0; ///< Calls a second.
+  double mMean = 0; ///< Calls per second.
   std::uint64_t mPeak = 0;
   std::uint64_t mCalls = 0;
   std::uint64_t mMessages = 0;
@@ -38,13 +38,13 @@
   const char* mName;
   std::function<void(Fleet&)> mEvent;
   int mSeconds;
-  double mMaxMean; ///< Calls a second, of the store's 2,000 reads a second.
+  double mMaxMean; ///< Calls per second, of the store's 2,000 reads per second.
 };
 
 class StoreBudget : public testing::TestWithParam<BudgetCase>
 {};
 
-TEST_P(StoreBudget, IsKeptByAFleetOfTheTargetSize)
+TEST_P(StoreBudget, HoldsForAFleetOfTheTargetSize)
 {
   OwnershipSettings settings;
   Fleet fleet(settings, kEntries, 1);
--- a/tests/ownership/TaskFleet.cpp
+++ b/tests/ownership/TaskFleet.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Lease that an agent asks of its worker at a time.
+/// Lease that an agent requests from its worker per renewal.
 constexpr Duration kWorkerLease = 2s;
 constexpr Duration kRenewal = 500ms;
 constexpr Duration kHeartbeat = 1s;
-constexpr Duration kSilent = 5s;
+constexpr Duration kReportTimeout = 5s;
 
 std::string JobKey(ShardId aShard)
 {
@@ -141,8 +141,8 @@
 {
   Run& run = mAgents[aAgent].mRuns[aShard];
   const Instant now = mAgents[aAgent].mNode.Local(Now());
-  // Dated by the heartbeat that it names: one that was long on its way must
-  // not start under a newer extension.
+  // The lease starts at the heartbeat that the assignment names, so a delayed
+  // assignment cannot start a task under a newer extension.
   const Instant ends = aSent + mSettings.mTaskLease;
   if (aGeneration < run.mFence || aEpoch <= run.mSeen ||
       now + 2 * kWorkerLease > ends) {
@@ -166,7 +166,7 @@
     if (!run.mRunning || now + 2 * kWorkerLease > run.mLeaseEnds) {
       continue;
     }
-    // Held back where the agent pauses after its check.
+    // Delayed if the agent pauses after the check.
     Deliver(agent.mNode, mNetwork.mDelay, [=, this, epoch = run.mSeen] {
       Run& atWorker = mAgents[aAgent].mRuns[shard];
       if (atWorker.mSeen != epoch) {
@@ -186,12 +186,12 @@
   Run& run = mAgents[aAgent].mRuns[aShard];
   run.mWorkerEnds = std::max(run.mWorkerEnds, Now() + kWorkerLease);
   for (std::size_t other = 0; other < mAgents.size(); ++other) {
-    const Run& there = mAgents[other].mRuns[aShard];
-    if (other != aAgent && there.mWorkerEnds > Now() &&
+    const Run& otherRun = mAgents[other].mRuns[aShard];
+    if (other != aAgent && otherRun.mWorkerEnds > Now() &&
         mFirstDoubleRun.empty()) {
       std::ostringstream text;
       text << "shard " << aShard << " at agent " << aAgent << " epoch "
-           << run.mSeen << " and agent " << other << " epoch " << there.mSeen
+           << run.mSeen << " and agent " << other << " epoch " << otherRun.mSeen
            << " after " << Now().count() / 1e6 << " s";
       mFirstDoubleRun = text.str();
     }
@@ -243,13 +243,13 @@
 {
   const Instant now = LocalNow(aEntry);
   if (aJob.mEpoch != 0) {
-    const auto news = aJob.mRunReports.find(aJob.mAgent);
-    const bool heard = news != aJob.mRunReports.end() &&
-                       now < news->second.mAt + kSilent &&
-                       news->second.mFence == aJob.mGeneration;
-    const bool ended =
-      heard && !news->second.mRunning && news->second.mSeen >= aJob.mEpoch;
-    if (heard && news->second.mSeen < aJob.mEpoch) {
+    const auto report = aJob.mRunReports.find(aJob.mAgent);
+    const bool isReported = report != aJob.mRunReports.end() &&
+                            now < report->second.mAt + kReportTimeout &&
+                            report->second.mFence == aJob.mGeneration;
+    const bool ended = isReported && !report->second.mRunning &&
+                       report->second.mSeen >= aJob.mEpoch;
+    if (isReported && report->second.mSeen < aJob.mEpoch) {
       aJob.mExtended[aJob.mAgent] = now;
       Send(EntryNode(aEntry),
            AgentNode(aJob.mAgent),
@@ -258,17 +258,17 @@
             agent = aJob.mAgent,
             generation = aJob.mGeneration,
             epoch = aJob.mEpoch,
-            sent = news->second.mSent] {
+            sent = report->second.mSent] {
              OnAssign(agent, aShard, generation, epoch, sent);
            });
     }
-    if (!ended && (heard || !MayMove(aEntry, aShard, aJob))) {
+    if (!ended && (isReported || !MayMove(aEntry, aShard, aJob))) {
       return;
     }
   }
   std::vector<std::size_t> live;
-  for (const auto& [agent, news] : aJob.mRunReports) {
-    if (now < news.mAt + 2 * kHeartbeat) {
+  for (const auto& [agent, report] : aJob.mRunReports) {
+    if (now < report.mAt + 2 * kHeartbeat) {
       live.push_back(agent);
     }
   }
@@ -316,9 +316,9 @@
       }
       job->mBusy = false;
       const auto* const result = std::get_if<StoreTransactionResult>(&aResult);
-      const bool guessed = result == nullptr && mMutations.mBlindRetry;
-      if (guessed || (result != nullptr && result->mApplied)) {
-        OnRecord(*job, value, guessed ? 0 : result->mRevision);
+      const bool assumedApplied = result == nullptr && mMutations.mBlindRetry;
+      if (assumedApplied || (result != nullptr && result->mApplied)) {
+        OnRecord(*job, value, assumedApplied ? 0 : result->mRevision);
         job->mInherited = false;
       } else {
         job->mLoaded = false;
--- a/tests/ownership/TaskFleet.h
+++ b/tests/ownership/TaskFleet.h
@@ -9,16 +9,16 @@
 
 namespace foxtailbarrow::test {
 
-/// Ways in which the rules around the tested logic can be broken, to show that
-/// the checks notice it. Others are broken by settings.
+/// Mutations of the code around the tested logic, to show that the checks
+/// detect them. Other mutations are made through the settings.
 struct TaskMutations
 {
-  bool mDatedByReceipt = false; ///< Leases count from the reply's arrival.
-  bool mBlindRetry = false;     ///< A lost assignment write counts as done.
+  bool mDatedByReceipt = false; ///< Leases start when the reply arrives.
+  bool mBlindRetry = false;     ///< A lost assignment write is assumed done.
 };
 
-/// A fleet with agents that run one task a shard at a time, and owners that
-/// assign it. Counts how often a task ran in two places at once.
+/// A fleet whose agents run one task per shard at a time, assigned by the
+/// shard's owner. Detects a task that runs on two agents at once.
 class TaskFleet : public Fleet
 {
 public:
@@ -30,25 +30,25 @@
   std::size_t Agents() const { return mAgents.size(); }
   Node& AgentNode(std::size_t aAgent) { return mAgents[aAgent].mNode; }
 
-  /// The one agent whose worker runs the shard's task now.
+  /// The agent whose worker currently runs the shard's task.
   std::optional<std::size_t> RunsAt(ShardId aShard) const;
 
-  /// Starts of the shard's task so far.
+  /// Number of starts of the shard's task.
   Epoch Starts(ShardId aShard) const { return mStarts.at(aShard); }
 
-  /// Empty, or a description of the first task in two places.
+  /// Describes the first task that ran on two agents at once; empty if none.
   std::string mFirstDoubleRun;
   TaskMutations mMutations;
 
 private:
-  /// What an agent knows of a shard's task.
+  /// An agent's state of a shard's task.
   struct Run
   {
     Generation mFence = 0;
     Instant mLeaseEnds{}; ///< Of the shard, under that generation.
     Epoch mSeen = 0;
     bool mRunning = false;
-    Duration mWorkerEnds{}; ///< True time at which the worker stops it.
+    Duration mWorkerEnds{}; ///< True time at which the worker stops the task.
   };
 
   struct Agent
@@ -57,7 +57,7 @@
     std::vector<Run> mRuns; ///< By shard.
   };
 
-  /// A heartbeat's news of one shard.
+  /// State of a shard's task as reported by a heartbeat.
   struct RunReport
   {
     Instant mAt{};
@@ -67,13 +67,13 @@
     Generation mFence = 0;
   };
 
-  /// What an owner knows of its shard's job.
+  /// An owner's state of its shard's job.
   struct Job
   {
     Generation mGeneration = 0;
     bool mLoaded = false;
     bool mBusy = false;
-    bool mInherited = true; ///< Assigned before this holding began.
+    bool mInherited = true; ///< Assigned before the shard was gained.
     Epoch mEpoch = 0;
     std::size_t mAgent = 0;
     Revision mRevision = 0;
