--- a/src/core/agent/CapacityLedger.cpp
+++ b/src/core/agent/CapacityLedger.cpp
@@ -13,7 +13,7 @@
          aAmount.mAccelerators < 0;
 }
 
-/// That part of the worker's processors, rounded down.
+/// The share of the worker's processors in millicores, rounded down.
 std::int64_t ShareOf(double aShare, const Resources& aCapacity)
 {
   const double share = std::clamp(aShare, 0.0, 1.0);
@@ -21,8 +21,8 @@
     std::floor(share * static_cast<double>(aCapacity.mMillicores)));
 }
 
-/// True when `aAmount` fits beside `aTaken`; subtracts, so that no sum of large
-/// declared sizes can overflow.
+/// True when `aAmount` fits in what `aTaken` leaves. Subtracts, because a sum
+/// of large declared sizes could overflow.
 bool FitsInRemaining(const Resources& aAmount,
                      const Resources& aTaken,
                      const Resources& aCapacity)
--- a/src/core/agent/CapacityLedger.h
+++ b/src/core/agent/CapacityLedger.h
@@ -11,54 +11,54 @@
 
 namespace foxtailbarrow {
 
-/// The single authority on what is committed on one worker.
+/// Tracks all reservations on one worker and decides on new ones.
 ///
-/// Inputs: the worker's own view (size and tasks), what the service beside it
-/// reserves, contracts, and requests to reserve. Output: granted, or the reason
-/// of the refusal.
-/// Promises: nothing is granted before Rebuild(); the sum of the reservations
-/// that it granted never exceeds the worker's processors, memory or
-/// accelerators; a customer's tasks never exceed the contract's share of the
-/// worker's processors. A worker that shrinks, or reports more running than it
-/// holds, leads to refusals until enough has ended, never to a negative sum.
-/// Not safe for use by several threads.
+/// Input: the worker's view (its capacity and tasks), the reservation of the
+/// colocated service, contracts, and reservation requests.
+/// Guarantees that nothing is granted before Rebuild(), that the granted
+/// reservations never exceed the worker's processors, memory or accelerators,
+/// and that a customer's tasks never exceed the contract's share of the
+/// worker's processors. When a worker shrinks or reports more running tasks
+/// than fit, requests are refused until enough tasks have ended; free capacity
+/// is never negative.
+/// Not thread-safe.
 class CapacityLedger
 {
 public:
   explicit CapacityLedger(Resources aService);
 
-  /// Takes the worker's size and every running task as it reports them. Also
-  /// called with later views: tasks that the ledger holds keep their place.
+  /// Applies the capacity and the running tasks that the worker reports. May be
+  /// called again with later views; existing reservations are kept.
   void Rebuild(const WorkerView& aView);
 
   /// False until the first Rebuild().
   bool Ready() const { return mReady; }
 
-  /// None when granted. A key that is held already is granted again.
-  /// `aShare`: of the worker's processors, where no contract of the customer is
-  /// held; contracts reach an agent only for its service and its tasks.
+  /// Returns None when granted; a key with a reservation is granted again.
+  /// `aShare` is the customer's share of the worker's processors if the ledger
+  /// has no contract of the customer: an agent receives contracts only for its
+  /// service and its tasks.
   Reason Reserve(const TaskKey& aKey,
                  const CustomerId& aCustomer,
                  const Resources& aAmount,
                  double aShare);
 
-  /// As Reserve(), without an effect.
+  /// As Reserve(), but without reserving.
   Reason Check(const CustomerId& aCustomer,
                const Resources& aAmount,
                double aShare) const;
 
   void Release(const TaskKey& aKey);
 
-  /// Changes the reservation of the service; CapacityTaken when it does not
-  /// fit.
+  /// Changes the service's reservation; CapacityTaken when it does not fit.
   Reason ReserveService(const Resources& aAmount);
 
-  /// Replaces the customer's limits where the contract is newer than the one
-  /// held. Tasks that run beyond a lowered limit keep their place.
+  /// Replaces the customer's contract unless the current one is newer. Tasks
+  /// beyond a lowered limit keep their reservations.
   void ApplyContract(const Contract& aContract);
   void RemoveContract(const CustomerId& aCustomer);
 
-  /// The contract held; nullptr where there is none.
+  /// The customer's contract; nullptr when there is none.
   const Contract* ContractOf(const CustomerId& aCustomer) const;
   const absl::flat_hash_map<CustomerId, Contract>& Contracts() const
   {
@@ -69,10 +69,10 @@
   const Resources& Service() const { return mService; }
   Resources Reserved() const { return mService + mTasks; }
 
-  /// What is left; no field is negative.
+  /// Unreserved capacity; no field is negative.
   Resources Free() const;
 
-  /// Of the customer's tasks.
+  /// Sum over the customer's tasks.
   Resources ReservedBy(const CustomerId& aCustomer) const;
 
   std::size_t Tasks() const { return mByTask.size(); }
--- a/src/core/agent/IdempotencyRegister.cpp
+++ b/src/core/agent/IdempotencyRegister.cpp
@@ -97,8 +97,8 @@
 void IdempotencyRegister::DropOldestKey()
 {
   const IdempotencyKey& key = mEnded.front().mKey;
-  // Answers are queued in the order of their attempts' ends too, so that the
-  // oldest ended key is the oldest with an answer, or has none.
+  // Answers are queued in the order in which their attempts ended, so the
+  // oldest key either has the oldest answer or none.
   if (!mWithAnswer.empty() && mWithAnswer.front() == key) {
     DropOldestAnswer();
   }
--- a/src/core/agent/IdempotencyRegister.h
+++ b/src/core/agent/IdempotencyRegister.h
@@ -18,7 +18,7 @@
 
 namespace foxtailbarrow {
 
-/// A customer's name for one operation, the same in each of its attempts.
+/// A customer's key for an operation, the same for all its attempts.
 struct IdempotencyKey
 {
   CustomerId mCustomer;
@@ -35,17 +35,18 @@
 
 struct IdempotencyLimits
 {
-  std::size_t mMaxKeys = 65'536;        ///< Of ended attempts.
+  std::size_t mMaxKeys = 65'536;        ///< Keys of ended attempts.
   std::size_t mMaxAnswerBytes = 16'384; ///< Larger answers are not kept.
-  std::size_t mMaxBytes = 16'777'216;   ///< Of all answers together.
+  std::size_t mMaxBytes = 16'777'216;   ///< Total size of all answers.
   Duration mRetention = std::chrono::minutes(10); ///< From the attempt's end.
 };
 
-/// First attempt, or every earlier one certainly did not run.
+/// The first attempt, or one after attempts that certainly did not run.
 struct AttemptAllowed
 {};
 
-/// An earlier attempt runs, ran, or may have run; its answer is not at hand.
+/// An earlier attempt is running, ran, or may have run; its answer is not
+/// stored.
 struct AttemptDuplicate
 {
   Verdict mVerdict = Verdict::MayHaveRun;
@@ -55,21 +56,21 @@
 struct AttemptMismatch
 {};
 
-/// Revoke() promised that no attempt under this key runs here.
+/// Revoke() guaranteed that no attempt under this key runs here.
 struct AttemptRevoked
 {};
 
-/// An earlier attempt's answer.
+/// The stored answer of an earlier attempt.
 struct AttemptReplay
 {
   std::shared_ptr<const StoredAnswer> mAnswer;
 };
 
-/// Answer of IdempotencyRegister::Revoke().
+/// Result of IdempotencyRegister::Revoke().
 struct KeyRevocation
 {
   Verdict mVerdict = Verdict::MayHaveRun;
-  bool mPromisedBefore = false; ///< NotRun, as an earlier answer said already.
+  bool mPromisedBefore = false; ///< An earlier call already returned NotRun.
 };
 
 using KeyedAttempt = std::variant<AttemptAllowed,
@@ -78,14 +79,14 @@
                                   AttemptRevoked,
                                   AttemptReplay>;
 
-/// Lets one attempt under an idempotency key run on this agent.
+/// Ensures that only one attempt per idempotency key runs on this agent.
 ///
-/// Promises: while a key is remembered, a second attempt runs only after the
-/// earlier ones were NotRun; a short answer is replayed. Keys are remembered
-/// for `mRetention` after the attempt's end, fewer when more than `mMaxKeys`
-/// ended since; an attempt under a forgotten key runs. When answers hold more
-/// than `mMaxBytes` the oldest answers go, and their keys then give a
-/// duplicate. Nothing is known after a restart of the agent.
+/// While a key is stored, a second attempt runs only if all earlier ones were
+/// NotRun; otherwise the stored answer, if any, is replayed. Keys are stored
+/// for `mRetention` after the attempt's end, or until `mMaxKeys` later attempts
+/// have ended; after that, an attempt under the key runs. When answers
+/// exceed `mMaxBytes`, the oldest are dropped and further attempts under their
+/// keys are duplicates. Nothing is kept across a restart of the agent.
 class IdempotencyRegister
 {
 public:
@@ -96,14 +97,14 @@
                      std::uint64_t aFingerprint,
                      Instant aNow);
 
-  /// Ends an allowed attempt. `aAnswer` is kept when it is short enough.
+  /// Ends an allowed attempt. `aAnswer` is stored if it is short enough.
   void Finish(const IdempotencyKey& aKey,
               Verdict aVerdict,
               std::optional<StoredAnswer> aAnswer,
               Instant aNow);
 
-  /// Whether an attempt under the key runs, ran or may have run here. Where the
-  /// answer is NotRun, none runs from now on, for `mRetention`.
+  /// Reports whether an attempt under the key ran or may have run here. After
+  /// NotRun, no attempt under the key runs for `mRetention`.
   KeyRevocation Revoke(const IdempotencyKey& aKey, Instant aNow);
 
   std::size_t Size() const;
--- a/src/core/agent/RefusedAssignments.h
+++ b/src/core/agent/RefusedAssignments.h
@@ -13,28 +13,29 @@
 
 namespace foxtailbarrow {
 
-/// Remembers the assignments that this agent refused, or ended before they
-/// came, so that NotRun stays true when a copy arrives late.
+/// Records the assignments that this agent refused, or stopped before they
+/// arrived, so that NotRun stays true when a copy arrives late.
 ///
-/// Memory is bounded in size and time. Where an entry is dropped, Floor()
-/// rises to the newest heartbeat sent when the entry was made: assignments
-/// that count on a heartbeat up to that one must be refused unseen.
-/// Not safe for use by several threads.
+/// Bounded in size and time. When a refusal is dropped, Floor() rises to the
+/// newest heartbeat that had been sent when it was recorded: assignments that
+/// refer to a heartbeat up to that one must be refused without a lookup.
+/// Not thread-safe.
 class RefusedAssignments
 {
 public:
   RefusedAssignments(std::size_t aMaxEntries, Duration aRetention);
 
-  /// `aSequence`: of the agent's newest heartbeat.
+  /// `aSequence` is that of the agent's newest heartbeat.
   void Remember(const TaskKey& aKey,
                 Reason aReason,
                 std::uint64_t aSequence,
                 Instant aNow);
 
-  /// Why this key was refused; StaleEpoch for an epoch lower than a refused
-  /// one of the same job; nullopt for one that may be granted.
+  /// Why the key was refused; StaleEpoch when a higher epoch of the job was
+  /// refused; nullopt when the key may be granted.
   std::optional<Reason> Find(const TaskKey& aKey) const;
 
+  /// Newest heartbeat sequence for which a refusal may have been dropped.
   std::uint64_t Floor() const { return mFloor; }
   std::size_t Size() const { return mQueue.size(); }
 
@@ -56,7 +57,7 @@
 
   const std::size_t mMaxEntries;
   const Duration mRetention;
-  absl::flat_hash_map<JobId, Refusal> mHighest; ///< Of each job.
+  absl::flat_hash_map<JobId, Refusal> mHighest; ///< Highest epoch by job.
   std::deque<Queued> mQueue;
   std::uint64_t mFloor = 0;
 };
--- a/src/core/agent/RequestRegister.cpp
+++ b/src/core/agent/RequestRegister.cpp
@@ -10,14 +10,14 @@
   : mLimits(aLimits)
 {
   for (Shard& shard : mShards) {
-    shard.mForgottenBefore = aStart;
+    shard.mDroppedBefore = aStart;
   }
 }
 
 RequestRegister::Shard& RequestRegister::ShardOf(const RequestId& aRequest)
 {
-  // The map hashes the id too; its low bits choose the slot there, so that the
-  // shard is chosen by the high ones.
+  // The map uses the low bits of the same hash to choose a slot, so the shard
+  // is chosen by the high bits.
   return mShards[absl::HashOf(aRequest) >> 58];
 }
 
@@ -81,10 +81,8 @@
         return Verdict::NotRun;
     }
   }
-  const bool mayBeForgotten =
-    aAge > aNow - shard.mForgottenBefore - kRevokeTransit;
-  if (mayBeForgotten ||
-      shard.mRevoked.size() >= mLimits.mMaxRevoked / kShards) {
+  const bool mayBeDropped = aAge > aNow - shard.mDroppedBefore - kRevokeTransit;
+  if (mayBeDropped || shard.mRevoked.size() >= mLimits.mMaxRevoked / kShards) {
     return Verdict::MayHaveRun;
   }
   shard.mStates.emplace(aRequest, State::Revoked);
@@ -110,7 +108,7 @@
         endedAt + mLimits.mFinishedRetention > aNow) {
       break;
     }
-    aShard.mForgottenBefore = std::max(aShard.mForgottenBefore, endedAt);
+    aShard.mDroppedBefore = std::max(aShard.mDroppedBefore, endedAt);
     DropOldest(aShard, aShard.mFinished);
   }
   while (!aShard.mRevoked.empty() &&
--- a/src/core/agent/RequestRegister.h
+++ b/src/core/agent/RequestRegister.h
@@ -17,60 +17,60 @@
 
 struct RequestRegisterLimits
 {
-  /// Requests that ran, remembered at most.
+  /// Maximum number of stored ids of requests that ran.
   std::size_t mMaxFinished = 65'536;
-  /// Requests that ran are remembered for this long after their end.
+  /// How long ids of requests that ran are stored after their end.
   Duration mFinishedRetention = std::chrono::seconds(60);
-  /// Revoked ids, remembered at most; beyond it, Revoke() says MayHaveRun.
+  /// Maximum number of revoked ids; beyond it, Revoke() returns MayHaveRun.
   std::size_t mMaxRevoked = 8'192;
-  /// Revoked ids stay refused for this long.
+  /// How long revoked ids are refused.
   Duration mRevokedRetention = std::chrono::minutes(10);
 };
 
-/// How an id that comes in stands.
+/// Result of RequestRegister::Begin().
 enum class RequestAdmission : std::uint8_t
 {
-  Admitted,   ///< Never seen: it may run, and Finish() must follow.
-  InProgress, ///< It runs now: refuse, MayHaveRun.
-  Finished,   ///< It ran: refuse, MayHaveRun.
-  Revoked,    ///< Revoke() said NotRun: refuse, NotRun.
+  Admitted,   ///< Unknown id: run it and call Finish().
+  InProgress, ///< Running: refuse with MayHaveRun.
+  Finished,   ///< Ran or may have run: refuse with MayHaveRun.
+  Revoked,    ///< Revoke() returned NotRun: refuse with NotRun.
 };
 
-/// Remembers which requests this agent admitted, so that its word about each
-/// of them stays true.
+/// Records which requests this agent admitted, so that the verdicts it reports
+/// stay true.
 ///
-/// Promises: an id is admitted at most once while it is remembered; an id that
-/// Revoke() called NotRun is never admitted for `mRevokedRetention`. Revoke()
-/// says NotRun only where the register certainly never admitted the id: it
-/// keeps the time before which it may have forgotten ids (its own start, and
-/// the end of the newest request that it dropped by age or for lack of room),
-/// and an unknown id that may be older than that gets MayHaveRun. So a full
-/// memory, a restart or a late question costs a retry, never a doubled run.
+/// Guarantees that an id is admitted at most once while it is stored, and that
+/// an id for which Revoke() returned NotRun is not admitted for
+/// `mRevokedRetention`. Revoke() returns NotRun only if the register certainly
+/// never admitted the id. It keeps the time before which it may have dropped
+/// ids: its own start, or the end of the newest request that was dropped by age
+/// or by the size limit. An unknown id that may be older gets MayHaveRun. So a
+/// full register, a restart or a late Revoke() costs a retry, never a second
+/// run.
 ///
-/// An id that ended NotRun is forgotten, so that a caller who was told when to
-/// come back may come with the same id. That is safe: the refusal consumed the
-/// only copy that was sent here.
+/// An id that ended NotRun is removed, so that a caller who received a retry
+/// time can retry with the same id. That is safe because the refusal consumed
+/// the only copy that was sent to this agent.
 ///
-/// 64 shards, a mutex each; safe for use by any number of threads.
+/// Thread-safe; 64 shards with a mutex each.
 class RequestRegister
 {
 public:
-  /// `aStart`: the process's start; ids sent before it are unknown.
+  /// `aStart` is the start of the process; ids sent before it are unknown.
   RequestRegister(RequestRegisterLimits aLimits, Instant aStart);
 
   RequestAdmission Begin(const RequestId& aRequest, Instant aNow);
 
-  /// Ends what Begin() admitted. `aVerdict` NotRun: it never reached the
-  /// backend server.
+  /// Ends a request that Begin() admitted. NotRun means that it never reached
+  /// the backend server.
   void Finish(const RequestId& aRequest, Verdict aVerdict, Instant aNow);
 
-  /// Says whether the request ran, `aAge` after the entry sent it. Where the
-  /// answer is NotRun the id is refused from now on. An answer that reaches
-  /// the entry more than kRevokeTransit after its question must be discarded
-  /// there.
+  /// Reports whether the request ran, `aAge` after the entry sent it. After
+  /// NotRun, the id is refused. The entry must discard an answer that arrives
+  /// more than kRevokeTransit after the revocation was sent.
   Verdict Revoke(const RequestId& aRequest, Duration aAge, Instant aNow);
 
-  /// Ids held now, of every kind.
+  /// Number of stored ids in any state.
   std::size_t Size() const;
 
   static constexpr Duration kRevokeTransit = std::chrono::seconds(5);
@@ -96,7 +96,7 @@
     absl::flat_hash_map<RequestId, State> mStates;
     std::deque<Ended> mFinished;
     std::deque<Ended> mRevoked;
-    Instant mForgottenBefore{}; ///< See the class comment.
+    Instant mDroppedBefore{}; ///< Older ids may have been dropped.
   };
 
   static constexpr std::size_t kShards = 64;
--- a/src/core/agent/ShardLeases.cpp
+++ b/src/core/agent/ShardLeases.cpp
@@ -11,11 +11,11 @@
 
 std::optional<Instant> ShardLeases::SentAt(std::uint64_t aSequence) const
 {
-  const SentHeartbeat& sending = mSent[aSequence % kHeartbeatHistory];
-  if (aSequence == 0 || sending.mSequence != aSequence) {
+  const SentHeartbeat& heartbeat = mSent[aSequence % kHeartbeatHistory];
+  if (aSequence == 0 || heartbeat.mSequence != aSequence) {
     return std::nullopt;
   }
-  return sending.mAt;
+  return heartbeat.mAt;
 }
 
 bool ShardLeases::Accepts(ShardId aShard, Generation aGeneration) const
--- a/src/core/agent/ShardLeases.h
+++ b/src/core/agent/ShardLeases.h
@@ -12,26 +12,27 @@
 
 namespace foxtailbarrow {
 
-/// Until when the owners of the shards let this agent's assignments run.
+/// The leases under which shard owners let this agent's assignments run.
 ///
-/// A lease counts from the time at which the agent SENT the heartbeat that the
-/// owner answered, which is before the owner counts from. So the agent's end
-/// is never later than the owner's, whatever the reply's delay.
-/// Promises: a lower generation never extends anything; an end never moves
-/// back. Not safe for use by several threads.
+/// A lease starts when the agent sent the heartbeat that the owner answered,
+/// which is before the start that the owner assumes. So it never ends later on
+/// the agent than on the owner, whatever the delay of the reply.
+/// A lower generation never extends a lease, and the end of a lease never moves
+/// back. Not thread-safe.
 class ShardLeases
 {
 public:
-  /// Notes when a heartbeat was sent. Sequences rise.
+  /// Records when a heartbeat was sent. Sequences increase.
   void HeartbeatSent(std::uint64_t aSequence, Instant aAt);
 
-  /// When the heartbeat was sent; nullopt when that is too long ago.
+  /// When the heartbeat was sent; nullopt when it is too old.
   std::optional<Instant> SentAt(std::uint64_t aSequence) const;
 
-  /// False where a greater generation of the shard is known.
+  /// False when a greater generation of the shard is known.
   bool Accepts(ShardId aShard, Generation aGeneration) const;
 
-  /// Extends the shard's lease to `aSentAt + aTtl`. False: stale generation.
+  /// Extends the shard's lease to `aSentAt + aTtl`. Returns false for a stale
+  /// generation.
   bool Extend(ShardId aShard,
               Generation aGeneration,
               Instant aSentAt,
@@ -40,10 +41,10 @@
   /// End of the shard's lease; nullopt when it never had one.
   std::optional<Instant> Until(ShardId aShard) const;
 
-  /// What is left of the shard's lease, zero or more.
+  /// Remaining time of the shard's lease, at least zero.
   Duration Left(ShardId aShard, Instant aNow) const;
 
-  /// The time to live that was last given for the shard.
+  /// The last granted time to live of the shard's lease.
   Duration Ttl(ShardId aShard) const;
 
 private:
--- a/src/core/agent/SlotGate.cpp
+++ b/src/core/agent/SlotGate.cpp
@@ -11,13 +11,13 @@
 constexpr std::uint64_t kOneInUse = 1;
 constexpr std::uint64_t kOneWaiting = 1ULL << 32;
 
-/// Each held slot moves the mean by this part of its difference.
+/// Each sample moves the mean by its difference divided by this.
 constexpr std::int64_t kMeanDivisor = 16;
 
-/// Shown to callers even when a slot is expected sooner.
+/// Minimum retry time for callers, even when a slot is expected sooner.
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(1);
 
-/// The gate's state in one word, so that one compare-and-swap decides.
+/// The gate's state in one word, so that a single compare-and-swap updates it.
 struct Packed
 {
   std::uint64_t mWord = 0;
@@ -104,7 +104,7 @@
 {
   const std::int64_t mean = mMeanHeldMicros.load(std::memory_order_relaxed);
   const std::int64_t held = std::max<std::int64_t>(1, aHeld.count());
-  // A lost update between threads costs one sample of a running mean.
+  // A lost update between threads only loses one sample of the mean.
   mMeanHeldMicros.store(mean == 0 ? held : mean + (held - mean) / kMeanDivisor,
                         std::memory_order_relaxed);
   std::uint64_t word = mState.load();
--- a/src/core/agent/SlotGate.h
+++ b/src/core/agent/SlotGate.h
@@ -15,7 +15,7 @@
 struct SlotGateLimits
 {
   std::int32_t mSlots = 8;       ///< Requests that run at a time, >= 1.
-  std::int32_t mMaxWaiting = 16; ///< Admitted requests without a slot.
+  std::int32_t mMaxWaiting = 16; ///< Queued requests.
 };
 
 /// Load of a gate at one moment.
@@ -26,19 +26,19 @@
   std::int32_t mWaiting = 0;
 };
 
-/// The request holds a slot; Release() gives it back.
+/// The request holds a slot; Release() returns it.
 struct SlotGranted
 {};
 
-/// The request waits. It must be withdrawn at `mGiveUpAt`: later it could no
-/// longer be answered before its deadline.
+/// The request is queued. It must be withdrawn at `mGiveUpAt`, because later it
+/// could not be answered before its deadline.
 struct SlotQueued
 {
   std::uint64_t mTicket = 0;
   Instant mGiveUpAt{};
 };
 
-/// The request did not run. `mRetryAfter` is when a slot is expected.
+/// The request did not run. A slot is expected after `mRetryAfter`.
 struct SlotRefused
 {
   Reason mReason = Reason::BackendServersBusy;
@@ -47,47 +47,49 @@
 
 using SlotAdmission = std::variant<SlotGranted, SlotQueued, SlotRefused>;
 
-/// Decides which request may use one of the backend server's slots, which may
-/// wait for one and which is refused.
+/// Limits the concurrent requests to the backend server: each request gets a
+/// slot, is queued for one, or is refused.
 ///
-/// Inputs: requests with their deadlines, and how long each slot was held.
-/// Promises: never more than `mSlots` slots held or `mMaxWaiting` waiting;
-/// waiting requests get slots in their order of arrival; a request that cannot
-/// be answered in its remaining time, by the mean time that slots were held of
-/// late, is refused at once. Taking and returning a slot is lock-free unless
-/// requests wait. Safe for use by any number of threads.
+/// At most `mSlots` slots are held and `mMaxWaiting` requests queued; queued
+/// requests get slots in order of arrival. A request that is not expected to be
+/// answered before its deadline, by the recent mean time that slots were held,
+/// is refused at once.
+/// Taking and returning a slot is lock-free unless requests are queued.
+/// Thread-safe.
 class SlotGate
 {
 public:
-  /// Called once, by the thread that returned the slot.
+  /// Called once when a queued request gets a slot, by the thread that returned
+  /// the slot.
   using OnSlot = std::function<void()>;
 
   explicit SlotGate(SlotGateLimits aLimits);
 
-  /// Takes a free slot when nobody waits. False: use Wait().
+  /// Takes a free slot if no request is queued. If it returns false, use
+  /// Wait().
   bool TryTake();
 
-  /// Grants, queues or refuses. `aOnSlot` is kept only when queued.
+  /// Grants a slot, queues or refuses. `aOnSlot` is kept only when queued.
   SlotAdmission Wait(Instant aNow, Instant aDeadline, OnSlot aOnSlot);
 
-  /// Takes a waiting request back. False when the slot was given meanwhile:
-  /// the request holds it then.
+  /// Removes a queued request. Returns false when it was granted a slot in the
+  /// meantime; it then holds the slot.
   bool Withdraw(std::uint64_t aTicket);
 
-  /// Returns a slot that was held for `aHeld`, to the longest waiting request
-  /// if there is one.
+  /// Returns a slot that was held for `aHeld`, and grants it to the request
+  /// that was queued first, if any.
   void Release(Duration aHeld);
 
-  /// Refuses every new request from now on. Admitted ones keep their place.
+  /// Refuses all new requests. Queued requests keep their place.
   void Drain();
 
   bool Draining() const;
   SlotLoad Load() const;
 
-  /// Mean time that slots were held of late; zero before the first.
+  /// Running mean of the time that slots were held; zero before the first.
   Duration MeanHeld() const;
 
-  /// When a request that comes then may expect a slot.
+  /// Expected waiting time of a new request.
   Duration ExpectedWait() const;
 
 private:
@@ -104,7 +106,7 @@
   const SlotGateLimits mLimits;
   std::atomic<std::uint64_t> mState{ 0 }; ///< See Packed in SlotGate.cpp.
   std::atomic<std::int64_t> mMeanHeldMicros{ 0 };
-  std::mutex mMutex; ///< Guards the queue and every change of its length.
+  std::mutex mMutex; ///< Guards mQueue and all changes of its length.
   std::deque<Waiter> mQueue;
   std::uint64_t mNextTicket = 1;
 };
--- a/src/core/agent/StoredAnswer.h
+++ b/src/core/agent/StoredAnswer.h
@@ -13,7 +13,7 @@
   std::string mValue;
 };
 
-/// A backend server's answer, kept for a second attempt under the same
+/// A backend server's answer, stored for later attempts under the same
 /// idempotency key.
 struct StoredAnswer
 {
@@ -21,7 +21,7 @@
   std::vector<StoredHeader> mHeaders;
   std::string mBody;
 
-  /// Bytes of texts held.
+  /// Total size of the headers and the body.
   std::size_t Bytes() const
   {
     std::size_t bytes = mBody.size();
--- a/src/core/agent/TaskTable.cpp
+++ b/src/core/agent/TaskTable.cpp
@@ -78,7 +78,7 @@
   if (const auto refused = mRefused.Find(key)) {
     return *refused;
   }
-  // The job's newest assignment here is the last in the order of keys.
+  // Keys are ordered by job and epoch, so the job's newest assignment is last.
   auto newest = mTasks.upper_bound({ key.mJob, ~Epoch{ 0 } });
   if (newest == mTasks.begin() || (--newest)->first.mJob != key.mJob) {
     return Reason::None;
@@ -86,9 +86,9 @@
   if (newest->first.mEpoch > key.mEpoch) {
     return Reason::StaleEpoch;
   }
-  const bool olderRuns =
+  const bool isOlderRunning =
     newest->first.mEpoch < key.mEpoch && !newest->second.Ended();
-  return olderRuns ? Reason::WaitingForLease : Reason::None;
+  return isOlderRunning ? Reason::WaitingForLease : Reason::None;
 }
 
 Reason TaskTable::CheckLease(const foxtailbarrow::Assign& aAssign, Instant aNow)
@@ -142,10 +142,10 @@
   }
   switch (aControl.mAction) {
     case TaskAction::Stop:
-      DesiredState(*task, Desired::Stop, aControl.mReason);
+      RaiseDesiredState(*task, Desired::Stop, aControl.mReason);
       break;
     case TaskAction::Evict:
-      DesiredState(*task, Desired::Checkpoint, aControl.mReason);
+      RaiseDesiredState(*task, Desired::Checkpoint, aControl.mReason);
       break;
     case TaskAction::Throttle:
       Throttle(aControl.mKey, aControl.mFraction);
@@ -176,7 +176,7 @@
   }
   for (const TaskKey& key : aReply.mUnknown) {
     if (AgentTask* const task = Find(key)) {
-      DesiredState(*task, Desired::Stop, Reason::StaleEpoch);
+      RaiseDesiredState(*task, Desired::Stop, Reason::StaleEpoch);
       task->mAcknowledged = task->Ended();
     } else {
       mRefused.Remember(key, Reason::StaleEpoch, mSequence, aNow);
@@ -187,7 +187,7 @@
 void TaskTable::Evict(const TaskKey& aKey, Reason aReason)
 {
   if (AgentTask* const task = Find(aKey)) {
-    DesiredState(*task, Desired::Checkpoint, aReason);
+    RaiseDesiredState(*task, Desired::Checkpoint, aReason);
   }
 }
 
@@ -203,14 +203,14 @@
 {
   mDraining = true;
   for (auto& [key, task] : mTasks) {
-    DesiredState(task, Desired::Checkpoint, Reason::EvictedForDrain);
+    RaiseDesiredState(task, Desired::Checkpoint, Reason::EvictedForDrain);
   }
 }
 
-/// A wish only ever becomes stronger: run, checkpoint, stop.
-void TaskTable::DesiredState(AgentTask& aTask,
-                             AgentTask::DesiredState aDesiredState,
-                             Reason aReason)
+/// Changes the desired state only in the order run, checkpoint, stop.
+void TaskTable::RaiseDesiredState(AgentTask& aTask,
+                                  AgentTask::DesiredState aDesiredState,
+                                  Reason aReason)
 {
   if (aTask.Ended() || aDesiredState <= aTask.mDesiredState) {
     return;
@@ -248,14 +248,14 @@
   if (const auto task = mTasks.find(aKey); task != mTasks.end()) {
     return task->second.mStatus;
   }
-  const auto forgotten = std::find_if(
+  const auto acknowledged = std::find_if(
     mAcknowledgedEnds.begin(),
     mAcknowledgedEnds.end(),
     [&aKey](const TaskStatus& aStatus) { return aStatus.mKey == aKey; });
-  if (forgotten == mAcknowledgedEnds.end()) {
+  if (acknowledged == mAcknowledgedEnds.end()) {
     return std::nullopt;
   }
-  return *forgotten;
+  return *acknowledged;
 }
 
 std::size_t TaskTable::EndedTasks() const
--- a/src/core/agent/TaskTable.h
+++ b/src/core/agent/TaskTable.h
@@ -25,21 +25,22 @@
 
 struct TaskTableLimits
 {
-  Duration mTaskLease = std::chrono::seconds(20); ///< At the worker, at most.
-  /// A task is checkpointed this long before its shard's lease lapses, but in
+  /// Maximum lease of a task at the worker.
+  Duration mTaskLease = std::chrono::seconds(20);
+  /// A task is checkpointed this long before its shard's lease expires, but in
   /// the last quarter of the lease at the earliest.
   Duration mCheckpointAhead = std::chrono::seconds(5);
   Duration mRetryPause = std::chrono::milliseconds(500); ///< Of worker calls.
-  /// Of a start or a checkpoint; then the task is stopped.
+  /// Failed starts or checkpoints before the task is stopped.
   std::int32_t mMaxTries = 4;
   std::size_t mMaxTasks = 512;
   std::size_t mMaxRefused = 4'096;
-  std::size_t mMaxAcknowledgedEnds =
-    256; ///< Final states kept to answer Control.
+  /// Final states that are kept to answer Control() after acknowledgement.
+  std::size_t mMaxAcknowledgedEnds = 256;
   Duration mRefusedRetention = std::chrono::minutes(2);
 };
 
-/// A task as the agent knows it, for reports and the state dump.
+/// The agent's state of a task, for reports and the state dump.
 struct AgentTask
 {
   enum class DesiredState : std::uint8_t
@@ -53,49 +54,52 @@
   ShardId mShard = 0;
   TaskStatus mStatus;
   DesiredState mDesiredState = DesiredState::Run;
-  Reason mReason = Reason::None; ///< Why it is not wished to run.
-  double mFraction = 1.0;        ///< Of its processors, as wished.
-  double mAppliedFraction = 1.0;
+  Reason mReason = Reason::None; ///< Why the desired state is not Run.
+  double mFraction = 1.0;        ///< Desired fraction of its processors.
+  double mAppliedFraction = 1.0; ///< Fraction that the worker confirmed.
   bool mStartTried = false;
-  bool mStarted = false;      ///< The worker has confirmed it.
-  bool mStopAccepted = false; ///< The worker took the stop; its view says how.
-  bool mBusy = false;         ///< A call about it is under way.
+  bool mStarted = false; ///< The worker has confirmed the start.
+  /// The worker accepted the stop; its view will show the final state.
+  bool mStopAccepted = false;
+  bool mBusy = false; ///< A call about the task is in flight.
   bool mAcknowledged = false;
-  std::int32_t mStartTries = 0; ///< That failed.
+  std::int32_t mStartTries = 0; ///< Failed ones only.
   std::int32_t mCheckpointTries = 0;
-  Instant mNotBefore{};   ///< Of the next call.
-  Instant mStableSince{}; ///< Views asked for earlier say nothing about it.
+  Instant mNotBefore{}; ///< Earliest time of the next call.
+  /// A view requested earlier does not show that the task is missing.
+  Instant mStableSince{};
 
   bool Ended() const { return mStatus.mState != TaskState::Running; }
 };
 
-/// The assignments on one agent: which to grant, start, renew, checkpoint and
-/// stop, and what to report.
+/// Manages the assignments on one agent: which to grant, start, renew,
+/// checkpoint and stop, and what to report.
 ///
-/// Inputs: messages of the shards' owners, the worker's views and the results
-/// of calls to it. Outputs: replies, and the calls to make (Due(), Renewals()).
+/// Input: messages of the shards' owners, the worker's views and the results of
+/// worker calls. Output: replies, and the calls to make (Due(), Renewals()).
 ///
-/// Promises:
-/// - An assignment runs only under a lease that its shard's owner gave. The
-///   lease is checked before every act, so that an agent that wakes after a
-///   freeze starts and renews nothing that lapsed meanwhile.
-/// - A refused key is refused again: NotRun is binding. So is a stop that came
-///   before its assignment.
+/// Guarantees:
+/// - An assignment runs only under a lease granted by its shard's owner. The
+///   lease is checked before every call, so after a pause the agent does not
+///   start or renew a task whose lease has expired in the meantime.
+/// - A refused key is refused again, because NotRun is binding. The same holds
+///   for a task that was stopped before its assignment arrived.
 /// - A lower generation of the shard or a lower epoch of the job is refused.
 /// - A task's reservation lasts until the worker has confirmed its end.
 /// - An ended task is reported in every heartbeat until it is acknowledged; its
-///   state and checkpoint never change once reported.
+///   state and checkpoint do not change once reported.
 ///
-/// Survives: lost replies of the worker (a start is repeated under its key, and
-/// the next view settles the rest), a restart of this agent (Observe() adopts
-/// what runs), of the owner and of the worker.
-/// Not safe for use by several threads.
+/// Tolerates lost replies of the worker (a start is repeated under its key, and
+/// the next view shows the outcome of other calls) and restarts of this agent
+/// (Observe() adopts running tasks), of the owner and of the worker.
+/// Not thread-safe.
 class TaskTable
 {
 public:
   using ShardOf = std::function<ShardId(const JobId&)>;
 
-  /// `aShardOf` tells the shard of a task found on the worker after a restart.
+  /// `aShardOf` returns the shard of a task found on the worker after a
+  /// restart.
   TaskTable(TaskTableLimits aLimits,
             Incarnation aIncarnation,
             CapacityLedger& aLedger,
@@ -103,15 +107,15 @@
 
   // Messages of owners.
 
-  /// Grants: reserves and leaves the start to Due(). An assignment granted
-  /// before is granted again.
+  /// Grants an assignment by reserving its resources; Due() starts it. An
+  /// assignment that was granted before is granted again.
   AssignReply Assign(const Assign& aAssign, Instant aNow);
 
-  /// Error FailedPrecondition, NotRun, for a stale generation. Else the status
-  /// so far; Due() holds the call to make.
+  /// Returns FailedPrecondition with NotRun for a stale generation, otherwise
+  /// the current status; Due() returns the resulting call.
   absl::StatusOr<TaskStatus> Control(const Control& aControl, Instant aNow);
 
-  /// Notes that a heartbeat is being sent.
+  /// Records that a heartbeat is being sent.
   void HeartbeatSent(std::uint64_t aSequence, Instant aNow);
 
   /// Applies the parts of the reply to heartbeat `aSequence` that concern
@@ -120,23 +124,24 @@
                   const HeartbeatReply& aReply,
                   Instant aNow);
 
-  // Own decisions.
+  // Decisions of this agent.
 
   void Evict(const TaskKey& aKey, Reason aReason);
   void Throttle(const TaskKey& aKey, double aFraction);
 
-  /// Checkpoints every task and refuses new ones.
+  /// Checkpoints all tasks and refuses new ones.
   void Drain();
 
-  // The worker.
+  // Calls to the worker.
 
-  /// `aAskedAt`: before the view was asked for.
-  void Observe(const WorkerView& aView, Instant aAskedAt, Instant aNow);
+  /// Applies a view of the worker that was requested at `aRequestedAt` or
+  /// later.
+  void Observe(const WorkerView& aView, Instant aRequestedAt, Instant aNow);
 
-  /// Calls that are due now; each is under way until its "Done".
+  /// Calls that are due now; each is in flight until its "Done" event.
   std::vector<WorkerCall> Due(Instant aNow);
 
-  /// Leases to renew now, in few groups of similar time left.
+  /// Leases to renew now, grouped by similar remaining time.
   std::vector<CallRenew> Renewals(Instant aNow) const;
 
   void StartDone(const TaskKey& aKey,
@@ -157,16 +162,16 @@
   // Reports.
 
   std::vector<TaskReport> Reports() const;
-  /// Of a task in the table, or of one acknowledged not long ago.
+  /// Status of a task in the table or of a recently acknowledged one.
   std::optional<TaskStatus> StatusOf(const TaskKey& aKey) const;
 
   const absl::btree_map<TaskKey, AgentTask>& Tasks() const { return mTasks; }
   const ShardLeases& Leases() const { return mLeases; }
 
-  /// Tasks whose end is not yet forgotten.
+  /// Number of ended tasks that are still in the table.
   std::size_t EndedTasks() const;
 
-  /// True when nothing runs and every end was acknowledged.
+  /// True when no task runs and every end was acknowledged.
   bool Empty() const { return mTasks.empty(); }
 
 private:
@@ -176,9 +181,9 @@
   Reason CheckFences(const foxtailbarrow::Assign& aAssign) const;
   Reason CheckLease(const foxtailbarrow::Assign& aAssign, Instant aNow);
   Reason CheckCapacity(const foxtailbarrow::Assign& aAssign);
-  void DesiredState(AgentTask& aTask,
-                    AgentTask::DesiredState aDesiredState,
-                    Reason aReason);
+  void RaiseDesiredState(AgentTask& aTask,
+                         AgentTask::DesiredState aDesiredState,
+                         Reason aReason);
   void End(AgentTask& aTask,
            TaskState aState,
            std::string aReason,
--- a/src/core/agent/TaskTableWorker.cpp
+++ b/src/core/agent/TaskTableWorker.cpp
@@ -4,14 +4,15 @@
 
 #include "src/core/agent/TaskTable.h"
 
-/// The part of TaskTable that faces the worker.
+/// The part of TaskTable that makes the calls to the worker.
 namespace foxtailbarrow {
 
 namespace {
 
 using Desired = AgentTask::DesiredState;
 
-/// Leases that differ by less than this are renewed in one call.
+/// Remaining times are grouped in steps of this; a group is renewed in one
+/// call.
 constexpr Duration kRenewalStep = std::chrono::seconds(4);
 
 constexpr char kLostByWorker[] = "lost-by-worker";
@@ -23,7 +24,7 @@
   return std::string(ToString(aReason));
 }
 
-/// Errors after which another try of the same start cannot succeed.
+/// True for errors after which a retry of the same start cannot succeed.
 bool IsFinalRefusal(const absl::Status& aResult)
 {
   return VerdictOf(aResult) == Verdict::NotRun &&
@@ -33,19 +34,21 @@
 
 } // namespace
 
-void TaskTable::Observe(const WorkerView& aView, Instant aAskedAt, Instant aNow)
+void TaskTable::Observe(const WorkerView& aView,
+                        Instant aRequestedAt,
+                        Instant aNow)
 {
   std::map<TaskKey, const TaskStatus*> seen;
   for (const TaskStatus& status : aView.mTasks) {
     seen[status.mKey] = &status;
     if (AgentTask* const task = Find(status.mKey)) {
       ObserveOne(*task, status);
-    } else if (aAskedAt >= mLastErasedAt) {
+    } else if (aRequestedAt >= mLastErasedAt) {
       Adopt(status, aNow);
     }
   }
   for (auto& [key, task] : mTasks) {
-    const bool settled = !task.mBusy && aAskedAt >= task.mStableSince;
+    const bool settled = !task.mBusy && aRequestedAt >= task.mStableSince;
     const bool isKnown = task.mStarted || task.mStopAccepted;
     if (isKnown && !task.Ended() && settled && !seen.contains(key)) {
       EndMissingTask(task);
@@ -62,17 +65,17 @@
   aTask.mStartTried = true;
   aTask.mStarted = true;
   if (aStatus.mState != TaskState::Running) {
-    const bool isOurs = aTask.mReason != Reason::None &&
-                        (aStatus.mState == TaskState::Checkpointed ||
-                         aStatus.mState == TaskState::Stopped);
+    const bool isRequested = aTask.mReason != Reason::None &&
+                             (aStatus.mState == TaskState::Checkpointed ||
+                              aStatus.mState == TaskState::Stopped);
     End(aTask,
         aStatus.mState,
-        isOurs ? Text(aTask.mReason) : aStatus.mReason,
+        isRequested ? Text(aTask.mReason) : aStatus.mReason,
         aStatus.mCheckpoint);
   }
 }
 
-/// Ends a task of which the worker knows nothing.
+/// Ends a task that is missing at the worker.
 void TaskTable::EndMissingTask(AgentTask& aTask)
 {
   if (aTask.mStartTries >= mLimits.mMaxTries) {
@@ -97,7 +100,7 @@
   task.mStarted = true;
   task.mStableSince = aNow;
   if (mDraining) {
-    DesiredState(task, Desired::Checkpoint, Reason::EvictedForDrain);
+    RaiseDesiredState(task, Desired::Checkpoint, Reason::EvictedForDrain);
   }
 }
 
@@ -126,17 +129,17 @@
 void TaskTable::EnforceLease(AgentTask& aTask, Instant aNow)
 {
   const auto until = mLeases.Until(aTask.mShard);
-  // A task found after a restart has no lease here yet; it runs on under the
-  // worker's own, which nobody renews.
+  // A task found after a restart has no shard lease yet. It continues under the
+  // worker's lease, which is not renewed.
   if (!until || aTask.Ended()) {
     return;
   }
   const Duration ahead =
     std::min(mLimits.mCheckpointAhead, mLeases.Ttl(aTask.mShard) / 4);
   if (*until <= aNow) {
-    DesiredState(aTask, Desired::Stop, Reason::LeaseLapsed);
+    RaiseDesiredState(aTask, Desired::Stop, Reason::LeaseLapsed);
   } else if (*until - ahead <= aNow && aTask.mStarted) {
-    DesiredState(aTask, Desired::Checkpoint, Reason::LeaseLapsed);
+    RaiseDesiredState(aTask, Desired::Checkpoint, Reason::LeaseLapsed);
   }
 }
 
@@ -221,7 +224,7 @@
   } else if (IsFinalRefusal(aResult)) {
     End(*task, TaskState::Failed, std::string(aResult.message()));
   } else if (++task->mStartTries >= mLimits.mMaxTries) {
-    DesiredState(*task, Desired::Stop, Reason::None);
+    RaiseDesiredState(*task, Desired::Stop, Reason::None);
   }
 }
 
@@ -240,7 +243,8 @@
   if (absl::IsNotFound(aResult)) {
     EndMissingTask(*task);
   }
-  // It may have ended by itself just before the stop: the next view tells.
+  // The task may have ended on its own just before the stop; the next view
+  // shows its final state.
   task->mStopAccepted = aResult.ok();
 }
 
@@ -261,7 +265,7 @@
   } else if (absl::IsNotFound(aResult.status())) {
     End(*task, TaskState::Stopped, kCheckpointFailed);
   } else if (++task->mCheckpointTries >= mLimits.mMaxTries) {
-    DesiredState(*task, Desired::Stop, task->mReason);
+    RaiseDesiredState(*task, Desired::Stop, task->mReason);
   }
 }
 
--- a/src/core/agent/WorkerCall.h
+++ b/src/core/agent/WorkerCall.h
@@ -9,11 +9,11 @@
 
 namespace foxtailbarrow {
 
-/// Calls to the worker that TaskTable asks its shell to make. Each is answered
-/// by the event of the same name with "Done".
+/// Calls to the worker that TaskTable requests from its shell, which reports
+/// each result by the method of the same name with "Done".
 struct CallStart
 {
-  TaskStart mStart; ///< With the lease allowed at the time of asking.
+  TaskStart mStart; ///< With the lease remaining when requested.
 };
 
 struct CallStop
@@ -32,17 +32,17 @@
   double mFraction = 1.0;
 };
 
-/// Lets the worker forget tasks whose end the owners have recorded.
+/// Lets the worker drop tasks whose end the owners have saved.
 struct CallAcknowledge
 {
   std::vector<TaskKey> mKeys;
 };
 
-/// Needs no answer: the next renewal repeats it.
+/// Needs no answer, because the next renewal repeats it.
 struct CallRenew
 {
   std::vector<TaskKey> mKeys;
-  Duration mLease{}; ///< Never beyond the lease of any shard concerned.
+  Duration mLease{}; ///< At most the shortest lease of the tasks' shards.
 };
 
 using WorkerCall = std::variant<CallStart,
--- a/src/core/ownership/ShardOwnership.h
+++ b/src/core/ownership/ShardOwnership.h
@@ -106,8 +106,7 @@
   TenureCloser mCloser;
   ShardKeeper mKeeper;
   TenureMaintenance mMaintenance;
-  std::optional<StoreLease>
-    mActingTenure; ///< Tenure that shards are held under.
+  std::optional<StoreLease> mActingTenure; ///< Shards are held under it.
   /// Generations for which EarlierLeasesExpired was sent.
   std::map<ShardId, Generation> mReportedExpired;
   bool mDraining = false;
--- a/tests/agent/AgentShellTest.cpp
+++ b/tests/agent/AgentShellTest.cpp
@@ -15,8 +15,8 @@
 #include "standins/worker/WorkerService.h"
 #include "tests/agent/FakeEntry.h"
 
-/// The whole agent with both stand-ins and a fake entry in one process, over
-/// real sockets.
+/// Runs the whole agent with both stand-ins and a fake entry in one process,
+/// over real sockets.
 namespace foxtailbarrow {
 namespace {
 
@@ -24,7 +24,7 @@
 using std::chrono::seconds;
 
 constexpr ShardId kShards = 4;
-constexpr Duration kBound = seconds(30);
+constexpr Duration kTimeout = seconds(30);
 const JobId kJob("trasowka.j1");
 
 class AgentShell : public testing::Test
@@ -75,7 +75,7 @@
 
   static void WaitFor(const std::function<bool()>& aCondition)
   {
-    const Instant end = MonotonicNow() + kBound;
+    const Instant end = MonotonicNow() + kTimeout;
     while (!aCondition() && MonotonicNow() < end) {
       std::this_thread::sleep_for(milliseconds(2));
     }
@@ -87,11 +87,11 @@
   {
     absl::StatusOr<net::HttpResponse> response;
     mRuntime.RunAndWait(
-      [&] { response = mClient.Call(aTo, aRequest, kBound); });
+      [&] { response = mClient.Call(aTo, aRequest, kTimeout); });
     return response;
   }
 
-  net::HttpResponse Ask(const net::HttpRequest& aRequest)
+  net::HttpResponse SendToAgent(const net::HttpRequest& aRequest)
   {
     return *Send(mAgent->ListeningEndpoint(), aRequest);
   }
@@ -103,7 +103,7 @@
     mRuntime.RunAndWait([&] {
       net::RpcClient rpc(mClient);
       result = rpc.Call(
-        mAgent->ListeningEndpoint(), aMethod, ToJson(aMessage), kBound);
+        mAgent->ListeningEndpoint(), aMethod, ToJson(aMessage), kTimeout);
     });
     if (!result.ok()) {
       return result.status();
@@ -207,16 +207,17 @@
   , public testing::WithParamInterface<AnswerCase>
 {};
 
-/// After a first request "r1" with idempotency key "k1" was answered.
-TEST_P(AgentAnswer, SaysExactlyWhetherItRan)
+/// Sends a second request after request "r1" with idempotency key "k1" was
+/// answered.
+TEST_P(AgentAnswer, HasTheRightVerdict)
 {
   net::HttpRequest first = MakeRequest("r1");
   first.mHeaders.Set(kIdempotencyKeyHeader, "k1");
-  const net::HttpResponse firstAnswer = Ask(first);
+  const net::HttpResponse firstAnswer = SendToAgent(first);
   ASSERT_EQ(firstAnswer.mStatus, 200U);
   net::HttpRequest second = MakeRequest("r2");
   GetParam().mChange(second);
-  const net::HttpResponse answer = Ask(second);
+  const net::HttpResponse answer = SendToAgent(second);
   EXPECT_EQ(answer.mStatus, GetParam().mStatus);
   EXPECT_EQ(HeaderOf(answer, net::kVerdictHeader), GetParam().mVerdict);
   EXPECT_EQ(HeaderOf(answer, kReasonHeader), GetParam().mReason);
@@ -283,9 +284,10 @@
                 "deadline-too-short" }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST_F(AgentShell, RefusesARequestThatWasRevokedBeforeItCame)
+TEST_F(AgentShell, RefusesARequestThatWasRevokedBeforeItArrived)
 {
-  // Revocations are answered exactly once the register's memory is old enough.
+  // Revoke() returns NotRun only when the register is older than the request by
+  // kRevokeTransit.
   const Duration age = milliseconds(1);
   Verdict verdict = Verdict::MayHaveRun;
   WaitFor([&] {
@@ -294,7 +296,7 @@
     verdict = reply.ok() ? reply->mVerdict : Verdict::MayHaveRun;
     return verdict == Verdict::NotRun;
   });
-  const net::HttpResponse answer = Ask(MakeRequest("r9"));
+  const net::HttpResponse answer = SendToAgent(MakeRequest("r9"));
   EXPECT_EQ(answer.mStatus, 409U);
   EXPECT_EQ(HeaderOf(answer, net::kVerdictHeader), "not-run");
 }
@@ -305,7 +307,7 @@
   WaitForEnd(TaskState::Finished, "");
 }
 
-TEST_F(AgentShell, StartsATaskOnceThoughReplyAfterReplyIsLost)
+TEST_F(AgentShell, StartsATaskOnceWhenRepliesAreLost)
 {
   SetWorkerFaults(R"({"loseReplies":3})");
   StartTask(R"({"runMs":50})");
@@ -320,14 +322,14 @@
   WaitForEnd(TaskState::Failed, "failed");
 }
 
-TEST_F(AgentShell, CheckpointsItsTasksAndLeavesWhenStopped)
+TEST_F(AgentShell, CheckpointsItsTasksAndExitsWhenStopped)
 {
   StartTask(R"({"runMs":60000})");
   mAgent->Drain();
   WaitForEnd(TaskState::Checkpointed, "evicted-for-drain");
   EXPECT_FALSE(mEntry.Ends()[0].mCheckpoint.empty());
   EXPECT_EQ(mEntry.Newest()->mState, ServingState::Draining);
-  const net::HttpResponse answer = Ask(MakeRequest("r1"));
+  const net::HttpResponse answer = SendToAgent(MakeRequest("r1"));
   EXPECT_EQ(HeaderOf(answer, net::kVerdictHeader), "not-run");
   EXPECT_EQ(HeaderOf(answer, kReasonHeader), "draining");
   EXPECT_NE(HeaderOf(answer, kRetryAfterHeader), "");
@@ -349,7 +351,7 @@
   WaitForEnd(TaskState::Checkpointed, "evicted-for-urgent");
 }
 
-TEST_F(AgentShell, TakesOverWhatRanBeforeItsRestart)
+TEST_F(AgentShell, AdoptsTheTasksThatRanBeforeItsRestart)
 {
   StartTask(R"({"runMs":60000})");
   mAgent.reset();
@@ -361,11 +363,11 @@
   EXPECT_EQ(newest.mLoad.mReserved, (Resources{ 17'000, 17'384, 0 }));
 }
 
-TEST_F(AgentShell, AnnouncesThatItsBackendServerLeaves)
+TEST_F(AgentShell, ReportsThatItsBackendServerDrains)
 {
   mBackend.Drain();
   WaitFor([this] { return mEntry.Newest()->mState == ServingState::Draining; });
-  EXPECT_EQ(Ask(MakeRequest("r1")).mStatus, 503U);
+  EXPECT_EQ(SendToAgent(MakeRequest("r1")).mStatus, 503U);
 }
 
 } // namespace
--- a/tests/agent/CapacityLedgerTest.cpp
+++ b/tests/agent/CapacityLedgerTest.cpp
@@ -11,8 +11,8 @@
 
 const CustomerId kCustomer("trasowka");
 
-/// Counts where the agent holds no contract.
-constexpr double kOwnersShare = 0.1;
+/// The share that applies when the ledger has no contract of the customer.
+constexpr double kDefaultShare = 0.1;
 
 TaskKey Key(std::uint64_t aNumber)
 {
@@ -47,8 +47,8 @@
   return status;
 }
 
-/// A worker of 10 cores, 1000 MiB and 2 accelerators, of which the service
-/// keeps 2 cores and 100 MiB; the customer may use half of the processors.
+/// A worker with 10 cores, 1000 MiB and 2 accelerators. The service reserves
+/// 2 cores and 100 MiB; the customer may use half of the processors.
 CapacityLedger MakeLedger()
 {
   CapacityLedger ledger({ 2'000, 100, 0 });
@@ -68,12 +68,12 @@
 class LedgerRefusal : public testing::TestWithParam<RefusalCase>
 {};
 
-TEST_P(LedgerRefusal, NamesTheLimitAndCommitsNothing)
+TEST_P(LedgerRefusal, ReturnsTheReasonAndReservesNothing)
 {
   CapacityLedger ledger = MakeLedger();
   const Resources before = ledger.Free();
   EXPECT_EQ(ledger.Reserve(
-              Key(1), GetParam().mCustomer, GetParam().mAmount, kOwnersShare),
+              Key(1), GetParam().mCustomer, GetParam().mAmount, kDefaultShare),
             GetParam().mExpected);
   if (GetParam().mExpected != Reason::None) {
     EXPECT_EQ(ledger.Free(), before);
@@ -109,7 +109,7 @@
                  Reason::CapacityTaken }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(CapacityLedger, GrantsNothingBeforeItKnowsTheWorker)
+TEST(CapacityLedger, GrantsNothingBeforeTheFirstView)
 {
   CapacityLedger ledger({});
   ledger.ApplyContract(ContractOf(kCustomer, 1.0, 1));
@@ -117,7 +117,7 @@
             Reason::WaitingForCapacity);
 }
 
-TEST(CapacityLedger, CountsWhatRanBeforeARestart)
+TEST(CapacityLedger, CountsTasksThatRanBeforeARestart)
 {
   CapacityLedger ledger({});
   ledger.ApplyContract(ContractOf(kCustomer, 1.0, 1));
@@ -128,7 +128,7 @@
   EXPECT_EQ(ledger.Reserve(Key(2), kCustomer, { 3, 1, 0 }, 1.0), Reason::None);
 }
 
-TEST(CapacityLedger, SurvivesAWorkerThatRunsMoreThanItHolds)
+TEST(CapacityLedger, ToleratesAWorkerThatRunsMoreThanItsCapacity)
 {
   CapacityLedger ledger({});
   ledger.ApplyContract(ContractOf(kCustomer, 1.0, 1));
@@ -146,7 +146,7 @@
             Reason::WaitingForQuota);
 }
 
-RC_GTEST_PROP(CapacityLedger, NeverCommitsBeyondTheWorker, ())
+RC_GTEST_PROP(CapacityLedger, NeverExceedsTheCapacity, ())
 {
   const Resources capacity{ 1'000, 1'000, 4 };
   CapacityLedger ledger({ 100, 100, 0 });
--- a/tests/agent/FakeEntry.h
+++ b/tests/agent/FakeEntry.h
@@ -27,14 +27,14 @@
   /// The newest heartbeat; nullopt before the first.
   std::optional<Heartbeat> Newest() const;
 
-  /// Every end that was reported, once for each key.
+  /// The final states that were reported, once per key.
   std::vector<TaskStatus> Ends() const;
 
 private:
   HeartbeatReply Answer(const Heartbeat& aHeartbeat);
 
   const ShardId mShards;
-  mutable std::mutex mMutex; ///< Guards what follows.
+  mutable std::mutex mMutex; ///< Guards the members below.
   std::optional<Heartbeat> mNewest;
   std::vector<TaskStatus> mEnds;
   ConfigurationSource mContracts;
--- a/tests/agent/RequestRegisterTest.cpp
+++ b/tests/agent/RequestRegisterTest.cpp
@@ -16,7 +16,7 @@
 const Instant kNow = kStart + std::chrono::minutes(1);
 const RequestId kId("r1");
 
-/// What happened to the id before Revoke() asks about it.
+/// What happened to the id before Revoke().
 enum class Before
 {
   Nothing,
@@ -33,10 +33,10 @@
   Before mBefore;
   Duration mAge;
   Verdict mVerdict;
-  RequestAdmission mThen; ///< When the id comes (again) afterwards.
+  RequestAdmission mThen; ///< Of a request with the id after Revoke().
 };
 
-void Happen(RequestRegister& aRegister, Before aBefore)
+void Prepare(RequestRegister& aRegister, Before aBefore)
 {
   if (aBefore == Before::Nothing) {
     return;
@@ -58,10 +58,10 @@
 class RequestRevoke : public testing::TestWithParam<RevokeCase>
 {};
 
-TEST_P(RequestRevoke, TellsTheTruthAndKeepsIt)
+TEST_P(RequestRevoke, ReturnsTheVerdictAndEnforcesIt)
 {
   RequestRegister requests({}, kStart);
-  Happen(requests, GetParam().mBefore);
+  Prepare(requests, GetParam().mBefore);
   EXPECT_EQ(requests.Revoke(kId, GetParam().mAge, kNow), GetParam().mVerdict);
   EXPECT_EQ(requests.Begin(kId, kNow), GetParam().mThen);
 }
@@ -111,22 +111,22 @@
                               RequestAdmission::Revoked }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-/// Whatever was forgotten, by age or for lack of room, an id that ran is never
-/// called NotRun, and one called NotRun never runs.
-RC_GTEST_PROP(RequestRegister, NeverSaysNotRunOfWhatRan, ())
+/// Revoke() never returns NotRun for an id that ran, and an id for which it
+/// returned NotRun never runs, even if ids were dropped by age or size.
+RC_GTEST_PROP(RequestRegister, NeverReturnsNotRunForARequestThatRan, ())
 {
   RequestRegisterLimits limits;
   limits.mMaxFinished = 64 * 2;
   limits.mMaxRevoked = 64 * 2;
   limits.mFinishedRetention = seconds(20);
   RequestRegister requests(limits, kStart);
-  struct Fate
+  struct RequestHistory
   {
     Instant mSentAt{};
     bool mRan = false;
-    bool mToldNotRun = false;
+    bool mReportedNotRun = false;
   };
-  std::map<std::uint32_t, Fate> fates;
+  std::map<std::uint32_t, RequestHistory> histories;
   Instant now = kStart;
   const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
     rc::gen::arbitrary<std::uint32_t>());
@@ -134,25 +134,25 @@
     now += std::chrono::milliseconds(step % 4'000);
     const std::uint32_t number = step >> 12 & 0x1ff;
     const RequestId id(std::to_string(number));
-    const bool isNew = !fates.contains(number);
-    Fate& fate = fates[number];
+    const bool isNew = !histories.contains(number);
+    RequestHistory& history = histories[number];
     if (isNew) {
-      fate.mSentAt = now;
+      history.mSentAt = now;
     }
     if ((step & 0x80000000) != 0) {
-      const Verdict verdict = requests.Revoke(id, now - fate.mSentAt, now);
-      RC_ASSERT(!(fate.mRan && verdict == Verdict::NotRun));
-      fate.mToldNotRun |= verdict == Verdict::NotRun;
-    } else if (!fate.mRan &&
+      const Verdict verdict = requests.Revoke(id, now - history.mSentAt, now);
+      RC_ASSERT(!(history.mRan && verdict == Verdict::NotRun));
+      history.mReportedNotRun |= verdict == Verdict::NotRun;
+    } else if (!history.mRan &&
                requests.Begin(id, now) == RequestAdmission::Admitted) {
-      RC_ASSERT(!fate.mToldNotRun);
-      fate.mRan = true;
+      RC_ASSERT(!history.mReportedNotRun);
+      history.mRan = true;
       requests.Finish(id, Verdict::Ran, now);
     }
   }
 }
 
-TEST(RequestRegister, AdmitsARefusedRequestThatComesBack)
+TEST(RequestRegister, AdmitsARetryOfARefusedRequest)
 {
   RequestRegister requests({}, kStart);
   requests.Begin(kId, kNow);
--- a/tests/agent/SlotGateTest.cpp
+++ b/tests/agent/SlotGateTest.cpp
@@ -16,7 +16,7 @@
 
 const Instant kNow{ std::chrono::hours(1) };
 
-/// Takes every slot and makes each held for `aHeld` on average.
+/// Takes all slots and sets the mean time that slots were held to `aHeld`.
 void Fill(SlotGate& aGate, Duration aHeld)
 {
   while (aGate.TryTake()) {
@@ -36,7 +36,7 @@
 class SlotGateWait : public testing::TestWithParam<WaitCase>
 {};
 
-TEST_P(SlotGateWait, IsDecidedAtOnce)
+TEST_P(SlotGateWait, QueuesOrRefusesAtOnce)
 {
   SlotGate gate({ 2, 4 });
   Fill(gate, milliseconds(100));
@@ -67,7 +67,7 @@
     WaitCase{ "passed", 0, milliseconds(-1), Reason::DeadlineTooShort }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(SlotGate, PassesSlotsOnInOrderOfArrival)
+TEST(SlotGate, GrantsSlotsInOrderOfArrival)
 {
   SlotGate gate({ 1, 8 });
   ASSERT_TRUE(gate.TryTake());
@@ -88,17 +88,17 @@
 {
   SlotGate gate({ 1, 8 });
   ASSERT_TRUE(gate.TryTake());
-  bool wasGiven = false;
-  gate.Wait(kNow, kNow + std::chrono::hours(1), [&] { wasGiven = true; });
+  bool wasGranted = false;
+  gate.Wait(kNow, kNow + std::chrono::hours(1), [&] { wasGranted = true; });
   gate.Drain();
   EXPECT_FALSE(gate.TryTake());
   const SlotAdmission late = gate.Wait(kNow, kNow + milliseconds(9), [] {});
   EXPECT_EQ(std::get<SlotRefused>(late).mReason, Reason::Draining);
   gate.Release(milliseconds(1));
-  EXPECT_TRUE(wasGiven);
+  EXPECT_TRUE(wasGranted);
 }
 
-RC_GTEST_PROP(SlotGate, NeverGivesMoreSlotsThanItHas, ())
+RC_GTEST_PROP(SlotGate, NeverGrantsMoreSlotsThanItHas, ())
 {
   SlotGate gate({ 3, 5 });
   int held = 0;
@@ -130,7 +130,7 @@
   }
 }
 
-TEST(SlotGate, HoldsItsBoundsUnderSeveralThreads)
+TEST(SlotGate, KeepsItsLimitsWithSeveralThreads)
 {
   constexpr int kThreads = 4;
   constexpr int kRounds = 20'000;
@@ -147,16 +147,18 @@
     --held;
   };
   const auto work = [&] {
-    std::binary_semaphore given(0);
+    std::binary_semaphore granted(0);
     for (int i = 0; i < kRounds; ++i) {
       if (!gate.TryTake()) {
-        const SlotAdmission admission = gate.Wait(
-          kNow, kNow + std::chrono::hours(1), [&given] { given.release(); });
+        const SlotAdmission admission =
+          gate.Wait(kNow, kNow + std::chrono::hours(1), [&granted] {
+            granted.release();
+          });
         if (std::holds_alternative<SlotRefused>(admission)) {
           continue;
         }
         if (std::holds_alternative<SlotQueued>(admission)) {
-          given.acquire();
+          granted.acquire();
         }
       }
       use();
--- a/tests/agent/TaskLeaseTest.cpp
+++ b/tests/agent/TaskLeaseTest.cpp
@@ -9,8 +9,8 @@
 
 #include "src/core/agent/TaskTable.h"
 
-/// Random schedules of heartbeats, delayed replies, assignments, pauses and
-/// calls to the worker, against the lease arithmetic.
+/// Checks the lease arithmetic under random schedules of heartbeats, delayed
+/// replies, assignments, pauses and calls to the worker.
 namespace foxtailbarrow {
 namespace {
 
@@ -18,7 +18,7 @@
 constexpr Duration kTtl = std::chrono::seconds(20);
 const CustomerId kCustomer("c");
 
-/// The owner's side: until when it must assume that a shard's tasks run.
+/// Until when the owner must assume that a shard's tasks run.
 struct OwnerBound
 {
   Instant mUntil{};
@@ -63,28 +63,29 @@
       case 4:
         Assign(shard, aChoice >> 10);
         break;
-      case 5: // The process is frozen, or the entries are out of reach.
+      case 5: // The process is paused, or the entries are unreachable.
         mNow += std::chrono::seconds((aChoice >> 12) % 40);
         break;
       default:
         break;
     }
-    Act();
+    RunWorkerCalls();
   }
 
 private:
-  /// The owner answers one of the last heartbeats, whose reply comes now.
+  /// Delivers the owner's reply to one of the last heartbeats.
   void Reply(std::uint32_t aChoice)
   {
     if (mSent.empty()) {
       return;
     }
-    const std::size_t back = aChoice % std::min<std::size_t>(4, mSent.size());
-    const Sent& sent = mSent[mSent.size() - 1 - back];
+    const std::size_t age = aChoice % std::min<std::size_t>(4, mSent.size());
+    const Sent& sent = mSent[mSent.size() - 1 - age];
     HeartbeatReply reply;
     const ShardId shard = (aChoice >> 4) % kShards;
     reply.mLeases.push_back({ shard, 1, kTtl });
-    // The owner answered between the sending and now; the earliest is hardest.
+    // The owner answered between the sending and now; the earliest time is the
+    // strictest.
     Instant& until = mOwner[shard].mUntil;
     until = std::max(until, sent.mAt + kTtl);
     mTable.ApplyReply(sent.mSequence, reply, mNow);
@@ -95,8 +96,8 @@
     if (mSent.empty()) {
       return;
     }
-    const std::size_t back = aChoice % mSent.size();
-    const Sent& sent = mSent[mSent.size() - 1 - back];
+    const std::size_t age = aChoice % mSent.size();
+    const Sent& sent = mSent[mSent.size() - 1 - age];
     foxtailbarrow::Assign assign;
     assign.mShard = aShard;
     assign.mGeneration = 1;
@@ -114,7 +115,7 @@
     RC_ASSERT(!reply.mGranted || sent.mAt + kTtl > mNow);
   }
 
-  void Act()
+  void RunWorkerCalls()
   {
     for (const WorkerCall& call : mTable.Due(mNow)) {
       if (const auto* const start = std::get_if<CallStart>(&call)) {
@@ -159,7 +160,7 @@
   std::map<ShardId, OwnerBound> mOwner;
 };
 
-RC_GTEST_PROP(TaskLease, NeverReachesBeyondTheOwnersBound, ())
+RC_GTEST_PROP(TaskLease, NeverExceedsTheOwnersBound, ())
 {
   LeaseModel model;
   const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
--- a/tests/agent/TaskTableTest.cpp
+++ b/tests/agent/TaskTableTest.cpp
@@ -69,7 +69,7 @@
     return control;
   }
 
-  /// The one call that is due, which must be a `Call`.
+  /// The only call that is due, which must be a `Call`.
   template<typename Call>
   Call DueCall(Instant aNow)
   {
@@ -89,8 +89,8 @@
     mTable.StartDone(kKey, absl::OkStatus(), kNow);
   }
 
-  /// What the worker shows from now on.
-  void Show(TaskState aState, std::string aCheckpoint = {})
+  /// Sets the task's state in the worker's view.
+  void SetView(TaskState aState, std::string aCheckpoint = {})
   {
     TaskStatus status;
     status.mKey = kKey;
@@ -121,7 +121,7 @@
   , public testing::WithParamInterface<FenceCase>
 {};
 
-TEST_P(TaskFence, RefusesForGood)
+TEST_P(TaskFence, KeepsARefusalFinal)
 {
   Assign assign = MakeAssign();
   GetParam().mChange(assign);
@@ -182,7 +182,7 @@
       Reason::CapacityTaken }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST_F(TaskTableTest, RefusesALowerEpochAndAHigherOneBesideARunningTask)
+TEST_F(TaskTableTest, RefusesALowerEpochAndAHigherOneWhileTheTaskRuns)
 {
   AssignAndStart();
   EXPECT_EQ(mTable.Assign(MakeAssign({ kKey.mJob, 4 }), kNow).mReason,
@@ -191,7 +191,7 @@
             Reason::WaitingForLease);
 }
 
-TEST_F(TaskTableTest, RefusesAnAssignmentThatWasStoppedBeforeItCame)
+TEST_F(TaskTableTest, RefusesAnAssignmentThatWasStoppedBeforeItArrived)
 {
   const auto stopped = mTable.Control(
     MakeControl(TaskAction::Stop, Reason::CancelRequested), kNow);
@@ -200,7 +200,7 @@
   EXPECT_EQ(mTable.Assign(MakeAssign(), kNow).mReason, Reason::CancelRequested);
 }
 
-TEST_F(TaskTableTest, RefusesADelayedCopyAfterTheRefusalWasForgotten)
+TEST_F(TaskTableTest, RefusesADelayedCopyAfterTheRefusalWasDropped)
 {
   Assign first = MakeAssign();
   first.mTask.mResources.mMemoryMb = 4'001;
@@ -220,7 +220,7 @@
 TEST_F(TaskTableTest, ReportsAnEndUntilItIsAcknowledged)
 {
   AssignAndStart();
-  Show(TaskState::Finished);
+  SetView(TaskState::Finished);
   mTable.Observe(mView, kNow + seconds(1), kNow + seconds(1));
   EXPECT_EQ(mLedger.Tasks(), 0U);
   ASSERT_EQ(mTable.Reports().size(), 1U);
@@ -253,7 +253,7 @@
   , public testing::WithParamInterface<StopCase>
 {};
 
-TEST_P(TaskStop, IsAskedOfTheWorkerAndReportedOnce)
+TEST_P(TaskStop, IsRequestedFromTheWorkerAndReportedOnce)
 {
   AssignAndStart();
   GetParam().mCause(mTable);
@@ -268,7 +268,7 @@
     EXPECT_EQ(DueCall<CallStop>(later).mKey, kKey);
     mTable.StopDone(kKey, absl::OkStatus(), later);
     EXPECT_EQ(Status().mState, TaskState::Running) << "its end is unknown yet";
-    Show(TaskState::Stopped);
+    SetView(TaskState::Stopped);
     mTable.Observe(mView, later, later);
     EXPECT_EQ(Status().mState, TaskState::Stopped);
   }
@@ -314,7 +314,7 @@
                             false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST_F(TaskTableTest, BelievesTheWorkerThatATaskFinishedBeforeItsStop)
+TEST_F(TaskTableTest, ReportsATaskThatFinishedBeforeItsStop)
 {
   AssignAndStart();
   ASSERT_TRUE(
@@ -322,7 +322,7 @@
       .ok());
   DueCall<CallStop>(kNow);
   mTable.StopDone(kKey, absl::OkStatus(), kNow);
-  Show(TaskState::Finished);
+  SetView(TaskState::Finished);
   mTable.Observe(mView, kNow, kNow);
   EXPECT_EQ(Status().mState, TaskState::Finished);
   EXPECT_EQ(Status().mReason, "");
@@ -363,9 +363,9 @@
   EXPECT_EQ(Status().mReason, "lost-by-worker");
 }
 
-TEST_F(TaskTableTest, AdoptsWhatRunsAfterARestart)
+TEST_F(TaskTableTest, AdoptsRunningTasksAfterARestart)
 {
-  Show(TaskState::Running);
+  SetView(TaskState::Running);
   mTable.Observe(mView, kNow, kNow);
   EXPECT_EQ(mLedger.Reserved(), (Resources{ 1'000, 1'000, 0 }));
   ASSERT_EQ(mTable.Reports().size(), 1U);
--- a/tests/ownership/Fleet.h
+++ b/tests/ownership/Fleet.h
@@ -23,8 +23,8 @@
   std::string mName;
   double mRate = 1.0; ///< Clock rate.
   bool mUp = true;
-  int mIncarnation =
-    0; ///< Incremented at each start; older deliveries are dropped.
+  /// Incremented at each start; deliveries to an older one are dropped.
+  int mIncarnation = 0;
   unsigned mSides = kMainSide; ///< Nodes that share a bit can reach each other.
   bool mReachesStore = true;
   Duration mPausedUntil{}; ///< True time.
@@ -35,13 +35,13 @@
   }
 };
 
-/// Behavior of the network and the store.
+/// Behavior of the network and the store; fractions from 0 to 1.
 struct NetworkConditions
 {
   Duration mDelay = 2ms;     ///< Mean one-way delay.
-  double mLostReplies = 0.0; ///< Fraction of store replies lost.
-  double mLost = 0.0;        ///< Fraction of messages and calls lost.
-  double mStraggling = 0.0;  ///< Fraction delayed by up to 15 s.
+  double mLostReplies = 0.0; ///< Store replies lost after the effect.
+  double mLost = 0.0;        ///< Messages and calls lost before the effect.
+  double mStraggling = 0.0;  ///< Deliveries delayed by up to 15 s.
   bool mStoreDown = false;
 };
 
