--- a/src/core/ownership/StoreCommand.h
+++ b/src/core/ownership/StoreCommand.h
@@ -68,7 +68,7 @@
                                  StoreListing,
                                  StoreTransactionResult>;
 
-/// Asks the shell to run one call of the Store interface.
+/// Requests one call of the Store interface from the shell.
 struct StoreRequest
 {
   CallId mId = 0;
--- a/tests/ownership/Fleet.cpp
+++ b/tests/ownership/Fleet.cpp
@@ -183,7 +183,7 @@
   const std::size_t to = Index(aAction.mTo);
   Send(mEntries[aEntry], mEntries[to], [=, this, request = aAction.mRequest] {
     AttestReply reply = mOwners[to]->OnAttest(request, LocalNow(to));
-    reply.mAttested = reply.mAttested || mVotersForget;
+    reply.mAttested = reply.mAttested || mVotersIgnorePromises;
     Send(mEntries[to], mEntries[aEntry], [=, this] { Handle(aEntry, reply); });
   });
 }
--- a/tests/ownership/Fleet.h
+++ b/tests/ownership/Fleet.h
@@ -82,7 +82,7 @@
   OwnershipSettings mSettings;
 
   /// Mutation: voters attest tenures in spite of their promises.
-  bool mVotersForget = false;
+  bool mVotersIgnorePromises = false;
   std::uint64_t mMessages = 0;
 
 protected:
--- a/tests/ownership/SafetyPropertyTest.cpp
+++ b/tests/ownership/SafetyPropertyTest.cpp
@@ -95,31 +95,37 @@
 INSTANTIATE_TEST_SUITE_P(
   Rules,
   TaskSafety,
-  testing::Values(
-    SafetyCase{ "AsDesigned", true, kDefaults, kNoMutation },
-    SafetyCase{
-      "ShortTenureTimeout",
-      false,
-      [](OwnershipSettings& aSettings) { aSettings.mTenureTimeout = 30s; },
-      kNoMutation },
-    SafetyCase{ "VotersForget",
-                false,
-                kDefaults,
-                [](TaskFleet& aFleet) { aFleet.mVotersForget = true; } },
-    SafetyCase{ "ValidityBeyondStoreLease",
-                false,
-                [](OwnershipSettings& aSettings) { aSettings.mValidity = 40s; },
-                kNoMutation },
-    SafetyCase{
-      "LeaseDatedByReceipt",
-      false,
-      kDefaults,
-      [](TaskFleet& aFleet) { aFleet.mMutations.mDatedByReceipt = true; } },
-    SafetyCase{
-      "BlindRetry",
-      false,
-      kDefaults,
-      [](TaskFleet& aFleet) { aFleet.mMutations.mBlindRetry = true; } }),
+  testing::Values(SafetyCase{ "AsDesigned", true, kDefaults, kNoMutation },
+                  SafetyCase{ "ShortTenureTimeout",
+                              false,
+                              [](OwnershipSettings& aSettings) {
+                                aSettings.mTenureTimeout = 30s;
+                              },
+                              kNoMutation },
+                  SafetyCase{ "VotersIgnorePromises",
+                              false,
+                              kDefaults,
+                              [](TaskFleet& aFleet) {
+                                aFleet.mVotersIgnorePromises = true;
+                              } },
+                  SafetyCase{ "ValidityBeyondStoreLease",
+                              false,
+                              [](OwnershipSettings& aSettings) {
+                                aSettings.mValidity = 40s;
+                              },
+                              kNoMutation },
+                  SafetyCase{ "LeaseDatedByReceipt",
+                              false,
+                              kDefaults,
+                              [](TaskFleet& aFleet) {
+                                aFleet.mMutations.mDatedByReceipt = true;
+                              } },
+                  SafetyCase{ "BlindRetry",
+                              false,
+                              kDefaults,
+                              [](TaskFleet& aFleet) {
+                                aFleet.mMutations.mBlindRetry = true;
+                              } }),
   [](const testing::TestParamInfo<SafetyCase>& aInfo) {
     return aInfo.param.mName;
   });
