--- a/apps/scheduler/CellOwner.cpp
+++ b/apps/scheduler/CellOwner.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// Longest pause between two rounds of placing.
+/// Longest pause between two placement rounds.
 constexpr Duration kMaxRoundPause = std::chrono::milliseconds(50);
 constexpr Duration kStoreRetry = std::chrono::milliseconds(100);
 
@@ -61,7 +61,7 @@
   mLogic.SetQueues(aQueues);
 }
 
-/// Nothing where it cannot be read: then it is passed over, and left as it is.
+/// Returns nullopt for an unreadable entry, which is skipped and not changed.
 template<typename Record>
 std::optional<Record> CellOwner::ReadEntry(const StoreEntry& aEntry)
 {
@@ -77,7 +77,7 @@
 {
   auto job = ReadEntry<StoredJob>(aEntry);
   if (job && job->mGraph.mId.Value() != KeyName(aEntry.mKey, kJobPrefix)) {
-    LogUnreadable(aEntry, "the job of another key");
+    LogUnreadable(aEntry, "the job ID does not match the key");
     return std::nullopt;
   }
   return job;
@@ -86,7 +86,7 @@
 void CellOwner::LogUnreadable(const StoreEntry& aEntry,
                               std::string_view aReason)
 {
-  ++mFigures.mUnreadable;
+  ++mCounters.mUnreadable;
   LogError("entry-unreadable",
            { { "key", aEntry.mKey },
              { "revision", aEntry.mModRevision },
@@ -118,7 +118,7 @@
               { "agents", mAgentLinks.size() } });
   Spawn(&CellOwner::RunJobWatch);
   Spawn(&CellOwner::RunSchedule);
-  Spawn(&CellOwner::RunRecords);
+  Spawn(&CellOwner::RunProgressSaves);
   Spawn(&CellOwner::RunCleanup);
   Spawn(&CellOwner::RunLearnedSaves);
   Spawn(&CellOwner::RunAdvice);
@@ -164,11 +164,11 @@
   std::set<AgentId> expected;
   for (const StoreEntry& entry : agents->mEntries) {
     const AgentId id{ std::string(KeyName(entry.mKey, kAgentPrefix)) };
-    // Tasks may run there, whatever its record says.
+    // Tasks may run there even if its record is unreadable.
     expected.insert(id);
     if (const auto contact = ReadEntry<AgentContact>(entry)) {
       AgentLink& link = AgentLinkOf(id, contact->mEndpoint);
-      link.mRecorded = true;
+      link.mSaved = true;
       link.mRecordRevision = entry.mModRevision;
     }
   }
@@ -185,7 +185,7 @@
   }
   LogChange("cell-released", { { "generation", mTerm.OwnGeneration() } });
   mSchedulePoke.Now();
-  mRecordPoke.Now();
+  mSavePoke.Now();
   for (auto& [agent, link] : mAgentLinks) {
     link->mPoke.Now();
   }
@@ -231,8 +231,7 @@
     }
     LogDebug("job-watch-ended", { { "error", ended.ToString() } });
     boost::this_fiber::sleep_for(kStoreRetry);
-    // Whatever the watch missed is in the list; known jobs are kept as they
-    // are.
+    // The list has what the watch missed. Known jobs keep their state.
     if (const auto jobs = mParts.mStore.List(kJobPrefix); jobs.ok()) {
       for (const StoreEntry& entry : jobs->mEntries) {
         OnJobEvent({ entry.mKey, entry.mValue, entry.mModRevision });
@@ -246,7 +245,7 @@
 {
   mJobsFrom = std::max(mJobsFrom, aEvent.mModRevision);
   if (!aEvent.mValue) {
-    return; // Deleted by ourselves, after its end.
+    return; // Deleted by this owner after the job ended.
   }
   if (const auto job =
         ReadJob({ aEvent.mKey, *aEvent.mValue, aEvent.mModRevision })) {
@@ -261,7 +260,7 @@
   }
   mLogic.AddJob(aJob, {}, 0, Clock());
   mSchedulePoke.Now();
-  mRecordPoke.Now();
+  mSavePoke.Now();
 }
 
 void CellOwner::RunSchedule()
@@ -295,12 +294,12 @@
     }
   }
   if (mLogic.HasUnsavedJobs()) {
-    mRecordPoke.Now();
+    mSavePoke.Now();
   }
 }
 
-/// An owner that is behind must say so: how long it lets others wait, and where
-/// its processor time goes.
+/// Logs once a second how long others wait for the owner and what it spends its
+/// processor time on, so that an overloaded owner is visible.
 void CellOwner::LogLoad()
 {
   const Instant now = MonotonicNow();
--- a/apps/scheduler/CellOwner.h
+++ b/apps/scheduler/CellOwner.h
@@ -20,20 +20,19 @@
 
 namespace foxtailbarrow::scheduler {
 
-/// Figures of an owner's work, for the metrics.
-struct OwnerFigures
+/// Counters of an owner's work for the metrics.
+struct OwnerCounters
 {
   std::uint64_t mReports = 0;
   std::uint64_t mOrders = 0;
   std::uint64_t mStarts = 0;
-  std::uint64_t mRecords = 0;
-  std::uint64_t mUnreadable =
-    0; ///< Entries of the store that were passed over.
+  std::uint64_t mSaves = 0;
+  std::uint64_t mUnreadable = 0; ///< Store entries that were skipped.
 };
 
-/// The owner of the cell for one term: loads what the store and the agents
-/// know, lets CellScheduler decide, sends its orders, records its progress.
-/// Lives until End(); its fibers hold it. All of it runs on one thread.
+/// The owner of the cell for one term: loads the state from the store and the
+/// agents, lets CellScheduler decide, sends its orders and saves its progress.
+/// Its fibers keep it alive until End(). Everything runs on one thread.
 class CellOwner : public std::enable_shared_from_this<CellOwner>
 {
 public:
@@ -44,9 +43,9 @@
     net::RpcClient& mRpc;
     Endpoint mSelf;
     Duration mKeepEnded;
-    cell::PlacementAdvisor* mAdvisor; ///< Null where there is none.
+    cell::PlacementAdvisor* mAdvisor; ///< May be null.
     std::function<void()> mOnSuperseded;
-    /// Spent on the text of messages by this process so far.
+    /// Total time this process has spent encoding and parsing messages.
     std::function<Duration()> mTextTime;
   };
 
@@ -55,31 +54,32 @@
             cell::CellSettings aSettings,
             const std::vector<cell::QueuePolicy>& aQueues);
 
-  /// Reads the store, then starts the fibers. An error ends the term.
+  /// Reads the store and starts the fibers. The term ends on an error.
   absl::Status Load();
   void End();
   bool Active() const { return mLoaded && !mEnded; }
 
-  /// False when the store has been silent for so long that another scheduler
-  /// may own the cell: what is known here may be out of date.
+  /// False if the store has not answered for so long that another scheduler may
+  /// own the cell and the state here may be stale.
   bool Current() const
   {
     return mTerm.GrantAt(MonotonicNow()) > Duration::zero();
   }
 
-  /// What a caller is told of the job, as long as no other owner can know
-  /// better: an end that is recorded stands for good.
+  /// The job's phase, unless another owner may have a newer one. A saved final
+  /// phase never changes, so it is always returned.
   std::optional<cell::JobPhase> PhaseNow(const JobId& aJob) const;
-  /// The same where no scheduler knows of a later owner.
+  /// The job's phase for callers that have checked that no scheduler knows of a
+  /// later owner.
   std::optional<cell::JobPhase> LastKnownPhase(const JobId& aJob) const;
 
   /// Does not suspend its fiber.
   cell::ReportReply OnReport(const cell::ReportRequest& aReport);
   void OnRecordChanged(const cell::StoredJob& aJob);
   void SetQueues(const std::vector<cell::QueuePolicy>& aQueues);
-  /// The store has shown the cell's record unchanged.
+  /// A read sent at `aSentAt` found the cell's record unchanged.
   void Confirm(Instant aSentAt) { mTerm.Confirm(aSentAt); }
-  /// The owner's key lasts for `aTtl` from the sending of a call.
+  /// The owner's key lasts for `aTtl` from `aSentAt`.
   void ExtendKey(Instant aSentAt, Duration aTtl)
   {
     mTerm.ExtendKey(aSentAt, aTtl);
@@ -87,12 +87,12 @@
 
   const cell::OwnerTerm& Term() const { return mTerm; }
   const cell::CellScheduler& Logic() const { return mLogic; }
-  const OwnerFigures& Figures() const { return mFigures; }
-  /// Of the last whole second; zeros before it.
+  const OwnerCounters& Counters() const { return mCounters; }
+  /// Load of the last full second; zeros before the first one.
   const cell::OwnerLoadSummary& LastLoad() const { return mLastLoad; }
 
 private:
-  /// The owner's side of one agent.
+  /// The owner's state for one agent.
   struct AgentLink
   {
     Endpoint mEndpoint;
@@ -100,10 +100,10 @@
     Instant mLastContactAt{};
     Instant mAttachedAt{};
     Instant mWeightsSentAt{};
-    bool mWorkerLeft = false; ///< By the agent's newest report.
-    bool mRecorded = false;   ///< In the store, for the next owner.
-    /// Of the agent's record. A removal depends on it, so that one which the
-    /// store carries out late removes no newer record.
+    bool mWorkerLeft = false; ///< As of the agent's newest report.
+    bool mSaved = false;      ///< The store has the agent's record.
+    /// Revision of the agent's record. Removals are conditional on it, so that
+    /// a delayed one cannot remove a newer record.
     Revision mRecordRevision = 0;
   };
 
@@ -119,7 +119,7 @@
   void RunRound();
   void LogLoad();
   void LogDecision(const cell::CellDecision& aDecision);
-  void RunRecords();
+  void RunProgressSaves();
   void RunCleanup();
   void RunLearnedSaves();
   void LoadLearned();
@@ -140,7 +140,7 @@
   Duration OrderRound(const AgentId& aAgent, AgentLink& aLink);
   void Detach(const AgentId& aAgent);
 
-  bool RecordBatch();
+  bool SaveBatch();
   void OnConflict(const std::vector<cell::UnsavedProgress>& aBatch,
                   const StoreTransactionResult& aResult);
   StoreCompare CellUnchanged() const;
@@ -158,13 +158,13 @@
   std::map<AgentId, std::unique_ptr<AgentLink>> mAgentLinks;
   std::int64_t mSessions = 0;
   Revision mJobsFrom = 0;
-  /// Jobs whose progress cannot be read: what of them has run is not known, so
-  /// that nothing of them is started.
+  /// Jobs with unreadable progress. Nothing of them is started, since it is not
+  /// known which of their tasks have run.
   std::set<JobId> mUnreadableJobs;
   Poke mSchedulePoke;
-  Poke mRecordPoke;
-  OwnerFigures mFigures;
-  bool mAdviceWanted = false; ///< A queue's workers are chosen by a service.
+  Poke mSavePoke;
+  OwnerCounters mCounters;
+  bool mAdviceWanted = false; ///< A service chooses workers for some queue.
   bool mLoaded = false;
   bool mEnded = false;
 };
--- a/apps/scheduler/CellOwnerAdvice.cpp
+++ b/apps/scheduler/CellOwnerAdvice.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Between two looks for a step that needs advice.
+/// Interval of checks for a step that needs advice.
 constexpr Duration kAdvicePoll = std::chrono::milliseconds(20);
 
 } // namespace
 
-/// One question at a time, as the service takes them so.
+/// Sends one query at a time, as the service requires.
 void CellOwner::RunAdvice()
 {
   while (!mEnded && mParts.mAdvisor != nullptr) {
--- a/apps/scheduler/CellOwnerAgents.cpp
+++ b/apps/scheduler/CellOwnerAgents.cpp
@@ -16,21 +16,21 @@
 
 constexpr Duration kAttachTimeout = std::chrono::milliseconds(2000);
 constexpr Duration kAttachRetry = std::chrono::milliseconds(150);
-/// Longer than an agent needs to settle orders that the worker did not answer.
+/// Longer than an agent needs to settle orders that its worker did not answer.
 constexpr Duration kOrderTimeout = std::chrono::milliseconds(2500);
 constexpr Duration kOrderWait = std::chrono::milliseconds(200);
-/// Three reports missed.
+/// Three missed reports.
 constexpr Duration kSilentAfter = std::chrono::milliseconds(1400);
-/// A report may have been sent so long before an attachment that it follows.
-/// The agent's own timeout of reports.
-constexpr Duration kReportTime = std::chrono::milliseconds(700);
-/// Between two words to an agent on what disturbs what: it is learned over
-/// seconds, and the agent keeps the last word.
+/// The agent's timeout of reports. A report received within this time after an
+/// attachment may have been sent before it.
+constexpr Duration kReportTimeout = std::chrono::milliseconds(700);
+/// Interval of sending interference weights to an agent. They are learned over
+/// seconds, and the agent keeps the last ones.
 constexpr Duration kWeightsInterval = std::chrono::seconds(1);
-/// An agent that is gone for so long is no longer asked for.
+/// An agent that has been unreachable for this long is no longer contacted.
 constexpr Duration kForgetAfter = std::chrono::seconds(20);
-/// The high part of a session is its generation, so that sessions rise over
-/// owners; the low part is left to the agent for fences of its own.
+/// The high bits of a session are the generation, so that sessions increase
+/// from owner to owner. The agent uses the low bits for its fences.
 constexpr int kGenerationShift = 32;
 constexpr int kSessionShift = 8;
 
@@ -48,7 +48,7 @@
 
 ReportReply CellOwner::HandleReport(const ReportRequest& aReport)
 {
-  ++mFigures.mReports;
+  ++mCounters.mReports;
   ReportReply reply;
   reply.mOwner = true;
   reply.mGeneration = mTerm.OwnGeneration();
@@ -57,9 +57,9 @@
   link.mWorkerLeft = aReport.mState.mInfo.mGone;
   reply.mAttached = mLogic.HandleReport(aReport, Clock());
   if (!reply.mAttached) {
-    const bool overtaken = MonotonicNow() - link.mAttachedAt < kReportTime;
-    if (Attached(aReport.mAgent) && !overtaken) {
-      Detach(aReport.mAgent); // It restarted and knows of no session.
+    const bool sentBefore = MonotonicNow() - link.mAttachedAt < kReportTimeout;
+    if (Attached(aReport.mAgent) && !sentBefore) {
+      Detach(aReport.mAgent); // The agent restarted without a session.
     }
     link.mPoke.Now();
     return reply;
@@ -73,12 +73,12 @@
     link.mWeightsSentAt = now;
     reply.mPressures = mLogic.InterferenceWeightsOn(aReport.mAgent);
   }
-  // Most reports bring nothing that a round of placing could answer.
+  // Most reports need no placement round.
   if (mLogic.NeedsPlacement()) {
     mSchedulePoke.Now();
   }
   if (mLogic.HasUnsavedJobs()) {
-    mRecordPoke.Now();
+    mSavePoke.Now();
   }
   if (mLogic.HasOrders(aReport.mAgent)) {
     link.mPoke.Now();
@@ -98,7 +98,7 @@
     });
   }
   if (link->mEndpoint != aEndpoint) {
-    link->mRecorded = false;
+    link->mSaved = false;
     link->mEndpoint = aEndpoint;
   }
   return *link;
@@ -132,11 +132,11 @@
   }
 }
 
-/// An agent may run tasks only after the store names it, so that the next owner
-/// knows whom to ask.
+/// An agent is attached only after its record is in the store, so that the next
+/// owner knows all agents that may run tasks.
 bool CellOwner::SaveAgentRecord(const AgentId& aAgent, AgentLink& aLink)
 {
-  if (aLink.mRecorded) {
+  if (aLink.mSaved) {
     return true;
   }
   const Endpoint endpoint = aLink.mEndpoint;
@@ -145,19 +145,17 @@
   transaction.mWrites.push_back(
     { AgentKey(aAgent), ToJsonText(AgentContact{ endpoint }) });
   const auto result = mParts.mStore.Commit(transaction);
-  aLink.mRecorded =
-    result.ok() && result->mApplied && endpoint == aLink.mEndpoint;
-  if (aLink.mRecorded) {
+  aLink.mSaved = result.ok() && result->mApplied && endpoint == aLink.mEndpoint;
+  if (aLink.mSaved) {
     aLink.mRecordRevision = result->mRevision;
   }
-  return aLink.mRecorded;
+  return aLink.mSaved;
 }
 
-/// The next owner waits for every agent that has a record, even for one that
-/// has left.
+/// The next owner waits for every agent that has a record, even if it has left.
 void CellOwner::RemoveAgentRecord(const AgentId& aAgent, AgentLink& aLink)
 {
-  if (!std::exchange(aLink.mRecorded, false)) {
+  if (!std::exchange(aLink.mSaved, false)) {
     return;
   }
   StoreTransaction transaction;
@@ -187,7 +185,7 @@
     RemoveAgentRecord(aAgent, aLink);
     if (aLink.mWorkerLeft ||
         MonotonicNow() - aLink.mLastContactAt > kSilentAfter) {
-      return kOrderWait; // Until its agent reports a worker.
+      return kOrderWait; // Until the agent reports a worker.
     }
   }
   if (!SaveAgentRecord(aAgent, aLink)) {
@@ -215,7 +213,7 @@
   }
   aLink.mLastContactAt = MonotonicNow();
   aLink.mAttachedAt = aLink.mLastContactAt;
-  aLink.mWeightsSentAt = {}; // It may have started anew.
+  aLink.mWeightsSentAt = {}; // The agent may have restarted.
   mLogic.AttachWorker(aAgent, aLink.mEndpoint, session, reply->mState, Clock());
   mSchedulePoke.Now();
   return Duration::zero();
@@ -229,15 +227,15 @@
   }
   const OrderRequest orders = mLogic.TakeOrders(aAgent);
   if (mLogic.HasUnsavedJobs()) {
-    mRecordPoke.Now();
+    mSavePoke.Now();
   }
   if (orders.mStarts.empty() && orders.mStops.empty() &&
       orders.mMetadata.empty()) {
     return kOrderWait;
   }
   const Instant oldest = mLogic.OrderedAt(orders).value_or(MonotonicNow());
-  ++mFigures.mOrders;
-  mFigures.mStarts += orders.mStarts.size();
+  ++mCounters.mOrders;
+  mCounters.mStarts += orders.mStarts.size();
   const auto reply = net::CallTyped<OrderReply>(
     mParts.mRpc, aLink.mEndpoint, kOrderMethod, orders, kOrderTimeout);
   if (mEnded) {
@@ -250,7 +248,7 @@
         { "session", orders.mSession },
         { "starts", orders.mStarts.size() },
         { "error", reply.ok() ? "not accepted" : reply.status().ToString() } });
-    // Only the session that the orders were sent in is in doubt.
+    // Only the session in which the orders were sent is in doubt.
     if (const auto worker = mLogic.Workers().find(aAgent);
         worker != mLogic.Workers().end() &&
         worker->second.mSession == orders.mSession) {
--- a/apps/scheduler/CellOwnerLearned.cpp
+++ b/apps/scheduler/CellOwnerLearned.cpp
@@ -15,33 +15,35 @@
 
 namespace {
 
-/// Between two records and log lines of what was learned. Pairs are learned
-/// over seconds; a write each five seconds is one in a hundred of an owner's.
+/// Interval of saving and logging what was learned. Pairs are learned over
+/// seconds, and at this interval the saves are 1% of an owner's writes.
 constexpr Duration kLearnedSaveInterval = std::chrono::seconds(5);
-/// Least weight for each core that a log line names.
+/// Smallest weight per core that is logged.
 constexpr double kMinLoggedWeight = 0.03;
 constexpr double kPerThousand = 1000.0;
 constexpr double kPerCent = 100.0;
-/// Of a record: at 80 bytes each a tenth of the store's longest value.
+/// Most pairs in a record. At 80 bytes each they take a tenth of the store's
+/// longest value.
 constexpr std::size_t kMaxPairs = 1200;
 
 void LogLearned(const InterferenceEstimator& aLearned)
 {
-  std::string calm;
+  std::string baselines;
   for (const BaselineLatency& latency : aLearned.Baselines()) {
-    calm += latency.mServing + ":" +
-            std::to_string(std::lround(kPerCent * latency.mShare)) + ",";
+    baselines += latency.mServing + ":" +
+                 std::to_string(std::lround(kPerCent * latency.mShare)) + ",";
   }
   std::string pairs;
-  for (const InterferenceWeight& pressure : aLearned.Known()) {
-    if (pressure.mPerCore >= kMinLoggedWeight) {
-      pairs += pressure.mBestEffort + ">" + pressure.mServing + ":" +
-               std::to_string(std::lround(kPerThousand * pressure.mPerCore)) +
+  for (const InterferenceWeight& weight : aLearned.Known()) {
+    if (weight.mPerCore >= kMinLoggedWeight) {
+      pairs += weight.mBestEffort + ">" + weight.mServing + ":" +
+               std::to_string(std::lround(kPerThousand * weight.mPerCore)) +
                ",";
     }
   }
-  if (!calm.empty()) {
-    LogChange("pressures", { { "perMille", pairs }, { "calmPercent", calm } });
+  if (!baselines.empty()) {
+    LogChange("pressures",
+              { { "perMille", pairs }, { "calmPercent", baselines } });
   }
 }
 
@@ -59,7 +61,8 @@
   }
 }
 
-/// What the owner before learned. Without it placing begins with averages.
+/// Loads what the previous owner learned. Without it placement starts with
+/// averages.
 void CellOwner::LoadLearned()
 {
   const auto entry = mParts.mStore.Read(kLearnedKey);
@@ -92,7 +95,7 @@
   transaction.mCompares.push_back(CellUnchanged());
   transaction.mWrites.push_back(
     { std::string(kLearnedKey), ToJsonText(learned) });
-  // Not applied: another owner has the cell, as the election will find.
+  // If not applied, another owner has the cell; the election detects that.
   if (const auto result = mParts.mStore.Commit(transaction); !result.ok()) {
     LogWarning("pressures-unkept", { { "error", result.status().ToString() } });
   }
--- a/apps/scheduler/CellOwnerRecords.cpp
+++ b/apps/scheduler/CellOwnerRecords.cpp
@@ -17,36 +17,36 @@
 
 namespace {
 
-/// Until a write that failed is tried again.
-constexpr Duration kRecordRetry = std::chrono::milliseconds(100);
-/// Ends that come within this are recorded by one transaction.
-constexpr Duration kRecordLinger = std::chrono::milliseconds(15);
-/// A transaction takes 32 compares and writes: the cell's record, and two a
-/// job.
-constexpr std::size_t kJobsPerRecord = 15;
+/// Pause before a failed write is retried.
+constexpr Duration kSaveRetry = std::chrono::milliseconds(100);
+/// Tasks that end within this time are saved in one transaction.
+constexpr Duration kSaveBatchDelay = std::chrono::milliseconds(15);
+/// A transaction is limited to 32 compares and writes: one for the cell's
+/// record and two per job.
+constexpr std::size_t kJobsPerSave = 15;
 constexpr Duration kCleanupPause = std::chrono::seconds(10);
 constexpr std::size_t kDeletesPerCleanup = 15;
 
 } // namespace
 
-void CellOwner::RunRecords()
+void CellOwner::RunProgressSaves()
 {
   while (!mEnded) {
     if (!mLogic.HasUnsavedJobs()) {
-      mRecordPoke.Wait(std::chrono::seconds(1));
+      mSavePoke.Wait(std::chrono::seconds(1));
       continue;
     }
-    boost::this_fiber::sleep_for(kRecordLinger);
-    if (!mEnded && !RecordBatch()) {
-      boost::this_fiber::sleep_for(kRecordRetry);
+    boost::this_fiber::sleep_for(kSaveBatchDelay);
+    if (!mEnded && !SaveBatch()) {
+      boost::this_fiber::sleep_for(kSaveRetry);
     }
   }
 }
 
-bool CellOwner::RecordBatch()
+bool CellOwner::SaveBatch()
 {
   const Instant begin = MonotonicNow();
-  const std::vector<UnsavedProgress> batch = mLogic.UnsavedJobs(kJobsPerRecord);
+  const std::vector<UnsavedProgress> batch = mLogic.UnsavedJobs(kJobsPerSave);
   if (batch.empty()) {
     return true;
   }
@@ -56,7 +56,7 @@
     const std::string key = ProgressKey(job.mJob);
     transaction.mCompares.push_back({ key, job.mRevision });
     transaction.mWrites.push_back({ key, ToJsonText(job.mProgress) });
-    // From now on until the answer the store may show what we do not.
+    // Until the answer the store may show progress that this owner does not.
     mLogic.OnProgressSaveInDoubt(job.mJob);
   }
   const Instant sentAt = MonotonicNow();
@@ -78,7 +78,7 @@
     return false;
   }
   mTerm.Confirm(sentAt);
-  ++mFigures.mRecords;
+  ++mCounters.mSaves;
   for (const UnsavedProgress& job : batch) {
     mLogic.OnProgressSaved(job.mJob, job.mVersion, result->mRevision);
   }
@@ -86,8 +86,8 @@
   return true;
 }
 
-/// A condition failed: either another owner has the cell, or an earlier write
-/// of ours took effect although its reply was lost.
+/// A condition of the transaction failed: either another owner has the cell, or
+/// an earlier write of this owner was applied although its reply was lost.
 void CellOwner::OnConflict(const std::vector<UnsavedProgress>& aBatch,
                            const StoreTransactionResult& aResult)
 {
--- a/apps/scheduler/ConfigurationWatch.cpp
+++ b/apps/scheduler/ConfigurationWatch.cpp
@@ -22,22 +22,22 @@
 
 absl::StatusOr<StoreEntry> ConfigurationWatch::Read()
 {
-  const std::uint64_t doubts = mStaleMarks;
+  const std::uint64_t staleMarks = mStaleMarks;
   auto entry = mStore.Read(platform::kConfigurationKey);
-  const bool heard = entry.ok() || absl::IsNotFound(entry.status());
-  NoteHeard(heard, heard ? "" : entry.status().ToString());
+  const bool reachable = entry.ok() || absl::IsNotFound(entry.status());
+  SetReachable(reachable, reachable ? "" : entry.status().ToString());
   if (entry.ok()) {
     Apply(entry->mValue);
-    // A doubt that came while the store was asked stays.
-    mStale = mStale && doubts != mStaleMarks;
+    // Stays stale if it was marked again during the read.
+    mStale = mStale && staleMarks != mStaleMarks;
   }
   return entry;
 }
 
 Duration ConfigurationWatch::Confirm()
 {
-  const bool doubted = mStale && mNewest != nullptr;
-  return !doubted || Read().ok() ? Duration::zero() : kRetry;
+  const bool stale = mStale && mNewest != nullptr;
+  return !stale || Read().ok() ? Duration::zero() : kRetry;
 }
 
 Duration ConfigurationWatch::Round()
@@ -50,7 +50,7 @@
     platform::kConfigurationKey,
     WatchStart(*entry),
     [this](const std::vector<StoreEvent>& aEvents) {
-      NoteHeard(true);
+      SetReachable(true);
       for (const StoreEvent& event : aEvents) {
         if (event.mValue && event.mKey == platform::kConfigurationKey) {
           Apply(*event.mValue);
@@ -81,15 +81,15 @@
   mOnChange(*mNewest);
 }
 
-void ConfigurationWatch::NoteHeard(bool aHeard, std::string_view aError)
+void ConfigurationWatch::SetReachable(bool aReachable, std::string_view aError)
 {
-  if (aHeard) {
+  if (aReachable) {
     mLastContactAt = MonotonicNow();
   }
-  if (aHeard == std::exchange(mReachable, aHeard)) {
+  if (aReachable == std::exchange(mReachable, aReachable)) {
     return;
   }
-  if (aHeard) {
+  if (aReachable) {
     LogChange("store-reached");
   } else {
     LogWarning("store-lost", { { "error", aError } });
--- a/apps/scheduler/ConfigurationWatch.h
+++ b/apps/scheduler/ConfigurationWatch.h
@@ -13,8 +13,8 @@
 
 namespace foxtailbarrow::scheduler {
 
-/// Follows the operator's configuration in the store and publishes each newer
-/// version. Never goes back to an older one.
+/// Watches the operator's configuration in the store and publishes each newer
+/// version. Older versions are ignored.
 class ConfigurationWatch
 {
 public:
@@ -22,46 +22,47 @@
 
   ConfigurationWatch(Store& aStore, OnChange aOnChange);
 
-  /// Reads and then follows until the store fails. Returns the pause until the
-  /// next round.
+  /// Reads the configuration and watches it until the store fails. Returns the
+  /// pause before the next round.
   Duration Round();
 
-  /// The machine was suspended: what is known may be older than what is in
-  /// force, and the connection of the watch may be dead, until Confirm().
+  /// To be called after the machine was suspended: until Confirm() succeeds,
+  /// the known configuration may be outdated and the watch's connection dead.
   void MarkStale()
   {
     mStale = true;
     ++mStaleMarks;
   }
-  /// Reads what is in force, where that is in doubt; the first one is read by
-  /// Round(). Returns the pause until the next try; zero when there is none.
+  /// Reads the configuration again if it was marked stale. The first one is
+  /// read by Round(). Returns the pause before the next attempt, or zero if
+  /// none is needed.
   Duration Confirm();
 
-  /// What callers are answered by; null before the first configuration was
-  /// read, and while it is in doubt.
+  /// The configuration for callers' requests; null before the first read and
+  /// while stale.
   std::shared_ptr<const cell::CellConfiguration> Current() const
   {
     return mStale ? nullptr : mNewest;
   }
-  /// The newest that was read, also in doubt; null before the first.
+  /// The newest configuration, even if stale; null before the first read.
   std::shared_ptr<const cell::CellConfiguration> Newest() const
   {
     return mNewest;
   }
 
-  /// When the store was last heard of.
+  /// When the store last answered.
   Instant LastContactAt() const { return mLastContactAt; }
 
 private:
   absl::StatusOr<StoreEntry> Read();
   void Apply(std::string_view aText);
-  void NoteHeard(bool aHeard, std::string_view aError = {});
+  void SetReachable(bool aReachable, std::string_view aError = {});
 
   Store& mStore;
   OnChange mOnChange;
   std::shared_ptr<const cell::CellConfiguration> mNewest;
   bool mStale = true;
-  std::uint64_t mStaleMarks = 0; ///< So far.
+  std::uint64_t mStaleMarks = 0; ///< Calls of MarkStale().
   Instant mLastContactAt{};
   bool mReachable = false;
 };
--- a/apps/scheduler/Election.cpp
+++ b/apps/scheduler/Election.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-/// Of the owner's key: a dead owner is replaced after it.
+/// Lease of the owner's key. A crashed owner is replaced when it expires.
 constexpr Duration kOwnerTtl = std::chrono::milliseconds(2000);
-/// Several renewals and confirmations fit into the shortest of both times.
-constexpr Duration kKeepInterval = std::chrono::milliseconds(450);
-constexpr Duration kKeepRetry = std::chrono::milliseconds(150);
+/// Allows several renewals within the key's lease and the shortest grant.
+constexpr Duration kRenewInterval = std::chrono::milliseconds(450);
+constexpr Duration kRenewRetry = std::chrono::milliseconds(150);
 constexpr Duration kRetry = std::chrono::milliseconds(150);
-/// Tokens are JSON integers.
+/// Keeps tokens exact as JSON numbers.
 constexpr std::int64_t kMaxToken = (std::int64_t{ 1 } << 52) - 1;
 
 } // namespace
@@ -51,7 +51,7 @@
 Duration Election::Round()
 {
   if (mResigned) {
-    return kKeepInterval;
+    return kRenewInterval;
   }
   if (mOwner) {
     return RenewTerm();
@@ -89,8 +89,8 @@
   if (const auto record = FromJsonText<OwnerRecord>(entry->mValue);
       record.ok()) {
     OnOwnerSeen(*record);
-    // Whoever listened here before is dead, and so is its term: there is no
-    // need to wait until the key lapses.
+    // This process listens there now, so the process that owned the cell has
+    // ended. Its key need not expire first.
     if (record->mScheduler == mSettings.mId &&
         record->mEndpoint == mSettings.mAdvertised) {
       return TryAcquire(entry->mModRevision);
@@ -99,18 +99,18 @@
     LogError("owner-record-unreadable",
              { { "error", record.status().ToString() } });
   }
-  bool gone = false;
+  bool deleted = false;
   const absl::Status ended =
     mStore.Watch(kOwnerKey,
                  entry->mModRevision,
-                 [this, &gone](const std::vector<StoreEvent>& aEvents) {
+                 [this, &deleted](const std::vector<StoreEvent>& aEvents) {
                    mSeenAt = MonotonicNow();
                    for (const StoreEvent& event : aEvents) {
-                     gone = !event.mValue;
+                     deleted = !event.mValue;
                    }
                    return aEvents.empty() && !mResigned;
                  });
-  return gone || ended.ok() ? Duration(1) : kRetry;
+  return deleted || ended.ok() ? Duration(1) : kRetry;
 }
 
 std::string Election::OwnerText(Generation aGeneration,
@@ -159,10 +159,11 @@
   OwnerTerm term(record.mGeneration, **won, sentAt, mCellSettings);
   term.ExtendKey(leaseSentAt, kOwnerTtl);
   Begin(record, term, *lease);
-  return kKeepInterval;
+  return kRenewInterval;
 }
 
-/// The cell record's new revision, or nothing when another one won.
+/// Returns the new revision of the cell record, or nullopt if another scheduler
+/// won.
 absl::StatusOr<std::optional<Revision>> Election::Propose(
   const CellRecord& aRecord,
   const Replaced& aReplaced,
@@ -185,7 +186,7 @@
   return ReadOutcome(aRecord);
 }
 
-/// After a lost reply: the token in the cell's record tells who won.
+/// After a lost reply: the token in the cell record shows who won.
 absl::StatusOr<std::optional<Revision>> Election::ReadOutcome(
   const CellRecord& aRecord)
 {
@@ -232,7 +233,7 @@
     return Duration(1);
   }
   if (!cell.ok()) {
-    return kKeepRetry;
+    return kRenewRetry;
   }
   if (cell->mModRevision != owner->Term().CellRevision()) {
     LogWarning("cell-superseded", { { "generation", mGeneration } });
@@ -241,7 +242,7 @@
   }
   owner->Confirm(sentAt);
   mSeenAt = MonotonicNow();
-  return kKeepInterval;
+  return kRenewInterval;
 }
 
 void Election::RenewLease()
@@ -257,8 +258,8 @@
   }
 }
 
-/// The lease ran out, in an outage say, and nobody has taken the cell yet: the
-/// term goes on under a new lease.
+/// The lease expired, for example in an outage of the store. The term continues
+/// under a new lease unless another scheduler has taken the cell.
 void Election::RestoreOwnerKey()
 {
   const std::shared_ptr<CellOwner> owner = mOwner;
--- a/apps/scheduler/Election.h
+++ b/apps/scheduler/Election.h
@@ -15,17 +15,18 @@
 
 namespace foxtailbarrow::scheduler {
 
-/// Takes part in the choice of the cell's owner, and keeps the ownership while
-/// this process has it.
+/// Takes part in the election of the cell's owner and renews the ownership
+/// while this process has it.
 ///
-/// Who writes the leased owner key on the unchanged cell record owns the cell,
-/// with a generation one higher. The lease only tells when a new owner may be
-/// chosen; safety rests on the cell record, on which every write of the owner
-/// depends, and on the bounded grants of OwnerTerm.
+/// A candidate wins by writing the leased owner key and the cell record, with
+/// the next generation, on condition that both are unchanged. The lease only
+/// determines when a new owner may be elected. Safety depends on the cell
+/// record, which is a condition of every write of the owner, and on the bounded
+/// grants of OwnerTerm.
 class Election
 {
 public:
-  /// Makes and loads the owner of a term that was won.
+  /// Creates the owner for a term that was won.
   using MakeOwner =
     std::function<std::shared_ptr<CellOwner>(const cell::OwnerTerm&)>;
 
@@ -34,28 +35,28 @@
            Store& aStore,
            MakeOwner aMakeOwner);
 
-  /// One step. Returns the pause until the next.
+  /// One step of the election. Returns the pause before the next.
   Duration Round();
   Poke& RoundPoke() { return mPoke; }
 
-  /// Gives the cell up so that another scheduler takes it at once, and takes
-  /// part no more.
+  /// Gives up the cell, so that another scheduler can take it at once, and
+  /// leaves the election.
   void Resign();
-  /// Another owner was seen: the term is over.
+  /// Ends the term because another scheduler owns the cell.
   void Superseded();
 
-  /// The owner in this process, also while it still loads; null without a term.
+  /// The owner in this process, even while it is loading; null without a term.
   std::shared_ptr<CellOwner> Term() const { return mOwner; }
-  /// The owner in this process once it has loaded, or null.
+  /// The owner in this process if it has loaded, or null.
   std::shared_ptr<CellOwner> Owner() const;
-  /// Where the owner was seen last; nullopt when there is none.
+  /// Last known address of the owner; nullopt if there is none.
   std::optional<Endpoint> OwnerAt() const;
   cell::Generation KnownGeneration() const { return mGeneration; }
   Instant OwnerSeenAt() const { return mSeenAt; }
 
 private:
   Duration Follow();
-  /// Revisions that a proposal replaces; 0 = the key is not there.
+  /// Revisions that a proposal replaces; 0 if the key does not exist.
   struct Replaced
   {
     Revision mOwner = 0;
--- a/apps/scheduler/JobRefusals.cpp
+++ b/apps/scheduler/JobRefusals.cpp
@@ -14,7 +14,7 @@
            std::string(aStatus.message()) };
 }
 
-JobRefused FateUnknown(const absl::Status& aStatus)
+JobRefused OutcomeUnknown(const absl::Status& aStatus)
 {
   return { RefusalCause::Unknown,
            Verdict::MayHaveRun,
--- a/apps/scheduler/JobRefusals.h
+++ b/apps/scheduler/JobRefusals.h
@@ -6,10 +6,10 @@
 
 namespace foxtailbarrow::scheduler {
 
-/// Nothing was done and nothing will be: the store could not be asked.
+/// The store could not be reached; the request has no effect, now or later.
 cell::JobRefused StoreUnavailable(const absl::Status& aStatus);
 
-/// A write was sent, and its answer is lost.
-cell::JobRefused FateUnknown(const absl::Status& aStatus);
+/// A write was sent but got no answer; it may still be applied.
+cell::JobRefused OutcomeUnknown(const absl::Status& aStatus);
 
 } // namespace foxtailbarrow::scheduler
--- a/apps/scheduler/JobRequestHandler.cpp
+++ b/apps/scheduler/JobRequestHandler.cpp
@@ -19,15 +19,15 @@
 
 namespace {
 
-/// Kept of the caller's time for the answer's way back.
-constexpr Duration kAnswerTime = std::chrono::milliseconds(150);
-/// Between two looks whether the store has fallen silent during a write.
+/// Part of the caller's timeout that is reserved for sending the answer.
+constexpr Duration kAnswerReserve = std::chrono::milliseconds(150);
+/// Interval of checks whether the store has become silent during a write.
 constexpr Duration kSilencePoll = std::chrono::milliseconds(20);
-/// Of one other scheduler's answer.
+/// For the answer of one other scheduler.
 constexpr Duration kForwardTimeout = std::chrono::milliseconds(1200);
 constexpr Duration kOwnerTimeout = std::chrono::milliseconds(500);
 
-/// A write on its way to the store.
+/// A write that was sent to the store.
 struct PendingWrite
 {
   std::optional<absl::StatusOr<StoreTransactionResult>> mResult;
@@ -57,19 +57,19 @@
 
 JobAnswer JobRequestHandler::Answer(const JobRequest& aRequest)
 {
-  const Instant deadline = MonotonicNow() + aRequest.mTimeout - kAnswerTime;
+  const Instant deadline = MonotonicNow() + aRequest.mTimeout - kAnswerReserve;
   JobAnswer answer = AnswerHere(aRequest);
   if (!ShouldForward(answer)) {
     return answer;
   }
-  // A read always asks the others: an owner that was replaced would tell what
-  // it last knew.
+  // A read always asks the others: an owner that was replaced would answer
+  // with stale state.
   return !ChangesJob(aRequest) || mOutage.MayForward(MonotonicNow())
            ? Forward(aRequest, std::move(answer), deadline)
            : answer;
 }
 
-/// Asks one scheduler after the other until one does more than refuse.
+/// Asks the other schedulers in turn until one does not refuse.
 JobAnswer JobRequestHandler::Forward(const JobRequest& aRequest,
                                      JobAnswer aRefusal,
                                      Instant aDeadline)
@@ -94,7 +94,7 @@
     if (!reply.ok()) {
       OnUnanswered(peer, askedAt, reply.status());
       if (changes && VerdictOf(reply.status()) != Verdict::NotRun) {
-        return FateUnknown(reply.status());
+        return OutcomeUnknown(reply.status());
       }
       continue;
     }
@@ -126,7 +126,7 @@
 
 JobAnswer JobRequestHandler::AnswerHere(const JobRequest& aRequest)
 {
-  const Instant deadline = MonotonicNow() + aRequest.mTimeout - kAnswerTime;
+  const Instant deadline = MonotonicNow() + aRequest.mTimeout - kAnswerReserve;
   return std::visit([&](const auto& aBody) { return Handle(aBody, deadline); },
                     aRequest.mBody);
 }
@@ -155,7 +155,7 @@
   const absl::Status silent =
     absl::UnavailableError("the store does not answer");
   JobRefused refusal = mOutage.InDoubt(aJob, MonotonicNow())
-                         ? FateUnknown(silent)
+                         ? OutcomeUnknown(silent)
                          : StoreUnavailable(silent);
   refusal.mRetryAfter = RetryAfter();
   return refusal;
@@ -179,9 +179,9 @@
   while (!write->mResult) {
     write->mDone.Wait(kSilencePoll);
     if (!write->mResult && !mStore.Answers()) {
-      return WithVerdict(
-        absl::DeadlineExceededError("the store fell silent during a write"),
-        Verdict::MayHaveRun);
+      return WithVerdict(absl::DeadlineExceededError(
+                           "the store stopped answering during a write"),
+                         Verdict::MayHaveRun);
     }
   }
   return *std::move(write->mResult);
@@ -192,7 +192,7 @@
   if (aSubmit.mGraph.mId.Empty() || aSubmit.mGraph.mSteps.empty()) {
     return JobRefused{ RefusalCause::BadRequest,
                        Verdict::NotRun,
-                       "a job without steps" };
+                       "the job has no ID or no steps" };
   }
   const JobId& id = aSubmit.mGraph.mId;
   if (auto refusal = RefuseWhileSilent(id)) {
@@ -203,17 +203,17 @@
   StoreTransaction transaction;
   transaction.mCompares.push_back({ key, 0 });
   transaction.mWrites.push_back({ key, ToJsonText(job) });
-  WriteRetries tries(aDeadline);
+  WriteRetries retries(aDeadline);
   for (;;) {
     const auto result = Commit(transaction, [this, job] { NotifyOwner(job); });
     if (result.ok()) {
-      // A record that is there already is the same job, asked for again.
+      // If the record already exists, it is the same job, submitted again.
       mOutage.OnSettled(id);
       return JobAccepted{};
     }
-    if (!mStore.Answers() || !tries.WaitToRetry(result.status())) {
-      tries.OnFailure(result.status());
-      return RefusalOf(id, tries.Refusal());
+    if (!mStore.Answers() || !retries.WaitToRetry(result.status())) {
+      retries.OnFailure(result.status());
+      return RefusalOf(id, retries.Refusal());
     }
   }
 }
@@ -224,7 +224,7 @@
     return *std::move(refusal);
   }
   const std::string key = JobKey(aCancel.mJob);
-  WriteRetries tries(aDeadline);
+  WriteRetries retries(aDeadline);
   for (;;) {
     const auto entry = mStore.Read(key);
     if (absl::IsNotFound(entry.status())) {
@@ -234,7 +234,7 @@
     if (entry.ok()) {
       auto job = FromJsonText<StoredJob>(entry->mValue);
       if (!job.ok()) {
-        return FateUnknown(job.status());
+        return OutcomeUnknown(job.status());
       }
       if (job->mCancelled) {
         return JobCancelled{};
@@ -249,15 +249,15 @@
         return JobCancelled{};
       }
       if (result.ok()) {
-        continue; // Changed meanwhile: read it again.
+        continue; // Changed since the read.
       }
       failed = result.status();
     } else {
       failed = WithVerdict(failed, Verdict::NotRun); // A read changes nothing.
     }
-    if (!mStore.Answers() || !tries.WaitToRetry(failed)) {
-      tries.OnFailure(failed);
-      return RefusalOf(aCancel.mJob, tries.Refusal());
+    if (!mStore.Answers() || !retries.WaitToRetry(failed)) {
+      retries.OnFailure(failed);
+      return RefusalOf(aCancel.mJob, retries.Refusal());
     }
   }
 }
@@ -267,7 +267,7 @@
   if (const auto phase = AskOwner(aRead.mJob)) {
     return JobShown{ *phase };
   }
-  // Where the store is silent, another scheduler is asked at once.
+  // While the store is silent, the request is forwarded at once.
   return mStore.Answers() ? ReadFromStore(aRead.mJob)
                           : StoreUnavailable(absl::UnavailableError(
                               "the store does not answer"));
@@ -305,7 +305,7 @@
   return reply->mPhase;
 }
 
-/// Without the owner's word: the newest record.
+/// Without an answer of the owner: the saved phase.
 JobAnswer JobRequestHandler::ReadFromStore(const JobId& aJob)
 {
   const auto entry = mStore.Read(JobKey(aJob));
--- a/apps/scheduler/JobRequestHandler.h
+++ b/apps/scheduler/JobRequestHandler.h
@@ -18,9 +18,9 @@
 
 namespace foxtailbarrow::scheduler {
 
-/// Answers callers' requests about jobs. An accepted job and an accepted
-/// cancellation are in the store before the answer; a refusal that says "not
-/// run" is given only when no write of the request may still take effect.
+/// Answers callers' requests about jobs. Accepted jobs and cancellations are in
+/// the store before the answer. A refusal says "not run" only if no write of
+/// the request can still take effect.
 class JobRequestHandler
 {
 public:
@@ -30,10 +30,10 @@
                     const Election& aElection,
                     std::vector<Endpoint> aPeers);
 
-  /// Answers here or, where the store does not serve this process, by another
-  /// scheduler.
+  /// Answers a caller's request, or forwards it to another scheduler if the
+  /// store does not serve this one.
   cell::JobAnswer Answer(const cell::JobRequest& aRequest);
-  /// Answers a request that another scheduler forwarded.
+  /// Answers a request without forwarding it.
   cell::JobAnswer AnswerHere(const cell::JobRequest& aRequest);
 
 private:
@@ -50,19 +50,19 @@
                           cell::JobAnswer aRefusal,
                           Instant aDeadline);
 
-  /// The refusal of a change while the store is silent, where a write would
-  /// leave it in doubt; nothing while the store answers.
+  /// Refuses a change while the store is silent, since the outcome of a write
+  /// would be unknown. Returns nullopt while the store answers.
   std::optional<cell::JobRefused> RefuseWhileSilent(const JobId& aJob);
-  /// Sends a write and waits for its answer, but not longer than the store is
-  /// silent: then the fate of the write is unknown and the caller is told so
-  /// at once. `aOnApplied` is called when it was applied, also later than that.
+  /// Sends a write and waits for its answer. Returns at once with an unknown
+  /// outcome when the store becomes silent. `aOnApplied` is called when the
+  /// write is applied, even after the return.
   absl::StatusOr<StoreTransactionResult> Commit(
     StoreTransaction aTransaction,
     std::function<void()> aOnApplied);
   cell::JobRefused RefusalOf(const JobId& aJob, cell::JobRefused aRefusal);
   Duration RetryAfter();
-  /// For a read that nobody could answer: what this process knows as the owner
-  /// of the cell, where all others answered and none knows of a later owner.
+  /// Answers a read that no scheduler could answer from this owner's own state,
+  /// provided that all others have answered and none knows of a later owner.
   cell::JobAnswer AnswerFromMemory(const cell::JobRequest& aRequest,
                                    cell::JobAnswer aRefusal,
                                    const cell::OwnerSurvey& aOthers);
--- a/apps/scheduler/Main.cpp
+++ b/apps/scheduler/Main.cpp
@@ -28,6 +28,6 @@
   scheduler.Drain();
   LogChange("drained");
   FlushLog();
-  // What waits for an answer of another process is not worth waiting for.
+  // Skips destructors: they would wait for pending calls to other processes.
   std::_Exit(0);
 }
--- a/apps/scheduler/RequestText.h
+++ b/apps/scheduler/RequestText.h
@@ -5,7 +5,7 @@
 
 #include "src/core/cell/JobRequest.h"
 
-/// Words for callers' requests and their answers in log lines.
+/// Texts for callers' requests and their answers in log lines.
 namespace foxtailbarrow::scheduler {
 
 std::string_view KindOf(const cell::JobRequest& aRequest);
--- a/apps/scheduler/Scheduler.cpp
+++ b/apps/scheduler/Scheduler.cpp
@@ -23,21 +23,24 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kUnavailable = 503;
 constexpr Duration kDrainPoll = std::chrono::milliseconds(10);
-/// Between two answers of the store; a small read brings one where nothing else
-/// did. On a calm scheduler its two watches bring two a second.
+/// Longest time without an answer of the store; then a small read is sent. The
+/// two watches of an idle scheduler yield two answers a second.
 constexpr Duration kProbeInterval = std::chrono::milliseconds(300);
 constexpr Duration kProbeCheck = std::chrono::milliseconds(100);
-/// A fiber that has nothing to do until it is poked.
+/// Pause of a fiber that waits for its poke.
 constexpr Duration kUntilPoked = std::chrono::hours(1);
-/// An owner without policies would judge jobs by none: until they are read,
-/// this scheduler takes no part in the election.
-constexpr Duration kAwaitConfiguration = std::chrono::milliseconds(20);
-/// Leases are granted for so much less than workers accept.
+/// Interval of checks for the first configuration. Until it is read, this
+/// scheduler takes no part in the election: an owner would have no policies for
+/// its jobs.
+constexpr Duration kConfigurationPoll = std::chrono::milliseconds(20);
+/// Granted leases are shorter than the longest accepted one by this much.
 constexpr Duration kLeaseReserve = std::chrono::milliseconds(400);
 
-const JobRefused kNoAdvisor{ RefusalCause::Unsupported,
-                             Verdict::NotRun,
-                             "no service chooses the queue's workers" };
+const JobRefused kNoAdvisor{
+  RefusalCause::Unsupported,
+  Verdict::NotRun,
+  "the queue needs an advice service, and none is configured"
+};
 
 net::HttpResponse Plain(unsigned aStatus, std::string aText)
 {
@@ -91,8 +94,8 @@
   , mConfiguration(mStore,
                    [this](const CellConfiguration& aConfiguration) {
                      AddQueueMetrics(aConfiguration);
-                     // One that still loads must not miss it: without policies
-                     // nothing would start until the next change.
+                     // Includes an owner that is still loading: without the
+                     // policies it would start nothing until the next change.
                      if (const auto owner = mElection.Term()) {
                        owner->SetQueues(QueuesOf(&aConfiguration));
                      }
@@ -103,8 +106,9 @@
               [this](const OwnerTerm& aTerm) { return MakeOwner(aTerm); })
   , mJobs(aRuntime, mStore, mRpc, mElection, PeersOf(mSettings))
   , mAdmin(mMetrics, mState, [this] { return Readiness(); })
-  , mAnswerTime(mMetrics.Histogram("answer_seconds",
-                                   "From a caller's request to its answer."))
+  , mAnswerTime(
+      mMetrics.Histogram("answer_seconds",
+                         "Time from a caller's request to its answer."))
   , mFibers(aRuntime)
 {
 }
@@ -192,7 +196,7 @@
   }
   mFibers.Repeat(mConfigurationPoke, [this] { return mConfiguration.Round(); });
   mFibers.Repeat(mElection.RoundPoke(), [this] {
-    return mConfiguration.Newest() ? mElection.Round() : kAwaitConfiguration;
+    return mConfiguration.Newest() ? mElection.Round() : kConfigurationPoll;
   });
   mFibers.Repeat(mResumePoke, [this] {
     const Duration pause = mConfiguration.Confirm();
@@ -217,8 +221,8 @@
   return JobRefused{ cause, Verdict::NotRun, std::string(aStatus.message()) };
 }
 
-/// True for a job of a queue whose workers a service chooses that this
-/// deployment does not have.
+/// True for a job of a queue that needs the advice service in a deployment
+/// without one.
 bool Scheduler::RequiresMissingAdvisor(
   const JobRequest& aRequest,
   const CellConfiguration& aConfiguration) const
@@ -237,9 +241,10 @@
   const Instant begin = MonotonicNow();
   OnResume();
   const auto configuration = mConfiguration.Current();
-  JobAnswer answer = JobRefused{ RefusalCause::NotReady,
-                                 Verdict::NotRun,
-                                 "no configuration is known to be in force" };
+  JobAnswer answer =
+    JobRefused{ RefusalCause::NotReady,
+                Verdict::NotRun,
+                "the configuration is not known or may be outdated" };
   std::string_view kind = "unparsed";
   if (configuration) {
     const auto request = platform::ParseJobRequest(aRequest, *configuration);
@@ -262,7 +267,7 @@
   return platform::FormatAnswer(answer);
 }
 
-/// What is bound to a lease ends by the clock; the configuration does not.
+/// Leases expire by the clock, but the configuration must be read again.
 void Scheduler::OnResume()
 {
   const auto suspended =
@@ -292,7 +297,7 @@
 void Scheduler::LogStoreHealth(const absl::Status& aStatus)
 {
   const bool answers = mStore.Answers();
-  if (answers != std::exchange(mStoreAnswered, answers)) {
+  if (answers != std::exchange(mLoggedStoreAnswers, answers)) {
     LogChange(answers ? "store-answers" : "store-silent",
               { { "status", aStatus.ToString() } });
   }
@@ -301,7 +306,7 @@
 net::HttpResponse Scheduler::ServeReady(const net::HttpRequest&)
 {
   const absl::Status ready = Readiness();
-  if (ready.ok() != std::exchange(mWasReady, ready.ok())) {
+  if (ready.ok() != std::exchange(mLoggedReady, ready.ok())) {
     LogChange("readiness",
               { { "ready", ready.ok() ? 1 : 0 },
                 { "reason", std::string(ready.message()) } });
--- a/apps/scheduler/Scheduler.h
+++ b/apps/scheduler/Scheduler.h
@@ -21,8 +21,8 @@
 
 namespace foxtailbarrow::scheduler {
 
-/// The process on a VM behind the balancer: answers callers, and owns the cell
-/// when it is its turn.
+/// The scheduler process on a VM behind the load balancer: answers callers and
+/// takes part in the election of the cell's owner.
 class Scheduler
 {
 public:
@@ -30,8 +30,8 @@
   ~Scheduler();
 
   absl::Status Start();
-  /// Gives the cell up, answers what has come in, and returns within the
-  /// drain timeout. Not to be called by a thread of the runtime.
+  /// Resigns as the owner, answers the requests already received, and returns
+  /// within the drain timeout. Must not be called on a thread of the runtime.
   void Drain();
 
 private:
@@ -76,8 +76,8 @@
   AdminPages mAdmin;
   prometheus::Histogram& mAnswerTime;
   bool mDraining = false;
-  bool mWasReady = false;
-  bool mStoreAnswered = true;
+  bool mLoggedReady = false;
+  bool mLoggedStoreAnswers = true;
   Poke mConfigurationPoke;
   Poke mProbePoke;
   Poke mResumePoke;
--- a/apps/scheduler/SchedulerPages.cpp
+++ b/apps/scheduler/SchedulerPages.cpp
@@ -77,7 +77,7 @@
     });
 }
 
-/// The figures of the `owner-load` line, for graphs and alerts.
+/// Metrics with the values of the `owner-load` log line.
 void Scheduler::AddLoadMetrics()
 {
   const auto load = [this] {
@@ -105,31 +105,29 @@
       { { "kind", std::string(ToString(wait)) } });
   }
   mMetrics.SampledGauge(
-    "owner_rounds_put_off", "Rounds of placing that had to wait.", [load] {
+    "owner_rounds_put_off", "Placement rounds that were deferred.", [load] {
       return static_cast<double>(load().mRoundsDeferred);
     });
 }
 
-/// Crashes of workers.
+/// Metrics of worker crashes.
 void Scheduler::AddCrashMetrics()
 {
-  mMetrics.SampledGauge("owner_workers_crashed",
-                        "Crashes of workers heard of in this term.",
-                        [this] {
-                          const auto owner = mElection.Owner();
-                          return owner ? static_cast<double>(
-                                           owner->Logic().Crashes().mWorkers)
-                                       : 0.0;
-                        });
   mMetrics.SampledGauge(
-    "owner_trials", "Suspects that have just been started.", [this] {
+    "owner_workers_crashed", "Worker crashes reported in this term.", [this] {
+      const auto owner = mElection.Owner();
+      return owner ? static_cast<double>(owner->Logic().Crashes().mWorkers)
+                   : 0.0;
+    });
+  mMetrics.SampledGauge(
+    "owner_trials", "Suspect tasks that were started recently.", [this] {
       const auto owner = mElection.Owner();
       return owner ? static_cast<double>(owner->Logic().Trials()) : 0.0;
     });
 }
 
-/// What crashes were held against the tasks of each queue, of those that are
-/// new in the configuration.
+/// Adds the metrics of worker crashes attributed to tasks, for each queue that
+/// is new in the configuration.
 void Scheduler::AddQueueMetrics(const CellConfiguration& aConfiguration)
 {
   for (const QueueRoute& route : aConfiguration.mRoutes) {
@@ -137,30 +135,30 @@
     if (!mMeasuredQueues.insert(queue).second) {
       continue;
     }
-    const auto figure = [this,
-                         &queue](const char* aName,
-                                 const char* aHelp,
-                                 std::uint64_t QueueCrashCounters::*aFigure) {
-      mMetrics.SampledGauge(
-        aName,
-        aHelp,
-        [this, queue, aFigure] {
-          const auto owner = mElection.Owner();
-          return owner ? static_cast<double>(
-                           owner->Logic().Crashes().Of(queue).*aFigure)
-                       : 0.0;
-        },
-        { { "queue", queue.Value() } });
-    };
-    figure("owner_tasks_suspected",
-           "Times that a crash counted against a task.",
-           &QueueCrashCounters::mSuspected);
-    figure("owner_tasks_cleared",
-           "Tasks that a run has cleared again.",
-           &QueueCrashCounters::mCleared);
-    figure("owner_tasks_given_up",
-           "Jobs failed for a task under which workers crashed.",
-           &QueueCrashCounters::mGivenUp);
+    const auto addCounter =
+      [this, &queue](const char* aName,
+                     const char* aHelp,
+                     std::uint64_t QueueCrashCounters::*aCounter) {
+        mMetrics.SampledGauge(
+          aName,
+          aHelp,
+          [this, queue, aCounter] {
+            const auto owner = mElection.Owner();
+            return owner ? static_cast<double>(
+                             owner->Logic().Crashes().Of(queue).*aCounter)
+                         : 0.0;
+          },
+          { { "queue", queue.Value() } });
+      };
+    addCounter("owner_tasks_suspected",
+               "Times that a crash was counted against a task.",
+               &QueueCrashCounters::mSuspected);
+    addCounter("owner_tasks_cleared",
+               "Suspect tasks that were cleared by a run.",
+               &QueueCrashCounters::mCleared);
+    addCounter("owner_tasks_given_up",
+               "Jobs failed because of a task that crashed workers.",
+               &QueueCrashCounters::mGivenUp);
   }
 }
 
@@ -168,38 +166,41 @@
 {
   AddProcessMetrics(mMetrics);
   AddLoadMetrics();
-  mMetrics.SampledGauge("cell_owner", "1 while this process owns it.", [this] {
-    return mElection.Owner() ? 1.0 : 0.0;
-  });
+  mMetrics.SampledGauge("cell_owner",
+                        "1 while this process owns the cell.",
+                        [this] { return mElection.Owner() ? 1.0 : 0.0; });
   mMetrics.SampledGauge(
     "cell_generation", "Newest known generation of the cell.", [this] {
       return static_cast<double>(mElection.KnownGeneration());
     });
-  const auto figure = [this](const char* aName,
-                             const char* aHelp,
-                             std::uint64_t OwnerFigures::*aFigure) {
-    mMetrics.SampledGauge(aName, aHelp, [this, aFigure] {
+  const auto addCounter = [this](const char* aName,
+                                 const char* aHelp,
+                                 std::uint64_t OwnerCounters::*aCounter) {
+    mMetrics.SampledGauge(aName, aHelp, [this, aCounter] {
       const auto owner = mElection.Owner();
-      return owner ? static_cast<double>(owner->Figures().*aFigure) : 0.0;
+      return owner ? static_cast<double>(owner->Counters().*aCounter) : 0.0;
     });
   };
-  figure(
-    "owner_reports", "Reports taken in this term.", &OwnerFigures::mReports);
-  figure("owner_orders", "Orders sent in this term.", &OwnerFigures::mOrders);
-  figure("owner_starts", "Tasks started in this term.", &OwnerFigures::mStarts);
-  figure(
-    "owner_records", "Progress writes in this term.", &OwnerFigures::mRecords);
-  figure("owner_entries_unreadable",
-         "Entries of the store that were passed over in this term.",
-         &OwnerFigures::mUnreadable);
+  addCounter("owner_reports",
+             "Reports received in this term.",
+             &OwnerCounters::mReports);
+  addCounter(
+    "owner_orders", "Orders sent in this term.", &OwnerCounters::mOrders);
+  addCounter(
+    "owner_starts", "Tasks started in this term.", &OwnerCounters::mStarts);
+  addCounter(
+    "owner_records", "Progress writes in this term.", &OwnerCounters::mSaves);
+  addCounter("owner_entries_unreadable",
+             "Unreadable store entries skipped in this term.",
+             &OwnerCounters::mUnreadable);
   AddCrashMetrics();
-  mMetrics.SampledGauge("jobs_known", "Jobs that the owner knows.", [this] {
+  mMetrics.SampledGauge("jobs_known", "Jobs known to the owner.", [this] {
     const auto owner = mElection.Owner();
     return owner ? static_cast<double>(owner->Logic().Jobs().size()) : 0.0;
   });
-  mMetrics.SampledGauge("log_lines_dropped", "Lines above the bounds.", [] {
-    return static_cast<double>(DroppedLogLines());
-  });
+  mMetrics.SampledGauge("log_lines_dropped",
+                        "Log lines dropped by the rate and buffer limits.",
+                        [] { return static_cast<double>(DroppedLogLines()); });
   mState.Add("cell", [this] {
     FindOwnerReply view;
     view.mGeneration = mElection.KnownGeneration();
--- a/apps/scheduler/SchedulerSettings.cpp
+++ b/apps/scheduler/SchedulerSettings.cpp
@@ -13,27 +13,29 @@
 {
   aSettings.AddListen("--listen", aValues.mListen, "Address for callers")
     .Required();
-  aSettings.AddListen("--ready", aValues.mReady, "Address of the ready check")
+  aSettings
+    .AddListen("--ready", aValues.mReady, "Address of the readiness check")
     .Required();
   aSettings
     .AddListen(
       "--peers", aValues.mPeers, "Address for agents and other schedulers")
     .Required();
-  aSettings.AddEndpoint("--advertise",
-                        aValues.mAdvertised,
-                        "Where others reach --peers; by default the same");
+  aSettings.AddEndpoint(
+    "--advertise",
+    aValues.mAdvertised,
+    "Address at which others reach --peers; defaults to --peers");
   aSettings.AddListen(
-    "--control", aValues.mControl, "Further address for agents");
+    "--control", aValues.mControl, "Additional address for agents");
   aSettings.AddListen(
     "--metrics", aValues.mMetrics, "Address for metrics and state");
   aSettings.AddEndpoint("--store", aValues.mStore, "The platform's store")
     .Required();
   aSettings.AddEndpoint("--advice",
                         aValues.mAdvice,
-                        "The service that chooses the workers of some queues");
+                        "Service that chooses the workers of some queues");
   aSettings.AddEndpoints("--seeds",
                          aValues.mSeeds,
-                         "Schedulers to ask where the store is out of reach");
+                         "Schedulers to ask while the store is unreachable");
 }
 
 void AddTimes(Settings& aSettings, SchedulerSettings& aValues)
@@ -45,11 +47,11 @@
   aSettings.AddMilliseconds("--keep-ended-ms",
                             aValues.mKeepEnded,
                             { milliseconds(0), hours(24 * 30) },
-                            "Time for which ended jobs can be read");
+                            "How long ended jobs can still be read");
   aSettings.AddMilliseconds("--drain-timeout-ms",
                             aValues.mDrainTimeout,
                             { milliseconds(0), hours(1) },
-                            "Longest time from SIGTERM to the end");
+                            "Longest time from SIGTERM to exit");
 }
 
 } // namespace
@@ -58,16 +60,17 @@
                                           const char* const* argv,
                                           SchedulerSettings& aSettings)
 {
-  Settings settings("foxtailbarrow-scheduler",
-                    "Takes jobs and decides what runs where in one cell");
-  settings.AddId("--id", aSettings.mId, "Name of this scheduler, unique")
+  Settings settings(
+    "foxtailbarrow-scheduler",
+    "Accepts jobs and schedules them onto the workers of a cell");
+  settings.AddId("--id", aSettings.mId, "Unique name of this scheduler")
     .Required();
   AddAddresses(settings, aSettings);
   AddTimes(settings, aSettings);
   settings.AddFraction("--processor-share",
                        aSettings.mProcessorShare,
                        { 0.0, 1024.0 },
-                       "Processor time that it may use, in cores");
+                       "Processor time available to it, in cores");
   settings.AddLogLevel(aSettings.mLogLevel);
   const auto exitCode = settings.Parse(argc, argv);
   if (aSettings.mAdvertised.mPort == 0) {
--- a/apps/scheduler/SchedulerSettings.h
+++ b/apps/scheduler/SchedulerSettings.h
@@ -10,31 +10,32 @@
 
 namespace foxtailbarrow::scheduler {
 
-/// Settings of a scheduler.
+/// Command-line settings of a scheduler.
 struct SchedulerSettings
 {
   EntryId mId;
   Endpoint mListen;     ///< For callers.
-  Endpoint mReady;      ///< Tells the balancer whether callers may come.
+  Endpoint mReady;      ///< Readiness check of the load balancer.
   Endpoint mPeers;      ///< For agents and other schedulers.
-  Endpoint mAdvertised; ///< Where others reach mPeers; by default mPeers.
-  Endpoint mControl;    ///< As mPeers, where the platform's seed lists point.
+  Endpoint mAdvertised; ///< Public address of mPeers; defaults to mPeers.
+  Endpoint mControl;    ///< Same as mPeers, at the address in seed lists.
   Endpoint mMetrics;
   Endpoint mStore;
-  Endpoint mAdvice; ///< The service that chooses the workers of some queues.
-  std::vector<Endpoint> mSeeds; ///< Schedulers, this one perhaps among them.
-  /// Of one core, that this process may use; the weak let others own the cell.
+  Endpoint mAdvice; ///< Service that chooses the workers of some queues.
+  std::vector<Endpoint> mSeeds; ///< Schedulers, possibly including this one.
+  /// Processor time of this process in cores. Schedulers with a small share
+  /// let others take the cell first.
   double mProcessorShare = 1.0;
-  /// The platform ends all leases of a worker by then.
+  /// Longest lease that a worker of this platform accepts.
   Duration mMaxWorkerLease = std::chrono::milliseconds(6000);
-  /// Time for which ended jobs can be read.
+  /// How long ended jobs can still be read.
   Duration mKeepEnded = std::chrono::seconds(120);
-  /// After SIGTERM; shorter than the platform's time until SIGKILL.
+  /// Counted from SIGTERM; shorter than the platform's delay until SIGKILL.
   Duration mDrainTimeout = std::chrono::milliseconds(4500);
   LogLevel mLogLevel = LogLevel::Info;
 };
 
-/// Exit code when the program is to end now.
+/// Returns an exit code if the program must exit now.
 std::optional<int> ParseSchedulerSettings(int argc,
                                           const char* const* argv,
                                           SchedulerSettings& aSettings);
--- a/apps/scheduler/WriteRetries.cpp
+++ b/apps/scheduler/WriteRetries.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr Duration kRetryPause = std::chrono::milliseconds(40);
-/// A call that the store does not answer takes so long: another try that would
-/// end after the caller's time only delays the answer.
-constexpr Duration kSilentCall = std::chrono::milliseconds(1000);
-/// Refusals of the store after which the caller is told to come back: an
-/// outage lasts longer than the caller waits.
+/// Duration of a call that the store does not answer. A retry that would end
+/// after the caller's deadline would only delay the answer.
+constexpr Duration kUnansweredCallTime = std::chrono::milliseconds(1000);
+/// Refusals by the store after which the caller is told to retry later: an
+/// outage outlasts the caller's deadline.
 constexpr int kMaxRefusals = 2;
 
 } // namespace
@@ -31,7 +31,8 @@
 {
   OnFailure(aStatus);
   mRefusals += VerdictOf(aStatus) == Verdict::NotRun ? 1 : 0;
-  const Duration next = mMayHaveRun ? kRetryPause + kSilentCall : kRetryPause;
+  const Duration next =
+    mMayHaveRun ? kRetryPause + kUnansweredCallTime : kRetryPause;
   if (MonotonicNow() + next >= mDeadline ||
       (!mMayHaveRun && mRefusals >= kMaxRefusals)) {
     return false;
@@ -42,7 +43,7 @@
 
 cell::JobRefused WriteRetries::Refusal() const
 {
-  return mMayHaveRun ? FateUnknown(mLast) : StoreUnavailable(mLast);
+  return mMayHaveRun ? OutcomeUnknown(mLast) : StoreUnavailable(mLast);
 }
 
 } // namespace foxtailbarrow::scheduler
--- a/apps/scheduler/WriteRetries.h
+++ b/apps/scheduler/WriteRetries.h
@@ -7,8 +7,8 @@
 
 namespace foxtailbarrow::scheduler {
 
-/// Tries a write of a request again until its fate is known, the store refuses
-/// it for too long, or the caller's time is up.
+/// Retries a request's write until its outcome is known, the store keeps
+/// refusing it, or the caller's deadline is near.
 class WriteRetries
 {
 public:
@@ -17,12 +17,14 @@
   {
   }
 
+  /// Records a failed attempt without waiting.
   void OnFailure(const absl::Status& aStatus);
 
-  /// Notes a failed try. True when there is time for another, after a pause
-  /// that suspends the fiber.
+  /// Records a failed attempt. If there is time for another, suspends the fiber
+  /// for a pause and returns true.
   bool WaitToRetry(const absl::Status& aStatus);
 
+  /// Refusal for the caller after the last attempt.
   cell::JobRefused Refusal() const;
 
 private:
--- a/tests/scheduler/BusyOwnerTest.cpp
+++ b/tests/scheduler/BusyOwnerTest.cpp
@@ -19,7 +19,7 @@
 
 constexpr int kAgents = 300;
 constexpr Duration kReportInterval = milliseconds(450);
-/// Until the owner has attached all agents.
+/// Timeout for the owner to attach all agents.
 constexpr Duration kPatience = seconds(30);
 
 std::string Configuration(int aVersion, const std::string& aPrefix)
@@ -30,24 +30,24 @@
          R"("Attempts":3,"Stretch":1.5}]})";
 }
 
-/// The process that owns a cell of 300 agents, each reporting 22 tasks, with a
-/// store of the platform behind a link.
+/// The owner of a cell with 300 agents that report 22 tasks each. It reaches
+/// the platform's store through a proxy.
 class BusyOwnerTest : public testing::Test
 {
 protected:
   void SetUp() override
   {
-    auto store = standin::KvService::Start(mWorld, { "127.0.0.1", 0 }, 1);
+    auto store = standin::KvService::Start(mTestRuntime, { "127.0.0.1", 0 }, 1);
     ASSERT_TRUE(store.ok());
     mStore = *std::move(store);
-    const Endpoint link = net::FreeEndpoint(mWorld);
+    const Endpoint link = net::FreeEndpoint(mTestRuntime);
     auto proxy = soak::LinkProxy::Start(link, mStore->ListeningEndpoint());
     ASSERT_TRUE(proxy.ok());
     mLink = *std::move(proxy);
     Configure(1, "/first/");
     mSettings.mId = EntryId("scheduler");
-    mSettings.mListen = net::FreeEndpoint(mWorld);
-    mSettings.mPeers = net::FreeEndpoint(mWorld);
+    mSettings.mListen = net::FreeEndpoint(mTestRuntime);
+    mSettings.mPeers = net::FreeEndpoint(mTestRuntime);
     mSettings.mAdvertised = mSettings.mPeers;
     mSettings.mStore = link;
     mSettings.mDrainTimeout = milliseconds(100);
@@ -60,12 +60,12 @@
   void TearDown() override
   {
     mStopping = true;
-    mWorld.RunAndWait([this] {
+    mTestRuntime.RunAndWait([this] {
       while (mReporting > 0) {
         boost::this_fiber::sleep_for(milliseconds(1));
       }
     });
-    // Ends the term; the loss of the store ends its watches.
+    // Draining ends the term, and closing the store ends the watches.
     mScheduler->Drain();
     mLink.reset();
     mStore.reset();
@@ -76,13 +76,14 @@
   void StartAgents()
   {
     for (int i = 0; i < kAgents; ++i) {
-      mAgents.push_back(
-        std::make_unique<ReportingAgent>(mWorld, mRpc, i, mSettings.mPeers));
+      mAgents.push_back(std::make_unique<ReportingAgent>(
+        mTestRuntime, mRpc, i, mSettings.mPeers));
     }
     mReporting = kAgents;
     for (int i = 0; i < kAgents; ++i) {
-      mWorld.Spawn([this, i] {
-        // Spread over the interval, as agents that started apart are.
+      mTestRuntime.Spawn([this, i] {
+        // Spreads the reports over the interval, as for agents that started at
+        // different times.
         boost::this_fiber::sleep_for(kReportInterval * i / kAgents);
         while (!mStopping) {
           mAgents[i]->Report();
@@ -93,7 +94,7 @@
     }
   }
 
-  /// True when every agent has had several reports taken.
+  /// True when several reports of every agent have been accepted.
   bool AllReport()
   {
     constexpr std::uint64_t kSeveral = 4;
@@ -106,7 +107,7 @@
   bool Await(Condition aCondition, Duration aLongest)
   {
     bool met = false;
-    mWorld.RunAndWait([&] {
+    mTestRuntime.RunAndWait([&] {
       const Instant end = MonotonicNow() + aLongest;
       while (!(met = aCondition()) && MonotonicNow() < end) {
         boost::this_fiber::sleep_for(milliseconds(10));
@@ -117,11 +118,11 @@
 
   void Configure(int aVersion, const std::string& aPrefix)
   {
-    mWorld.RunAndWait(
+    mTestRuntime.RunAndWait(
       [&] { mStore->Put("op/config", Configuration(aVersion, aPrefix)); });
   }
 
-  /// True when the scheduler answers by a configuration with this route.
+  /// True when the scheduler uses a configuration with this route.
   bool Serves(const std::string& aPrefix)
   {
     net::HttpRequest request;
@@ -131,9 +132,9 @@
     return response.ok() && response->mStatus == 200;
   }
 
-  net::FiberRuntime mWorld{ 1 }; ///< Of the store and the agents.
+  net::FiberRuntime mTestRuntime{ 1 }; ///< Runs the store and the agents.
   net::FiberRuntime mRuntime{ 1 };
-  net::HttpClient mClient{ mWorld };
+  net::HttpClient mClient{ mTestRuntime };
   net::RpcClient mRpc{ mClient };
   std::unique_ptr<standin::KvService> mStore;
   std::unique_ptr<soak::LinkProxy> mLink;
@@ -144,8 +145,8 @@
   std::atomic<bool> mStopping = false;
 };
 
-/// An owner that had fallen behind answered by the configuration before for
-/// five seconds after a change.
+/// An overloaded owner used the previous configuration for five seconds after a
+/// change.
 TEST_F(BusyOwnerTest, AChangeOfTheConfigurationIsInForceWithinASecond)
 {
   ASSERT_TRUE(Await([this] { return AllReport(); }, kPatience));
@@ -154,8 +155,8 @@
   EXPECT_TRUE(Await([this] { return Serves("/second/"); }, seconds(1)));
 }
 
-/// No reset tells that the connection of the watch is dead. The platform gives
-/// a change two seconds on the smallest deployments.
+/// The connection of the watch dies without a reset. The platform requires a
+/// change to be in force after two seconds on the smallest deployments.
 TEST_F(BusyOwnerTest, AWatchThatGoesSilentDelaysAChangeByTwoSecondsAtMost)
 {
   ASSERT_TRUE(Await([this] { return AllReport(); }, kPatience));
--- a/tests/scheduler/ConfigurationWatchTest.cpp
+++ b/tests/scheduler/ConfigurationWatchTest.cpp
@@ -21,9 +21,10 @@
          R"("Attempts":3,"Stretch":1.5}]})";
 }
 
-/// A scheduler whose machine was suspended answered by the configuration from
-/// before until its watch, whose connection was dead, had timed out.
-TEST(ConfigurationWatchTest, AfterAResumeNothingIsCurrentBeforeTheStoreSaysSo)
+/// After a suspension of the machine, a scheduler used the old configuration
+/// until the dead connection of its watch had timed out.
+TEST(ConfigurationWatchTest,
+     AfterAResumeNothingIsCurrentUntilTheStoreConfirmsIt)
 {
   net::FiberRuntime runtime(1);
   MemoryStore memory;
@@ -44,7 +45,7 @@
     store.mSilent = true;
     watch.MarkStale();
     EXPECT_EQ(watch.Current(), nullptr);
-    EXPECT_NE(watch.Newest(), nullptr); // Policies of jobs that are known.
+    EXPECT_NE(watch.Newest(), nullptr); // Still has the policies of known jobs.
     runtime.Spawn([&] { watch.Confirm(); });
     boost::this_fiber::sleep_for(milliseconds(20));
     EXPECT_EQ(watch.Current(), nullptr);
--- a/tests/scheduler/ElectionTest.cpp
+++ b/tests/scheduler/ElectionTest.cpp
@@ -27,13 +27,13 @@
   const char* mName;
   const char* mScheduler;
   std::uint16_t mPort;
-  bool mTaken;
+  bool mAcquired;
 };
 
 class EarlierOwnerTest : public testing::TestWithParam<EarlierOwnerCase>
 {};
 
-/// The key of an owner that was killed is there for as long as its lease.
+/// The key of a killed owner exists until its lease expires.
 TEST_P(EarlierOwnerTest, IsReplacedAtOnceByItsOwnRestart)
 {
   net::FiberRuntime runtime(1);
@@ -72,7 +72,7 @@
     runtime.Spawn([&] { election.Round(); });
     boost::this_fiber::sleep_for(milliseconds(300));
     const auto owner = election.Owner();
-    EXPECT_EQ(owner != nullptr, GetParam().mTaken);
+    EXPECT_EQ(owner != nullptr, GetParam().mAcquired);
     if (owner) {
       EXPECT_GT(owner->Logic().OwnGeneration(), 4);
     }
@@ -91,7 +91,9 @@
     EarlierOwnerCase{ "AnotherOne", "other", 7000, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(ElectionTest, AnOwnerThatLoadsTakesTheConfiguration)
+/// An owner that misses a configuration while it loads starts nothing until the
+/// next change.
+TEST(ElectionTest, AnOwnerAppliesTheConfigurationWhileItLoads)
 {
   net::FiberRuntime runtime(1);
   MemoryStore memory;
--- a/tests/scheduler/JobRequestHandlerTest.cpp
+++ b/tests/scheduler/JobRequestHandlerTest.cpp
@@ -14,14 +14,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Above a few switches between fibers, below the 100 ms that a request used to
-/// wait for a silent store. Of several tries the quickest counts, since a busy
-/// machine may hold up any one.
-constexpr Duration kAtOnce = milliseconds(50);
-constexpr int kTries = 5;
-/// Until a silent store is known to be silent, and half a second for a busy
-/// machine; a write that nobody gives up waits for as long as the store.
-constexpr Duration kNoticed =
+/// More than a few fiber switches, less than the 100 ms that a request used to
+/// wait for a silent store. The fastest of several attempts counts, since a
+/// busy machine may delay any one of them.
+constexpr Duration kImmediate = milliseconds(50);
+constexpr int kAttempts = 5;
+/// Time to detect a silent store, plus half a second for a busy machine. A
+/// write that is not given up waits until the store answers.
+constexpr Duration kSilenceDetected =
   cell::StoreHealth::kSilentAfter + milliseconds(500);
 
 cell::JobRequest Submission(const std::string& aId)
@@ -33,7 +33,7 @@
   return { std::move(submit), seconds(3) };
 }
 
-/// A scheduler's desk over a store that may fall silent.
+/// The request handler of a scheduler with a store that may stop answering.
 class JobRequestHandlerTest : public testing::Test
 {
 protected:
@@ -63,13 +63,13 @@
     return result;
   }
 
-  void FallSilent()
+  void StopStore()
   {
     mRuntime.RunAndWait([this] { mStore.mSilent = true; });
   }
 
-  /// All that waits is carried out and answered.
-  void Return()
+  /// Lets the store process and answer all pending calls.
+  void ResumeStore()
   {
     mRuntime.RunAndWait([this] {
       mStore.mSilent = false;
@@ -109,45 +109,45 @@
   EXPECT_TRUE(Stored("a"));
 }
 
-/// The first request after the store fell silent used to be held for two
-/// seconds of its three, for a second try that could only fail.
+/// The first request after the store stopped answering waited two of its three
+/// seconds for a retry that could only fail.
 TEST_F(JobRequestHandlerTest,
-       AWriteIntoSilenceIsGivenUpAsSoonAsTheSilenceIsNoticed)
+       AWriteToASilentStoreIsGivenUpAsSoonAsTheSilenceIsDetected)
 {
-  FallSilent();
+  StopStore();
   const auto [answer, took] = Ask(Submission("a"));
   EXPECT_EQ(VerdictOf(answer), Verdict::MayHaveRun);
-  EXPECT_LT(took, kNoticed);
-  Return();
-  EXPECT_TRUE(Stored("a")); // It may have run, and it has.
+  EXPECT_LT(took, kSilenceDetected);
+  ResumeStore();
+  EXPECT_TRUE(Stored("a")); // "May have run" was right.
 }
 
 TEST_F(JobRequestHandlerTest, WhileTheStoreIsSilentAJobIsRefusedAtOnceAsNotRun)
 {
-  FallSilent();
+  StopStore();
   Ask(Submission("a"));
-  Duration quickest = seconds(1);
-  for (int i = 0; i < kTries; ++i) {
+  Duration fastest = seconds(1);
+  for (int i = 0; i < kAttempts; ++i) {
     const auto [answer, took] = Ask(Submission("b" + std::to_string(i)));
     ASSERT_EQ(VerdictOf(answer), Verdict::NotRun);
     EXPECT_GE(std::get<cell::JobRefused>(answer).mRetryAfter, seconds(1));
-    quickest = std::min(quickest, took);
+    fastest = std::min(fastest, took);
   }
-  EXPECT_LT(quickest, kAtOnce);
-  Return();
-  for (int i = 0; i < kTries; ++i) {
+  EXPECT_LT(fastest, kImmediate);
+  ResumeStore();
+  for (int i = 0; i < kAttempts; ++i) {
     EXPECT_FALSE(Stored("b" + std::to_string(i)));
   }
 }
 
-/// Its first submission may be stored yet: to say that it has not run would be
-/// untrue.
-TEST_F(JobRequestHandlerTest, AJobInDoubtIsNotSaidToHaveNotRun)
+/// The write of the first submission may still be applied, so the second one
+/// must not be refused as not run.
+TEST_F(JobRequestHandlerTest, AJobInDoubtIsNotRefusedAsNotRun)
 {
-  FallSilent();
+  StopStore();
   Ask(Submission("a"));
   EXPECT_EQ(VerdictOf(Ask(Submission("a")).first), Verdict::MayHaveRun);
-  Return();
+  ResumeStore();
   EXPECT_TRUE(
     std::holds_alternative<cell::JobAccepted>(Ask(Submission("a")).first));
 }
--- a/tests/scheduler/OwnMemoryTest.cpp
+++ b/tests/scheduler/OwnMemoryTest.cpp
@@ -17,18 +17,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Longer than the owner's key lasts, shorter than its last grants.
+/// Longer than the lease of the owner's key, shorter than its last grants.
 constexpr Duration kKeyLapsed = milliseconds(2300);
 
-/// Another scheduler, which is not the owner and cannot reach the store.
+/// Another scheduler that is not the owner and cannot reach the store.
 struct PeerCase
 {
   const char* mName;
   bool mAnswers;
-  /// Of the newest owner that it has seen, less that of the owner asked.
-  cell::Generation mNewer;
-  bool mSawAny;
-  bool mShown; ///< The owner's own memory is told.
+  /// Newest generation that it has seen, relative to the owner's.
+  cell::Generation mGenerationDelta;
+  bool mSawOwner;
+  bool mShown; ///< The owner answers from its own state.
 };
 
 class OwnMemoryTest : public testing::TestWithParam<PeerCase>
@@ -58,7 +58,7 @@
       mDispatcher, cell::kForwardMethod, [this](const cell::ForwardedRequest&) {
         cell::ForwardedReply reply;
         reply.mOutcome = cell::ForwardedOutcome::NotRun;
-        reply.mGeneration = mPeerKnows;
+        reply.mGeneration = mPeerGeneration;
         return reply;
       });
     auto server = net::HttpServer::Start(
@@ -101,27 +101,28 @@
   net::RpcClient mRpc;
   SchedulerSettings mSettings;
   Election mElection;
-  cell::Generation mPeerKnows = 0;
+  cell::Generation mPeerGeneration = 0;
   net::RpcDispatcher mDispatcher;
   std::unique_ptr<net::HttpServer> mPeer;
   std::unique_ptr<JobRequestHandler> mHandler;
 };
 
-/// An owner was cut off from the store and replaced unawares. The next one told
-/// a caller that a job had completed, and died; the third scheduler could not
-/// reach the store. Asked in the 3.6 s in which its own last grants ran on, the
-/// first one still told what it knew: the job was "shown as queued after
-/// completed".
-TEST_P(OwnMemoryTest, IsToldOnlyWhereNobodyCanKnowBetter)
+/// An owner lost its connection to the store and was replaced without noticing.
+/// The next owner reported a job as completed and crashed, and the third
+/// scheduler could not reach the store. The grants of the first owner lasted
+/// for another 3.6 s, in which it answered with its stale state: callers that
+/// had seen the job as completed saw it as queued.
+TEST_P(OwnMemoryTest, IsUsedOnlyIfNoSchedulerKnowsOfALaterOwner)
 {
   mRuntime.RunAndWait([this] {
     mElection.Round();
     ASSERT_NE(mElection.Owner(), nullptr);
     const cell::Generation own = mElection.KnownGeneration();
-    mPeerKnows = GetParam().mSawAny ? own + GetParam().mNewer : 0;
+    mPeerGeneration =
+      GetParam().mSawOwner ? own + GetParam().mGenerationDelta : 0;
     ASSERT_TRUE(std::holds_alternative<cell::JobAccepted>(Submit("job")));
     mStore.mSilent = true;
-    Submit("other"); // The silence is noticed.
+    Submit("other"); // Detects the silence of the store.
     boost::this_fiber::sleep_for(kKeyLapsed);
     const auto answer =
       mHandler->Answer({ cell::ReadJob{ JobId("job") }, seconds(3) });
--- a/tests/scheduler/ReportingAgent.cpp
+++ b/tests/scheduler/ReportingAgent.cpp
@@ -27,7 +27,7 @@
     mDispatcher, kAttachMethod, [this](const AttachRequest& aRequest) {
       mSession = aRequest.mSession;
       mSequence = 0;
-      mBase.Forget();
+      mEncoder.Forget();
       AttachReply reply;
       reply.mAttached = true;
       reply.mGeneration = aRequest.mGeneration;
@@ -74,15 +74,15 @@
   report.mSession = mSession;
   report.mSequence = ++mSequence;
   report.mOrdersDone = kAllOrders;
-  mBase.Fill(State(), MonotonicNow(), report);
+  mEncoder.Fill(State(), MonotonicNow(), report);
   const auto reply = net::CallTyped<ReportReply>(
     mRpc, mOwner, kReportMethod, report, kReportTimeout);
   if (!reply.ok() || !reply->mAttached || reply->mSendFullState ||
       report.mSession != mSession) {
-    mBase.Forget();
+    mEncoder.Forget();
     return;
   }
-  mBase.OnAccepted(report);
+  mEncoder.OnAccepted(report);
   ++mAcceptedReports;
 }
 
--- a/tests/scheduler/ReportingAgent.h
+++ b/tests/scheduler/ReportingAgent.h
@@ -8,8 +8,8 @@
 
 namespace foxtailbarrow::scheduler::test {
 
-/// An agent that accepts any owner, carries out no order, and reports a worker
-/// with tasks, all of whose figures change, as often as agents do.
+/// An agent that accepts any owner, carries out no orders, and reports a worker
+/// with running tasks whose figures all change from report to report.
 class ReportingAgent
 {
 public:
@@ -18,7 +18,7 @@
                  int aNumber,
                  const Endpoint& aOwner);
 
-  /// One report; to be repeated.
+  /// Sends one report.
   void Report();
 
   std::uint64_t AcceptedReports() const { return mAcceptedReports; }
@@ -31,7 +31,7 @@
   Endpoint mOwner;
   net::RpcDispatcher mDispatcher;
   std::unique_ptr<net::HttpServer> mServer;
-  cell::ReportEncoder mBase;
+  cell::ReportEncoder mEncoder;
   cell::Session mSession = 0;
   std::int64_t mSequence = 0;
   std::int64_t mFigure = 0;
--- a/tests/scheduler/SilentPeerTest.cpp
+++ b/tests/scheduler/SilentPeerTest.cpp
@@ -17,8 +17,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kAtOnce = milliseconds(50);
-constexpr int kTries = 5;
+constexpr Duration kImmediate = milliseconds(50);
+constexpr int kAttempts = 5;
 
 Verdict VerdictOf(const cell::JobAnswer& aAnswer)
 {
@@ -35,8 +35,8 @@
   return { std::move(submit), seconds(3) };
 }
 
-/// With the store silent for all and another scheduler dead, each caller waited
-/// for that one's time-out: of 64 refusals of a played day 14 took 1.0 s.
+/// While the store is silent for all schedulers and another scheduler does not
+/// answer, each caller waited 1 s for the call to that scheduler to time out.
 TEST(SilentPeerTest, IsAskedByTheFirstRequestsOnly)
 {
   net::FiberRuntime runtime(1);
@@ -55,25 +55,27 @@
       return net::HttpResponse();
     });
   ASSERT_TRUE(frozen.ok());
-  JobRequestHandler desk(
+  JobRequestHandler handler(
     runtime, pulsed, rpc, election, { (*frozen)->ListeningEndpoint() });
   runtime.RunAndWait([&] {
     store.mSilent = true;
     int number = 0;
-    desk.Answer(Submission(++number)); // The silence is noticed.
-    // What was sent to the frozen one may have been carried out there.
+    handler.Answer(Submission(++number)); // Detects the silence of the store.
+    // The frozen scheduler may have carried out the request.
     runtime.Spawn([&] {
-      EXPECT_EQ(VerdictOf(desk.Answer(Submission(100))), Verdict::MayHaveRun);
+      EXPECT_EQ(VerdictOf(handler.Answer(Submission(100))),
+                Verdict::MayHaveRun);
     });
     boost::this_fiber::sleep_for(cell::PeerAvailability::kUsualAnswerTime * 2);
-    // Others do not wait until that one has timed out.
-    Duration quickest = seconds(1);
-    for (int i = 0; i < kTries; ++i) {
+    // Other requests do not wait for that call to time out.
+    Duration fastest = seconds(1);
+    for (int i = 0; i < kAttempts; ++i) {
       const Instant begin = MonotonicNow();
-      EXPECT_EQ(VerdictOf(desk.Answer(Submission(++number))), Verdict::NotRun);
-      quickest = std::min(quickest, MonotonicNow() - begin);
+      EXPECT_EQ(VerdictOf(handler.Answer(Submission(++number))),
+                Verdict::NotRun);
+      fastest = std::min(fastest, MonotonicNow() - begin);
     }
-    EXPECT_LT(quickest, kAtOnce);
+    EXPECT_LT(fastest, kImmediate);
     store.mSilent = false;
     boost::this_fiber::sleep_for(seconds(2));
   });
--- a/tests/scheduler/SilentStore.h
+++ b/tests/scheduler/SilentStore.h
@@ -6,8 +6,8 @@
 
 namespace foxtailbarrow::scheduler::test {
 
-/// A store whose calls, but for watches, wait until they are let: while it is
-/// silent all of them, else lists while they are held.
+/// A store that delays calls: all except watches while it is silent, and lists
+/// while they are held.
 class SilentStore final : public Store
 {
 public:
@@ -18,7 +18,7 @@
 
   bool mSilent = false;
   bool mHoldLists = false;
-  bool mListWaits = false; ///< A list came while they are held.
+  bool mListWaits = false; ///< A list call was held.
 
   absl::StatusOr<StoreEntry> Read(std::string_view aKey) override
   {
--- a/tests/scheduler/UnreadableEntryTest.cpp
+++ b/tests/scheduler/UnreadableEntryTest.cpp
@@ -16,7 +16,7 @@
 
 using std::chrono::milliseconds;
 
-/// Text that another writer has put where a record belongs.
+/// An invalid text in place of a record.
 struct BadEntry
 {
   const char* mName;
@@ -80,9 +80,9 @@
   Election mElection;
 };
 
-/// A job whose progress could not be read was taken for one that had not begun:
-/// all its tasks ran again, and the entry was overwritten.
-TEST_P(UnreadableEntryTest, IsPassedOverAndLeftAsItIs)
+/// A job with unreadable progress was treated as not started: all its tasks ran
+/// again, and the entry was overwritten.
+TEST_P(UnreadableEntryTest, IsSkippedAndNotChanged)
 {
   const std::string bad = GetParam().mText();
   const std::string id = "done";
@@ -95,19 +95,19 @@
     mElection.Round();
     const auto owner = mElection.Owner();
     ASSERT_NE(owner, nullptr);
-    // Told again, as a cancellation would be.
+    // Notified again, as for a cancellation.
     const auto again = FromJsonText<cell::StoredJob>(JobText(id));
     owner->OnRecordChanged(*again);
     const auto& jobs = owner->Logic().Jobs();
     EXPECT_EQ(jobs.size(), 1U);
     EXPECT_TRUE(jobs.contains(JobId("good")));
-    EXPECT_EQ(owner->Figures().mUnreadable, 3U);
-    // Another one that comes by the watch.
+    EXPECT_EQ(owner->Counters().mUnreadable, 3U);
+    // Another unreadable entry, received by the watch.
     Put(cell::JobKey(JobId("later")), bad);
     Put(cell::JobKey(JobId("next")), JobText("next"));
     boost::this_fiber::sleep_for(milliseconds(200));
     EXPECT_TRUE(jobs.contains(JobId("next")));
-    EXPECT_EQ(owner->Figures().mUnreadable, 4U);
+    EXPECT_EQ(owner->Counters().mUnreadable, 4U);
     EXPECT_EQ(Stored(cell::ProgressKey(JobId(id))), bad);
     EXPECT_EQ(Stored(cell::JobKey(JobId("bad"))), bad);
     mElection.Superseded();
