--- a/apps/taskagent/Main.cpp
+++ b/apps/taskagent/Main.cpp
@@ -26,6 +26,6 @@
   const int signal = net::WaitForStop([] { LogChange("reload"); });
   LogChange("stop", { { "signal", signal } });
   FlushLog();
-  // What waits for an answer of another process is not worth waiting for.
+  // Skips destructors: they would wait for pending calls to other processes.
   std::_Exit(0);
 }
--- a/apps/taskagent/OwnerLink.cpp
+++ b/apps/taskagent/OwnerLink.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-/// Between reports without news. Several fit into the shortest lease, and each
-/// brings figures, which cover half a second.
-constexpr Duration kInterval = ReportEncoder::kFiguresInterval;
+/// Interval of reports without changes. Several fit into the shortest lease,
+/// and each includes the load figures, which cover half a second.
+constexpr Duration kReportInterval = ReportEncoder::kFiguresInterval;
 constexpr Duration kReportTimeout = std::chrono::milliseconds(700);
-/// Without an owner or a session, until the next try.
+/// Pause before the next attempt without an owner or a session.
 constexpr Duration kRetry = std::chrono::milliseconds(150);
 constexpr Duration kSeedTimeout = std::chrono::milliseconds(400);
-/// Silence of the owner after which it is looked for elsewhere.
+/// Time without a reply of the owner after which a new one is searched for.
 constexpr Duration kLostAfter = std::chrono::milliseconds(900);
 
 } // namespace
@@ -48,28 +48,28 @@
     StartReport();
   }
   const Instant now = MonotonicNow();
-  if (!mOwner || now - mContactAt > kLostAfter) {
+  if (!mOwner || now - mLastContactAt > kLostAfter) {
     if (std::exchange(mInContact, false)) {
       LogWarning("owner-lost", { { "generation", mGeneration } });
     }
     Find();
     return kRetry;
   }
-  return mWorker.CurrentSession() == 0 ? kRetry : kInterval;
+  return mWorker.CurrentSession() == 0 ? kRetry : kReportInterval;
 }
 
 void OwnerLink::StartReport()
 {
   const Session session = mWorker.CurrentSession();
-  if (mReporting == session) {
+  if (mPendingReport == session) {
     return;
   }
-  mReporting = session;
+  mPendingReport = session;
   mReportRequested = false;
   mRuntime.Spawn([this, session] {
     Report();
-    if (mReporting == session) {
-      mReporting.reset();
+    if (mPendingReport == session) {
+      mPendingReport.reset();
       if (mReportRequested) {
         mPoke.Now();
       }
@@ -77,12 +77,12 @@
   });
 }
 
-ReportRequest OwnerLink::NextReport(Instant aNow)
+ReportRequest OwnerLink::BuildReport(Instant aNow)
 {
   const Session session = mWorker.CurrentSession();
   if (session != std::exchange(mReportedSession, session)) {
     mSequence = 0;
-    mBase.Forget();
+    mEncoder.Forget();
   }
   WorkerSnapshot snapshot = mWorker.Snapshot();
   ReportRequest report;
@@ -91,7 +91,7 @@
   report.mSession = session;
   report.mSequence = ++mSequence;
   report.mOrdersDone = snapshot.mOrdersDone;
-  mBase.Fill(std::move(snapshot.mState), aNow, report);
+  mEncoder.Fill(std::move(snapshot.mState), aNow, report);
   report.mWorkerAnswers = snapshot.mAnswers;
   report.mWorkerEnded = snapshot.mEnded;
   report.mAnsweredAt = snapshot.mAnsweredAt;
@@ -103,14 +103,14 @@
 void OwnerLink::Report()
 {
   const Instant sentAt = MonotonicNow();
-  const ReportRequest report = NextReport(sentAt);
+  const ReportRequest report = BuildReport(sentAt);
   const Session session = report.mSession;
   ++mReports;
   const Endpoint owner = *mOwner;
   const auto reply =
     CallTyped<ReportReply>(mRpc, owner, kReportMethod, report, kReportTimeout);
   if (!reply.ok()) {
-    mBase.Forget();
+    mEncoder.Forget();
     LogWarning("report-failed",
                { { "owner", owner },
                  { "session", session },
@@ -129,9 +129,9 @@
 {
   if (aReport.mSession == mReportedSession) {
     if (aReply.mAttached && !aReply.mSendFullState) {
-      mBase.OnAccepted(aReport);
+      mEncoder.OnAccepted(aReport);
     } else {
-      mBase.Forget();
+      mEncoder.Forget();
     }
   }
   if (!aReply.mOwner) {
@@ -144,14 +144,15 @@
     return;
   }
   if (aReply.mGeneration < mGeneration) {
-    return; // An owner that has been replaced and does not know it yet.
+    return; // The owner was replaced and has not noticed yet.
   }
-  mContactAt = MonotonicNow();
+  mLastContactAt = MonotonicNow();
   if (!std::exchange(mInContact, true)) {
     LogChange("owner-found",
               { { "owner", aOwner }, { "generation", aReply.mGeneration } });
   }
-  if (aReply.mAttached && mBase.Incarnation() == mWorker.Info().mIncarnation) {
+  if (aReply.mAttached &&
+      mEncoder.Incarnation() == mWorker.Info().mIncarnation) {
     mWorker.OnGrant(
       aReport.mSession, aSentAt, aReply.mGrant, aReply.mAcknowledged);
     mWorker.SetInterferenceWeights(aReply.mPressures);
@@ -220,12 +221,12 @@
     return state.status();
   }
   OnOwnerFound(aRequest.mGeneration, aRequest.mOwner);
-  mContactAt = MonotonicNow();
+  mLastContactAt = MonotonicNow();
   mInContact = true;
   reply.mAttached = true;
   reply.mGeneration = mGeneration;
   reply.mState = *state;
-  RequestReport(); // The first report brings the first grant.
+  RequestReport(); // Its reply has the first grant.
   return reply;
 }
 
--- a/apps/taskagent/OwnerLink.h
+++ b/apps/taskagent/OwnerLink.h
@@ -14,9 +14,9 @@
 
 namespace foxtailbarrow::taskagent {
 
-/// Keeps in touch with the cell's owner: reports to it on news and at
-/// intervals, and finds it anew by the store or by other schedulers when it
-/// does not answer.
+/// The agent's link to the cell's owner. Sends reports on changes and at
+/// intervals, and finds a new owner through the store or the schedulers when
+/// the owner does not answer.
 class OwnerLink
 {
 public:
@@ -26,7 +26,7 @@
             Store& aStore,
             net::RpcClient& aRpc);
 
-  /// Something is to be reported now.
+  /// Sends a report without waiting for the interval.
   void RequestReport()
   {
     mReportRequested = true;
@@ -34,23 +34,24 @@
   }
   Poke& RoundPoke() { return mPoke; }
 
-  /// One report, or one search for the owner. Returns the pause until the next.
+  /// Starts a report and searches for the owner if it is lost. Returns the
+  /// pause before the next round.
   Duration Round();
 
-  /// `agent.attach`.
+  /// Handles `agent.attach`.
   absl::StatusOr<cell::AttachReply> OnAttach(
     const cell::AttachRequest& aRequest);
 
   cell::Generation KnownGeneration() const { return mGeneration; }
-  Instant LastContact() const { return mContactAt; }
+  Instant LastContact() const { return mLastContactAt; }
   std::uint64_t Reports() const { return mReports; }
 
 private:
-  /// Reports in a fiber of its own, so that an owner that does not answer does
-  /// not delay the first report to the next one.
+  /// Reports in a separate fiber, so that an owner that does not answer does
+  /// not delay the first report to the next owner.
   void StartReport();
   void Report();
-  cell::ReportRequest NextReport(Instant aNow);
+  cell::ReportRequest BuildReport(Instant aNow);
   void OnReply(const cell::ReportReply& aReply,
                const Endpoint& aOwner,
                const cell::ReportRequest& aReport,
@@ -69,12 +70,12 @@
   std::optional<Endpoint> mOwner;
   cell::Generation mGeneration = 0;
   cell::Session mReportedSession = 0;
-  std::optional<cell::Session> mReporting; ///< Session of a report on its way.
-  bool mReportRequested = false;           ///< Came while one was on its way.
+  std::optional<cell::Session> mPendingReport; ///< Session of the report.
+  bool mReportRequested = false;               ///< While one is pending.
   std::int64_t mSequence = 0;
-  Duration mReplyTook{}; ///< Of the newest report with a reply.
-  cell::ReportEncoder mBase;
-  Instant mContactAt{};
+  Duration mReplyTook{}; ///< Duration of the newest report call.
+  cell::ReportEncoder mEncoder;
+  Instant mLastContactAt{};
   bool mInContact = false;
   std::uint64_t mReports = 0;
 };
--- a/apps/taskagent/TaskAgent.cpp
+++ b/apps/taskagent/TaskAgent.cpp
@@ -114,22 +114,24 @@
   mMetrics.SampledGauge("owner_reports", "Reports sent to the owner.", [this] {
     return static_cast<double>(mOwner.Reports());
   });
-  mMetrics.SampledGauge("tasks_running", "Tasks on the worker.", [this] {
-    return static_cast<double>(mWorker.Snapshot().mState.mRunning.size());
-  });
+  mMetrics.SampledGauge(
+    "tasks_running", "Tasks running on the worker.", [this] {
+      return static_cast<double>(mWorker.Snapshot().mState.mRunning.size());
+    });
   mMetrics.SampledGauge(
     "starts_over_capacity",
-    "Starts refused as not fitting the worker's newest capacity.",
+    "Starts refused because they exceed the worker's capacity.",
     [this] { return static_cast<double>(mWorker.RefusedOverCapacity()); });
-  mMetrics.SampledGauge("looks_late", "Looks over a second apart.", [this] {
-    return static_cast<double>(mWorker.Throttling().LatePolls());
-  });
   mMetrics.SampledGauge(
-    "paces_unanswered", "Paces that the worker may yet carry out.", [this] {
+    "looks_late", "Polls of the worker over a second apart.", [this] {
+      return static_cast<double>(mWorker.Throttling().LatePolls());
+    });
+  mMetrics.SampledGauge(
+    "paces_unanswered", "Throttle calls without an answer.", [this] {
       return static_cast<double>(mWorker.Throttling().UnansweredThrottles());
     });
   mMetrics.SampledGauge(
-    "tasks_unknown", "Running tasks whose traits are not known.", [this] {
+    "tasks_unknown", "Running tasks without metadata.", [this] {
       return static_cast<double>(mWorker.Throttling().UnknownTasks());
     });
   mMetrics.SampledGauge(
@@ -137,12 +139,12 @@
     "Longest time that a serving image was over its target.",
     [this] { return Seconds(mWorker.Throttling().LongestOverTarget()); });
   mMetrics.SampledGauge(
-    "foreign_heartbeats", "Heartbeats that were not the worker's.", [this] {
-      return static_cast<double>(mForeignHeartbeats);
-    });
-  mMetrics.SampledGauge("log_lines_dropped", "Lines above the bounds.", [] {
-    return static_cast<double>(DroppedLogLines());
-  });
+    "foreign_heartbeats",
+    "Heartbeats that are not from this agent's worker.",
+    [this] { return static_cast<double>(mForeignHeartbeats); });
+  mMetrics.SampledGauge("log_lines_dropped",
+                        "Log lines dropped by the rate and buffer limits.",
+                        [] { return static_cast<double>(DroppedLogLines()); });
   mState.Add("worker", [this] {
     ReportRequest view;
     view.mAgent = mSettings.mId;
@@ -172,22 +174,24 @@
 {
   const WorkerIncarnation& incarnation = aHeartbeat.mInfo.mIncarnation;
   const WorkerIncarnation before = mHeartbeats.Current();
-  const HeartbeatDecision use =
+  const HeartbeatDecision decision =
     mHeartbeats.Classify(incarnation, aHeartbeat.mSequence);
   const bool otherService =
     incarnation == before &&
     aHeartbeat.mInfo.mService != mWorker.Info().mService;
-  if (use == HeartbeatDecision::Foreign || otherService) {
+  if (decision == HeartbeatDecision::Foreign || otherService) {
     OnForeignHeartbeat(incarnation.Value(),
-                       otherService ? "another service" : "sequence number");
+                       otherService ? "another service"
+                                    : "implausible sequence number");
     return;
   }
-  if (use == HeartbeatDecision::Ignore ||
-      (use == HeartbeatDecision::Confirm && !mWorker.IsPresent(incarnation))) {
+  if (decision == HeartbeatDecision::Ignore ||
+      (decision == HeartbeatDecision::Confirm &&
+       !mWorker.IsPresent(incarnation))) {
     return;
   }
   if (mHeartbeats.Current() != before) {
-    return; // Another one was confirmed meanwhile; the next heartbeat tells.
+    return; // The incarnation changed meanwhile; wait for the next heartbeat.
   }
   mHeartbeats.OnAccepted(incarnation, aHeartbeat.mSequence);
   if (mWorker.UpdateInfo(aHeartbeat.mInfo)) {
@@ -205,12 +209,12 @@
   }
 }
 
-/// A heartbeat that is not the worker's: what is known of the worker stays.
+/// Counts and logs a heartbeat that is not from the worker, and ignores it.
 void TaskAgent::OnForeignHeartbeat(std::string_view aSender,
                                    std::string_view aReason)
 {
   ++mForeignHeartbeats;
-  if (const auto count = mForeign.Note(aSender, aReason)) {
+  if (const auto count = mForeignLogLimiter.Note(aSender, aReason)) {
     LogWarning(
       "foreign-heartbeat",
       { { "sender", aSender }, { "reason", aReason }, { "count", *count } });
--- a/apps/taskagent/TaskAgent.h
+++ b/apps/taskagent/TaskAgent.h
@@ -22,8 +22,8 @@
 
 namespace foxtailbarrow::taskagent {
 
-/// The process beside one worker: takes its heartbeats, gives it the owner's
-/// orders, reports to the owner.
+/// The agent process of one worker: receives its heartbeats, sends it the
+/// owner's orders, and reports to the owner.
 class TaskAgent
 {
 public:
@@ -38,8 +38,8 @@
   net::HttpResponse ServeAdmin(const net::HttpRequest& aRequest);
   void OnWorkerMessage(const platform::WorkerHeartbeat& aHeartbeat);
   void OnWorkerMessage(const platform::WorkerGone& aGone);
-  /// After a suspension the owner is asked at once whether the session is in
-  /// force; leases are over by the clock.
+  /// After a suspension of the machine, reports at once to find out whether the
+  /// session is still in force. Leases expire by the clock.
   void OnResume();
   void OnForeignHeartbeat(std::string_view aSender, std::string_view aReason);
   void AddMethods();
@@ -58,7 +58,7 @@
   StateDump mState;
   AdminPages mAdmin;
   cell::HeartbeatOrder mHeartbeats;
-  cell::LogRateLimiter mForeign;
+  cell::LogRateLimiter mForeignLogLimiter;
   std::int64_t mForeignHeartbeats = 0;
   std::unique_ptr<net::HttpServer> mWorkerServer;
   std::unique_ptr<net::HttpServer> mOwnerServer;
--- a/apps/taskagent/TaskAgentSettings.cpp
+++ b/apps/taskagent/TaskAgentSettings.cpp
@@ -10,15 +10,15 @@
 {
   Settings settings("foxtailbarrow-taskagent",
                     "Runs the tasks of one worker for the cell's owner");
-  settings
-    .AddId("--id", aSettings.mId, "Name of this agent, unique in the cell")
+  settings.AddId("--id", aSettings.mId, "Unique name of this agent in the cell")
     .Required();
   settings
     .AddListen("--listen", aSettings.mListen, "Address for the cell's owner")
     .Required();
-  settings.AddEndpoint("--advertise",
-                       aSettings.mAdvertised,
-                       "Where the owner reaches it; by default --listen");
+  settings.AddEndpoint(
+    "--advertise",
+    aSettings.mAdvertised,
+    "Address at which the owner reaches it; defaults to --listen");
   settings.AddListen("--control", aSettings.mControl, "Address for the worker")
     .Required();
   settings
--- a/apps/taskagent/TaskAgentSettings.h
+++ b/apps/taskagent/TaskAgentSettings.h
@@ -10,12 +10,12 @@
 
 namespace foxtailbarrow::taskagent {
 
-/// Settings of the task agent, with the units that their names say.
+/// Command-line settings of the task agent.
 struct TaskAgentSettings
 {
   AgentId mId;
-  Endpoint mListen;     ///< For the owner of the cell.
-  Endpoint mAdvertised; ///< Where the owner reaches it; by default mListen.
+  Endpoint mListen;     ///< For the cell's owner.
+  Endpoint mAdvertised; ///< Public address of mListen; defaults to mListen.
   Endpoint mControl;    ///< For the worker on the same machine.
   Endpoint mMetrics;
   Endpoint mWorker;
@@ -24,7 +24,7 @@
   LogLevel mLogLevel = LogLevel::Info;
 };
 
-/// Exit code when the program is to end now.
+/// Returns an exit code if the program must exit now.
 std::optional<int> ParseTaskAgentSettings(int argc,
                                           const char* const* argv,
                                           TaskAgentSettings& aSettings);
--- a/apps/taskagent/ThrottleLog.cpp
+++ b/apps/taskagent/ThrottleLog.cpp
@@ -14,12 +14,12 @@
 namespace {
 
 constexpr Duration kLogInterval = std::chrono::seconds(1);
-/// Without a look for so long, figures and paces are late.
+/// Time between polls after which load figures and throttles are late.
 constexpr Duration kLateAfter = std::chrono::seconds(1);
 constexpr double kPercent = 100.0;
 constexpr double kPerMille = 1000.0;
 
-/// Rounded, as logs show shares.
+/// Converts a share to the rounded integer for the log.
 std::int64_t Scaled(double aShare, double aUnits)
 {
   return std::llround(aShare * aUnits);
@@ -59,18 +59,18 @@
 void ThrottleLog::LogOverTarget(std::span<const cell::OverTarget> aOver,
                                 Instant aNow)
 {
-  std::erase_if(mOverLoggedAt, [&](const auto& aTold) {
+  std::erase_if(mOverLoggedAt, [&](const auto& aLogged) {
     return std::ranges::none_of(aOver, [&](const cell::OverTarget& aEntry) {
-      return aEntry.mImage == aTold.first;
+      return aEntry.mImage == aLogged.first;
     });
   });
   for (const cell::OverTarget& over : aOver) {
     mLongestOverTarget = std::max(mLongestOverTarget, over.mOver);
-    Instant& told = mOverLoggedAt[over.mImage];
-    if (over.mOver < kLogInterval || aNow - told < kLogInterval) {
+    Instant& loggedAt = mOverLoggedAt[over.mImage];
+    if (over.mOver < kLogInterval || aNow - loggedAt < kLogInterval) {
       continue;
     }
-    told = aNow;
+    loggedAt = aNow;
     LogChange("serving-over",
               { { "image", over.mImage },
                 { "ms", WholeMilliseconds(over.mOver) },
--- a/apps/taskagent/ThrottleLog.h
+++ b/apps/taskagent/ThrottleLog.h
@@ -14,19 +14,19 @@
 
 namespace foxtailbarrow::taskagent {
 
-/// Log lines and counters of how an agent protects the serving tasks on its
+/// Log lines and counters of the throttling that protects serving tasks on a
 /// worker.
 class ThrottleLog
 {
 public:
-  /// A look is judged at `aNow`.
+  /// Records a poll; logs it if it is late.
   void OnPoll(Instant aNow);
   void LogThrottle(const cell::ThrottleChange& aChange,
                    cell::Fence aFence,
                    const absl::Status& aOutcome);
-  /// What is over its target after a look; told once a second.
+  /// Logs the images over their target after a poll, once a second each.
   void LogOverTarget(std::span<const cell::OverTarget> aOver, Instant aNow);
-  /// Running tasks of which the agent does not know what they are.
+  /// Logs the number of running tasks without metadata.
   void LogUnknownTasks(std::size_t aTasks, Instant aNow);
 
   std::int64_t LatePolls() const { return mLatePolls; }
--- a/apps/taskagent/UnknownTaskTimer.cpp
+++ b/apps/taskagent/UnknownTaskTimer.cpp
@@ -7,18 +7,18 @@
 bool UnknownTaskTimer::Update(bool aUnknown, Instant aNow)
 {
   if (!aUnknown) {
-    mSince.reset();
-    mPause = kShortest;
+    mWaitingSince.reset();
+    mPause = kMinPause;
     return false;
   }
-  if (!mSince) {
-    mSince = aNow;
+  if (!mWaitingSince) {
+    mWaitingSince = aNow;
   }
-  if (aNow - *mSince < mPause) {
+  if (aNow - *mWaitingSince < mPause) {
     return false;
   }
-  mSince = aNow;
-  mPause = std::min<Duration>(2 * mPause, kLongest);
+  mWaitingSince = aNow;
+  mPause = std::min<Duration>(2 * mPause, kMaxPause);
   return true;
 }
 
--- a/apps/taskagent/UnknownTaskTimer.h
+++ b/apps/taskagent/UnknownTaskTimer.h
@@ -7,22 +7,22 @@
 
 namespace foxtailbarrow::taskagent {
 
-/// Tells when an agent asks for its session anew, so that the owner tells it
-/// what the running tasks are. Pauses grow while that does not help: the owner
-/// may be stopping tasks that it does not know either. Pure.
+/// Decides when an agent requests a new session because it has no metadata of
+/// running tasks. Pauses grow while that does not help: the owner may be
+/// stopping tasks that it does not know either. Pure.
 class UnknownTaskTimer
 {
 public:
-  static constexpr Duration kShortest = std::chrono::seconds(1);
-  static constexpr Duration kLongest = std::chrono::seconds(8);
+  static constexpr Duration kMinPause = std::chrono::seconds(1);
+  static constexpr Duration kMaxPause = std::chrono::seconds(8);
 
-  /// After a look at `aNow`; `aUnknown`: it showed tasks that are not known.
-  /// Returns true when the session is to be begun anew.
+  /// To be called after each poll. `aUnknown`: it returned tasks without
+  /// metadata. Returns true if a new session must be requested.
   bool Update(bool aUnknown, Instant aNow);
 
 private:
-  std::optional<Instant> mSince;
-  Duration mPause = kShortest;
+  std::optional<Instant> mWaitingSince;
+  Duration mPause = kMinPause;
 };
 
 } // namespace foxtailbarrow::taskagent
--- a/apps/taskagent/WorkerControl.cpp
+++ b/apps/taskagent/WorkerControl.cpp
@@ -18,21 +18,23 @@
 
 namespace {
 
-/// How long a look waits for an end. Bounds the age of leases and figures.
+/// How long a poll waits for the end of a task. Bounds the age of leases and
+/// load figures.
 constexpr Duration kPollWait = std::chrono::milliseconds(400);
-/// How long an order is settled before the session is given up.
-constexpr Duration kSettleTime = std::chrono::milliseconds(1500);
+/// After this time without settling an order, the session is given up.
+constexpr Duration kSettleTimeout = std::chrono::milliseconds(1500);
 constexpr Duration kSettlePause = std::chrono::milliseconds(20);
-/// Between looks that the worker answers at once although they may wait.
-constexpr Duration kShortestRound = std::chrono::milliseconds(25);
-constexpr Duration kAfterFailure = std::chrono::milliseconds(50);
-/// A pace without an answer is sent again at once: the next look may be late.
+/// Shortest interval of polls, for a worker that answers them without waiting.
+constexpr Duration kMinPollInterval = std::chrono::milliseconds(25);
+constexpr Duration kRetryPause = std::chrono::milliseconds(50);
+/// A throttle call without an answer is repeated at once, since the next poll
+/// may be late.
 constexpr int kThrottleAttempts = 2;
-/// Crashes that are remembered for an owner that has not heard of them: at four
-/// seconds a crash, those of the last half minute.
-constexpr std::size_t kCrashesKept = 8;
-/// Fences of a session: the session's number and those after it.
-constexpr cell::Fence kFencesOfSession = 255;
+/// Crashes kept for an owner that does not know of them. At four seconds per
+/// crash, these are the ones of the last half minute.
+constexpr std::size_t kMaxCrashes = 8;
+/// Fences of a session are its number and this many numbers after it.
+constexpr cell::Fence kFencesPerSession = 255;
 
 } // namespace
 
@@ -74,7 +76,8 @@
   return true;
 }
 
-/// The incarnation is gone. Unless it had said that it leaves, it has crashed.
+/// The incarnation has ended. Unless it announced that it leaves, it has
+/// crashed.
 void WorkerControl::RecordCrash()
 {
   if (mInfo.mIncarnation.Empty() || mInfo.mDraining) {
@@ -84,31 +87,33 @@
       !crash.mRuns.empty()) {
     mCrashes.push_back(std::move(crash));
   }
-  if (mCrashes.size() > kCrashesKept) {
+  if (mCrashes.size() > kMaxCrashes) {
     mCrashes.pop_front();
   }
 }
 
 bool WorkerControl::IsPresent(const cell::WorkerIncarnation& aIncarnation)
 {
-  const auto there = mWorker.IsPresent(aIncarnation, mFence, kPollTimeout);
+  const auto present = mWorker.IsPresent(aIncarnation, mFence, kPollTimeout);
   LogChange("other-incarnation",
             { { "incarnation", aIncarnation },
               { "current", mInfo.mIncarnation },
               { "outcome",
-                !there.ok() ? there.status().ToString()
-                : *there    ? "there"
-                            : "replaced" } });
-  return there.ok() && *there;
+                !present.ok() ? present.status().ToString()
+                : *present    ? "there"
+                              : "replaced" } });
+  return present.ok() && *present;
 }
 
 absl::StatusOr<cell::WorkerState> WorkerControl::Attach(cell::Session aSession)
 {
   if (mInfo.mIncarnation.Empty()) {
-    return absl::UnavailableError("the worker has not told about itself yet");
+    return absl::UnavailableError(
+      "no heartbeat was received from the worker yet");
   }
   if (aSession <= mSession) {
-    return absl::FailedPreconditionError("an older session");
+    return absl::FailedPreconditionError(
+      "the session is not newer than the current one");
   }
   mSession = aSession;
   mSessionReady = false;
@@ -127,11 +132,11 @@
 bool WorkerControl::Settle(cell::Session aSession)
 {
   const std::lock_guard lock(mSettleMutex);
-  const Instant end = MonotonicNow() + kSettleTime;
+  const Instant end = MonotonicNow() + kSettleTimeout;
   while (MonotonicNow() < end && aSession == mSession &&
-         mFence < aSession + kFencesOfSession) {
+         mFence < aSession + kFencesPerSession) {
     const cell::Fence fence = ++mFence;
-    // The look of a fence that was raised meanwhile is not in the book.
+    // If the fence was raised meanwhile, the reply was not applied.
     const auto reply = PollOnce(Duration::zero(), false);
     if (reply.ok() && fence == mFence) {
       return aSession == mSession;
@@ -140,7 +145,7 @@
       OnPollFailed(reply.status());
     }
     if (mLiveness.Ended()) {
-      return false; // What was sent may have run before.
+      return false; // The order may have run before the worker ended.
     }
     boost::this_fiber::sleep_for(kSettlePause);
   }
@@ -175,7 +180,7 @@
   auto reply = mWorker.Poll(call, aWait + kPollTimeout);
   const Instant now = MonotonicNow();
   if (incarnation != mInfo.mIncarnation) {
-    return absl::AbortedError("the worker was replaced");
+    return absl::AbortedError("the worker was replaced during the poll");
   }
   if (!reply.ok()) {
     return reply;
@@ -186,7 +191,7 @@
     LogChange("worker-answers",
               { { "incarnation", incarnation }, { "ended", ended ? 1 : 0 } });
   }
-  // An answer to an older fence may be older than what is known.
+  // The reply to a poll under an older fence may be outdated.
   if (fence == mFence && mStateTracker.OnPoll(*reply, sentAt, now)) {
     mOnChange();
   }
@@ -208,29 +213,29 @@
 Duration WorkerControl::Poll()
 {
   if (mInfo.mIncarnation.Empty() || mSession == 0) {
-    return kAfterFailure;
+    return kRetryPause;
   }
   const Instant sentAt = MonotonicNow();
-  // While the worker is silent, leases are not extended: the owner waits for
-  // the end of the last one.
+  // While the worker is silent, its leases are not extended: the owner waits
+  // for the last one to expire.
   const auto reply = PollOnce(kPollWait, mLiveness.Answers());
   if (!reply.ok()) {
     OnPollFailed(reply.status());
-    return kAfterFailure;
+    return kRetryPause;
   }
   const Instant now = MonotonicNow();
   UpdateThrottles();
-  return now - sentAt < kShortestRound ? kShortestRound : Duration(1);
+  return now - sentAt < kMinPollInterval ? kMinPollInterval : Duration(1);
 }
 
 void WorkerControl::OnPollFailed(const absl::Status& aStatus)
 {
-  const cell::LivenessChange news =
+  const cell::LivenessChange change =
     mLiveness.OnPollFailed(net::IsConnectionRefused(aStatus), MonotonicNow());
-  if (news == cell::LivenessChange::None) {
+  if (change == cell::LivenessChange::None) {
     return;
   }
-  const bool ended = news == cell::LivenessChange::Ended;
+  const bool ended = change == cell::LivenessChange::Ended;
   if (ended) {
     RecordCrash();
   }
@@ -251,7 +256,7 @@
     mThrottleController.Update(running, now);
   mThrottleLog.LogOverTarget(mThrottleController.OverTargets(now), now);
   mThrottleLog.LogUnknownTasks(mThrottleController.UnknownTasks(), now);
-  if (mUnknownTasks.Update(mThrottleController.UnknownTasks() > 0, now)) {
+  if (mUnknownTaskTimer.Update(mThrottleController.UnknownTasks() > 0, now)) {
     mSessionReady = false;
     mOnChange();
   }
@@ -260,8 +265,8 @@
   }
 }
 
-/// Side by side: without answers, one after the other would take a time-out
-/// each, and no look is taken meanwhile.
+/// Sends the calls concurrently. Otherwise each call without an answer would
+/// delay the others, and the next poll, by its timeout.
 void WorkerControl::SendThrottles(
   std::span<const cell::ThrottleChange> aChanges,
   bool aRaises)
@@ -301,7 +306,7 @@
   if (mFence != aUsed) {
     return;
   }
-  if (mFence < mSession + kFencesOfSession) {
+  if (mFence < mSession + kFencesPerSession) {
     ++mFence;
   } else {
     mSessionReady = false;
--- a/apps/taskagent/WorkerControl.h
+++ b/apps/taskagent/WorkerControl.h
@@ -23,92 +23,93 @@
 
 namespace foxtailbarrow::taskagent {
 
-/// What the owner is told in a report.
+/// State of the worker for a report to the owner.
 struct WorkerSnapshot
 {
   cell::WorkerState mState;
   bool mAnswers = false;
-  bool mEnded = false;    ///< Its process is gone.
-  Duration mAnsweredAt{}; ///< The newest answer to any call, by this clock.
+  bool mEnded = false;    ///< The worker process has ended.
+  Duration mAnsweredAt{}; ///< Newest answer to any call, by the agent's clock.
   Duration mLeaseLeft{};
-  std::int64_t mOrdersDone = 0; ///< Of the session in force.
+  std::int64_t mOrdersDone = 0; ///< In the current session.
 };
 
-/// Gives the orders of the cell's owner to the worker, and looks at it.
+/// Carries out the orders of the cell's owner at the worker, and polls it.
 ///
-/// An order that got no answer may be carried out seconds later. It is settled
-/// by raising the fence and looking: what the look does not show then never
-/// starts. All methods run in fibers of one thread.
+/// An order without an answer may be carried out seconds later. It is settled
+/// by a poll under a higher fence: a task that the reply lacks never starts.
+/// All methods run in fibers of one thread.
 class WorkerControl
 {
 public:
-  /// `aOnChange` is called when ends arrive that the owner does not know.
+  /// `aOnChange` is called when there is something new to report.
   WorkerControl(cell::TaskWorker& aWorker, std::function<void()> aOnChange);
 
-  /// The worker told about itself. Returns true when something changed.
+  /// Applies the info of a heartbeat. Returns true if it changed.
   bool UpdateInfo(const cell::WorkerInfo& aInfo);
   const cell::WorkerInfo& Info() const { return mInfo; }
 
-  /// Asks the worker whether a heartbeat of another incarnation is of the one
-  /// that answers now; false also without an answer.
+  /// Asks the worker whether it is this incarnation. Returns false without an
+  /// answer.
   bool IsPresent(const cell::WorkerIncarnation& aIncarnation);
 
-  /// Ends all earlier sessions at the worker and returns what is there.
+  /// Ends all earlier sessions at the worker and returns its state.
   absl::StatusOr<cell::WorkerState> Attach(cell::Session aSession);
 
-  /// Carries out the orders of the session. Not accepted: another session or
-  /// incarnation, or the fate of an order could not be settled; the owner must
-  /// attach again.
+  /// Carries out the orders of the session. They are not accepted if they are
+  /// for another session or incarnation, or if one could not be settled. The
+  /// owner must then attach again.
   cell::OrderReply CarryOut(const cell::OrderRequest& aOrders);
 
-  /// The owner's reply to a report that was sent at `aSentAt`.
+  /// Applies the owner's reply to a report that was sent at `aSentAt`.
   void OnGrant(cell::Session aSession,
                Instant aSentAt,
                Duration aGrant,
                std::int64_t aAcknowledged);
 
   void SetInterferenceWeights(
-    std::span<const cell::InterferenceWeight> aPressures)
+    std::span<const cell::InterferenceWeight> aWeights)
   {
-    mThrottleController.SetInterferenceWeights(aPressures);
+    mThrottleController.SetInterferenceWeights(aWeights);
   }
 
-  /// Looks at a worker of which nothing is known yet, so that it can be given
-  /// leases before the end of a look that waits.
+  /// Polls a new incarnation without a wait. Leases need a sample of its clock,
+  /// which would otherwise come only at the end of a poll that waits.
   void PollFirst();
 
-  /// One look, with the wait for an end. Returns the pause until the next.
+  /// Polls the worker, waiting for the end of a task. Returns the pause before
+  /// the next poll.
   Duration Poll();
 
   WorkerSnapshot Snapshot() const;
-  /// Starts that were refused for lack of room so far.
-  std::int64_t RefusedOverCapacity() const { return mOverCapacity; }
+  /// Number of starts refused because they exceed the worker's capacity.
+  std::int64_t RefusedOverCapacity() const { return mRefusedOverCapacity; }
   const ThrottleLog& Throttling() const { return mThrottleLog; }
-  /// The session in force; 0 while one begins, since what is known of the
-  /// worker may be older than it: a report then would deny what runs.
+  /// The session in force; 0 while one begins. The known state may then be
+  /// older than the session, and a report could lack running tasks.
   cell::Session CurrentSession() const { return mSessionReady ? mSession : 0; }
 
 private:
-  /// False when the orders' session is no longer in force: their fence is dead
-  /// at the worker, and what is sent under a newer one would be unknown to its
-  /// owner.
+  /// False if the session of the orders is no longer in force. The worker
+  /// rejects its fences, and the owner of a newer session does not know the
+  /// orders.
   bool InForce(const cell::OrderRequest& aOrders) const;
   cell::StartOutcome Start(const cell::OrderRequest& aOrders,
                            const cell::StartOrder& aOrder,
                            bool& aSettled);
-  /// False when the start does not fit the worker's newest capacity.
+  /// False if the start does not fit the worker's newest capacity.
   bool HasCapacityFor(const cell::StartOrder& aOrder);
   bool Stop(const cell::OrderRequest& aOrders, const cell::StopOrder& aOrder);
-  /// Raises the fence and looks, until the worker answers or time runs out.
+  /// Raises the fence and polls until the worker answers or a timeout expires.
   bool Settle(cell::Session aSession);
   absl::StatusOr<cell::PollReply> PollOnce(Duration aWait, bool aExtend);
   void UpdateThrottles();
   void SendThrottles(std::span<const cell::ThrottleChange> aChanges,
                      bool aRaises);
   void SendThrottle(const cell::ThrottleChange& aChange);
-  /// A call under the fence `aUsed` got no answer: it is not carried out any
-  /// more once the worker has seen a higher one. Without a fence left in the
-  /// session a new one is asked for.
+  /// To be called when a call under the fence `aUsed` got no answer. The worker
+  /// rejects the call after it has received a higher fence. If the session has
+  /// no fence left, a new session is requested.
   void RaiseFence(cell::Fence aUsed);
   void RecordCrash();
   void OnPollFailed(const absl::Status& aStatus);
@@ -117,19 +118,19 @@
   std::function<void()> mOnChange;
   cell::WorkerInfo mInfo;
   cell::WorkerStateTracker mStateTracker;
-  std::deque<cell::CrashedWorker> mCrashes; ///< The newest ones, oldest first.
+  std::deque<cell::CrashedWorker> mCrashes; ///< Newest ones, oldest first.
   cell::CapacityGate mGate;
-  std::int64_t mOverCapacity = 0;
+  std::int64_t mRefusedOverCapacity = 0;
   cell::LeaseGrant mLease;
   cell::ThrottleController mThrottleController;
   ThrottleLog mThrottleLog;
-  UnknownTaskTimer mUnknownTasks;
+  UnknownTaskTimer mUnknownTaskTimer;
   cell::Session mSession = 0;
-  bool mSessionReady = false;   ///< The worker was looked at in this session.
-  std::int64_t mOrdersDone = 0; ///< Number of the newest of this session.
+  bool mSessionReady = false;   ///< The worker was polled in mSession.
+  std::int64_t mOrdersDone = 0; ///< Newest order number in mSession.
   cell::Fence mFence = 0;
-  cell::WorkerLiveness mLiveness;    ///< Of this incarnation.
-  boost::fibers::mutex mSettleMutex; ///< One settles at a time.
+  cell::WorkerLiveness mLiveness;    ///< Of the current incarnation.
+  boost::fibers::mutex mSettleMutex; ///< Held by Settle().
 };
 
 } // namespace foxtailbarrow::taskagent
--- a/apps/taskagent/WorkerControlOrders.cpp
+++ b/apps/taskagent/WorkerControlOrders.cpp
@@ -11,14 +11,14 @@
 #include "foxtailbarrow/Verdict.h"
 #include "src/telemetry/Log.h"
 
-/// Orders of the cell's owner at the worker.
+/// Orders of the cell's owner to the worker.
 namespace foxtailbarrow::taskagent {
 
 using cell::StartOutcome;
 
 namespace {
 
-constexpr int kStopTries = 3;
+constexpr int kStopAttempts = 3;
 
 StartOutcome OutcomeOf(const absl::Status& aStatus)
 {
@@ -35,9 +35,9 @@
   if (!InForce(aOrders)) {
     return reply;
   }
-  for (const cell::TaskMetadata& traits : aOrders.mMetadata) {
-    mThrottleController.SetMetadata(traits);
-    mGate.SetReservation(traits.mTask, traits.mReserved);
+  for (const cell::TaskMetadata& metadata : aOrders.mMetadata) {
+    mThrottleController.SetMetadata(metadata);
+    mGate.SetReservation(metadata.mTask, metadata.mReserved);
   }
   bool settled = true;
   std::vector<boost::fibers::fiber> calls;
@@ -105,28 +105,28 @@
                                      mFence },
                                    kOrderTimeout);
   StartOutcome outcome = StartOutcome::NotStarted;
-  bool fateKnown = true;
+  bool outcomeKnown = true;
   if (reply.ok()) {
     mLiveness.OnCallAnswered(MonotonicNow());
     outcome = reply->mOutcome;
   } else if (VerdictOf(reply.status()) == Verdict::NotRun) {
     outcome = OutcomeOf(reply.status());
   } else if (!Settle(aOrders.mSession)) {
-    fateKnown = false;
+    outcomeKnown = false;
     aSettled = false;
   } else if (mStateTracker.Knows(aOrder.mTask, aOrder.mRun)) {
     outcome = StartOutcome::Started;
   }
   if (outcome == StartOutcome::Started) {
     mStateTracker.OnStarted(aOrder.mTask, aOrder.mRun, MonotonicNow());
-  } else if (fateKnown) {
+  } else if (outcomeKnown) {
     mStateTracker.OnNotStarted(aOrder.mTask, aOrder.mRun);
   }
   LogChange("task-started",
             { { "task", ToString(aOrder.mTask) },
               { "run", aOrder.mRun },
               { "outcome", ToString(outcome) },
-              { "settled", fateKnown ? 1 : 0 },
+              { "settled", outcomeKnown ? 1 : 0 },
               { "error", reply.ok() ? "" : reply.status().ToString() } });
   if (outcome == StartOutcome::Started) {
     if (const auto change = mThrottleController.ThrottleForStart(
@@ -139,12 +139,12 @@
 
 bool WorkerControl::HasCapacityFor(const cell::StartOrder& aOrder)
 {
-  const std::vector<cell::TaskRef> there = mStateTracker.MayBeRunning();
+  const std::vector<cell::TaskRef> present = mStateTracker.MayBeRunning();
   const Resources& capacity = mInfo.mCapacity;
-  if (mGate.Admits(capacity, there, aOrder.mTask, aOrder.mReserved)) {
+  if (mGate.Admits(capacity, present, aOrder.mTask, aOrder.mReserved)) {
     return true;
   }
-  ++mOverCapacity;
+  ++mRefusedOverCapacity;
   LogChange("start-over-capacity",
             { { "task", ToString(aOrder.mTask) },
               { "run", aOrder.mRun },
@@ -152,15 +152,16 @@
               { "memoryMb", aOrder.mReserved.mMemoryMb },
               { "ofMillicores", capacity.mMillicores },
               { "ofMemoryMb", capacity.mMemoryMb },
-              { "there", there.size() } });
+              { "there", present.size() } });
   return false;
 }
 
 bool WorkerControl::Stop(const cell::OrderRequest& aOrders,
                          const cell::StopOrder& aOrder)
 {
-  absl::Status status = absl::AbortedError("another session");
-  for (int attempt = 0; attempt < kStopTries && InForce(aOrders); ++attempt) {
+  absl::Status status = absl::AbortedError("the session is no longer in force");
+  for (int attempt = 0; attempt < kStopAttempts && InForce(aOrders);
+       ++attempt) {
     status = mWorker.Stop({ aOrder.mTask, aOrder.mRun, mFence }, kOrderTimeout);
     if (status.ok()) {
       break;
--- a/apps/taskagent/WorkerTimeouts.h
+++ b/apps/taskagent/WorkerTimeouts.h
@@ -4,13 +4,13 @@
 
 #include "foxtailbarrow/Time.h"
 
-/// Time-outs of calls to the worker on the same machine.
+/// Timeouts of calls to the worker on the same machine.
 namespace foxtailbarrow::taskagent {
 
-/// Of a start or stop at a healthy worker: milliseconds. Beyond this it is
-/// settled instead of waited for.
+/// For a start or stop, which takes milliseconds at a healthy worker. After it,
+/// the order is settled instead.
 inline constexpr Duration kOrderTimeout = std::chrono::milliseconds(250);
-/// Of a look without a wait.
+/// For a poll without a wait.
 inline constexpr Duration kPollTimeout = std::chrono::milliseconds(300);
 
 } // namespace foxtailbarrow::taskagent
--- a/tests/taskagent/RestartedAgentTest.cpp
+++ b/tests/taskagent/RestartedAgentTest.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// The scheduler of a cell, and the agent of one worker.
+/// The scheduler of a cell and the agent of one worker.
 class RestartedAgentTest : public cell::test::CellFixture
 {
 protected:
   static inline const std::string kAgent = "agent";
   static constexpr Duration kPatience = std::chrono::seconds(10);
 
-  /// A session of the scheduler with an agent that knows nothing.
+  /// Begins a session of the scheduler with an agent without state.
   cell::OrderRequest Begin(WorkerControl& aControl)
   {
     aControl.UpdateInfo(State("life").mInfo);
@@ -33,22 +33,23 @@
   ThrottledWorker mWorker;
 };
 
-TEST_F(RestartedAgentTest, ProtectsTheServingTasksThatRanOn)
+/// A restarted agent gets the metadata of the running tasks from the owner.
+TEST_F(RestartedAgentTest, ProtectsTheServingTasksThatKeptRunning)
 {
   cell::StepSpec serving = Step(1);
   serving.mStanding = true;
   serving.mImage = "serving";
   serving.mLatencyTarget = std::chrono::milliseconds(20);
-  cell::StepSpec leftover = Step(1);
-  leftover.mBestEffort = true;
-  leftover.mImage = "leftover";
+  cell::StepSpec bestEffort = Step(1);
+  bestEffort.mBestEffort = true;
+  bestEffort.mImage = "leftover";
   net::FiberRuntime runtime(1);
   runtime.RunAndWait([&] {
     {
       WorkerControl first(mWorker, [] {});
       Begin(first);
-      AddRecorded(Graph("serving", { serving }));
-      AddRecorded(Graph("leftover", { leftover }));
+      AddSavedJob(Graph("serving", { serving }));
+      AddSavedJob(Graph("leftover", { bestEffort }));
       cell::OrderRequest orders = Orders(kAgent);
       Started(kAgent, orders);
       for (const cell::StartOrder& order : orders.mStarts) {
--- a/tests/taskagent/TaskAgentTest.cpp
+++ b/tests/taskagent/TaskAgentTest.cpp
@@ -19,11 +19,11 @@
 using std::chrono::seconds;
 
 constexpr cell::Session kSession = 1 << 8;
-/// For heartbeats of 0.5 s, on a busy machine.
+/// Timeout for heartbeats, which are sent every 0.5 s, on a busy machine.
 constexpr Duration kPatience = seconds(10);
 
-/// A task agent and its worker, which speak over TCP, and the owner played by
-/// the test.
+/// A task agent, its worker, and the owner simulated by the test, connected by
+/// TCP.
 class TaskAgentTest : public testing::Test
 {
 protected:
@@ -39,22 +39,23 @@
         return reply;
       });
     auto owner = net::HttpServer::Start(
-      mWorld, { "127.0.0.1", 0 }, [this](net::HttpRequest& aRequest) {
+      mTestRuntime, { "127.0.0.1", 0 }, [this](net::HttpRequest& aRequest) {
         return mDispatcher.Handle(aRequest);
       });
     ASSERT_TRUE(owner.ok());
     mOwner = *std::move(owner);
     mSettings.mId = AgentId("agent");
-    mSettings.mListen = net::PrivateEndpoint(mWorld);
+    mSettings.mListen = net::PrivateEndpoint(mTestRuntime);
     mSettings.mAdvertised = mSettings.mListen;
-    mSettings.mControl = net::PrivateEndpoint(mWorld);
-    mSettings.mWorker = net::PrivateEndpoint(mWorld);
-    mSettings.mStore = net::PrivateEndpoint(mWorld); // Nobody answers there.
+    mSettings.mControl = net::PrivateEndpoint(mTestRuntime);
+    mSettings.mWorker = net::PrivateEndpoint(mTestRuntime);
+    mSettings.mStore =
+      net::PrivateEndpoint(mTestRuntime); // Nothing listens there.
     mAgent = std::make_unique<TaskAgent>(mSettings, mRuntime);
     const absl::Status started = mAgent->Start();
     ASSERT_TRUE(started.ok()) << started;
     auto worker = standin::TaskWorkerService::Start(
-      mWorld,
+      mTestRuntime,
       { mSettings.mWorker, mSettings.mControl, "worker", "service", "rack" },
       {},
       1,
@@ -70,13 +71,13 @@
 
   void TearDown() override
   {
-    // The worker's fibers last as long as their runtime.
+    // Not destroyed: the worker's fibers run as long as their runtime.
     mAgent.reset();
     mOwner.reset();
     static_cast<void>(mWorker.release());
   }
 
-  /// What the agent reports, once it is attached; nothing in time is an error.
+  /// Attaches the agent and returns its reply, or an error on a timeout.
   absl::StatusOr<cell::AttachReply> Attach()
   {
     const Instant end = MonotonicNow() + kPatience;
@@ -94,7 +95,7 @@
     }
   }
 
-  /// Two heartbeats: the second one of them was sent after the call.
+  /// Waits for two heartbeats, the second of which was sent after the call.
   void AwaitBeats()
   {
     const int wanted = mAnswered + 2;
@@ -104,7 +105,7 @@
     }
   }
 
-  /// Outcomes of starts of 1000 millicores each.
+  /// Orders starts of 1000 millicores each and returns their outcomes.
   std::vector<cell::StartOutcome> Order(int aStarts)
   {
     cell::OrderRequest orders;
@@ -130,9 +131,9 @@
     return outcomes;
   }
 
-  net::FiberRuntime mWorld{ 1 };
+  net::FiberRuntime mTestRuntime{ 1 };
   net::FiberRuntime mRuntime{ 1 };
-  net::HttpClient mClient{ mWorld };
+  net::HttpClient mClient{ mTestRuntime };
   net::RpcClient mRpc{ mClient };
   net::RpcDispatcher mDispatcher;
   TaskAgentSettings mSettings;
@@ -145,10 +146,10 @@
   std::int64_t mNumber = 0;
 };
 
-TEST_F(TaskAgentTest, AWorkerThatShrankIsNotBroughtOverItsCapacity)
+TEST_F(TaskAgentTest, AWorkerThatShrankIsNotLoadedBeyondItsCapacity)
 {
   using enum cell::StartOutcome;
-  mWorld.RunAndWait([this] {
+  mTestRuntime.RunAndWait([this] {
     ASSERT_TRUE(Attach().ok());
     AwaitBeats();
     EXPECT_EQ(Order(3), std::vector({ Started, Started, Started }));
@@ -162,11 +163,11 @@
   });
 }
 
-/// A cut held a heartbeat back until its sender had crashed and was back under
-/// another incarnation.
-TEST_F(TaskAgentTest, ALateHeartbeatOfACrashedLifeChangesNothing)
+/// A network cut delayed a heartbeat until its worker had crashed and restarted
+/// as another incarnation.
+TEST_F(TaskAgentTest, ALateHeartbeatOfACrashedIncarnationChangesNothing)
 {
-  mWorld.RunAndWait([this] {
+  mTestRuntime.RunAndWait([this] {
     AwaitBeats();
     const std::string dead = mWorker->Incarnation();
     mWorker->Crash();
--- a/tests/taskagent/ThrottleTest.cpp
+++ b/tests/taskagent/ThrottleTest.cpp
@@ -15,14 +15,14 @@
 using std::chrono::seconds;
 
 constexpr cell::Session kSession = 1 << 8;
-constexpr std::int64_t kOver = 60;
+constexpr std::int64_t kOverTarget = 60;
 constexpr std::int64_t kBaseline = 5;
 constexpr Duration kPatience = seconds(10);
 const cell::TaskRef kServing{ JobId("serving"), 0, 0, 0 };
 const cell::TaskRef kBestEffort{ JobId("leftover"), 0, 0, 0 };
 
-/// An agent's control of a worker that runs a serving and a leftover task,
-/// which it did not start itself.
+/// An agent's control of a worker that runs a serving task and a best-effort
+/// task, neither of which this agent started.
 class ThrottleTest : public testing::Test
 {
 protected:
@@ -55,13 +55,13 @@
           {} });
     }
     EXPECT_TRUE(aControl.CarryOut(orders).mAccepted);
-    const cell::InterferenceWeight pressures[] = {
+    const cell::InterferenceWeight weights[] = {
       { "serving", "leftover", 0.15 }
     };
-    aControl.SetInterferenceWeights(pressures);
+    aControl.SetInterferenceWeights(weights);
   }
 
-  /// Looks until `aDone`; false when it does not come.
+  /// Polls until `aDone`; returns false on a timeout.
   template<typename Condition>
   static bool PollUntil(WorkerControl& aControl, Condition aDone)
   {
@@ -92,37 +92,37 @@
     WorkerControl control(mWorker, [] {});
     Attach(control);
     SendMetadata(control);
-    ServingFigure() = kOver;
+    ServingFigure() = kOverTarget;
     ASSERT_TRUE(PollUntil(control, [&] { return Throttle() == 0; }));
     mWorker.mDropsThrottles = true;
     ServingFigure() = kBaseline;
-    ASSERT_TRUE(PollUntil(control, [&] { return mWorker.Late() > 0; }));
+    ASSERT_TRUE(PollUntil(control, [&] { return mWorker.LateCount() > 0; }));
     mWorker.mDropsThrottles = false;
     ASSERT_TRUE(PollUntil(control, [&] { return Throttle() > 0; }));
-    ServingFigure() = kOver;
+    ServingFigure() = kOverTarget;
     ASSERT_TRUE(PollUntil(control, [&] { return Throttle() == 0; }));
-    mWorker.CarryOutLate();
+    mWorker.ApplyLate();
     EXPECT_EQ(Throttle(), 0);
   });
 }
 
-/// A stop that was lost waited for the next look, which may be late.
-TEST_F(ThrottleTest, APaceWithoutAnAnswerIsSentAgainAtOnce)
+/// A lost stop was not repeated before the next poll, which may be late.
+TEST_F(ThrottleTest, AThrottleCallWithoutAnAnswerIsRepeatedAtOnce)
 {
   net::FiberRuntime runtime(1);
   runtime.RunAndWait([&] {
     WorkerControl control(mWorker, [] {});
     Attach(control);
     SendMetadata(control);
-    ServingFigure() = kOver;
+    ServingFigure() = kOverTarget;
     mWorker.mDropsThrottles = true;
     control.Poll();
-    EXPECT_EQ(mWorker.Late(), 2U);
+    EXPECT_EQ(mWorker.LateCount(), 2U);
   });
 }
 
-/// One after the other, each would take a time-out.
-TEST_F(ThrottleTest, PacesWithoutAnswersDoNotWaitForEachOther)
+/// If the calls were sequential, each would delay the others by its timeout.
+TEST_F(ThrottleTest, ThrottleCallsWithoutAnswersDoNotWaitForEachOther)
 {
   constexpr int kTasks = 8;
   constexpr milliseconds kAnswerAfter(100);
@@ -137,14 +137,15 @@
     }
     SendMetadata(control);
     mWorker.mThrottleDelay = kAnswerAfter;
-    ServingFigure() = kOver;
+    ServingFigure() = kOverTarget;
     control.Poll();
     EXPECT_EQ(mWorker.mMaxConcurrentThrottles, kTasks);
   });
 }
 
-/// The next look may be late.
-TEST_F(ThrottleTest, AStartBesideAnImageOverItsTargetIsPacedBeforeTheNextLook)
+/// The next poll may be late.
+TEST_F(ThrottleTest,
+       AStartColocatedWithAnImageOverItsTargetIsThrottledBeforeTheNextPoll)
 {
   net::FiberRuntime runtime(1);
   runtime.RunAndWait([&] {
@@ -152,7 +153,7 @@
     Attach(control);
     SendMetadata(control);
     control.OnGrant(kSession, MonotonicNow(), seconds(3), 0);
-    ServingFigure() = kOver;
+    ServingFigure() = kOverTarget;
     control.Poll();
     cell::OrderRequest orders;
     orders.mSession = kSession;
@@ -169,7 +170,7 @@
   });
 }
 
-TEST_F(ThrottleTest, ARestartedAgentSpeedsUpWhatTheOneBeforeItSlowedDown)
+TEST_F(ThrottleTest, ARestartedAgentRaisesTheThrottlesOfItsPredecessor)
 {
   net::FiberRuntime runtime(1);
   runtime.RunAndWait([&] {
@@ -181,8 +182,8 @@
   });
 }
 
-/// Each look has a pace without an answer, which takes a fence.
-TEST_F(ThrottleTest, ASessionWithoutAFenceLeftIsBegunAnew)
+/// Each poll causes a throttle call without an answer, which uses up a fence.
+TEST_F(ThrottleTest, ASessionWithoutAFenceLeftIsReplaced)
 {
   constexpr int kMoreThanFences = 260;
   net::FiberRuntime runtime(1);
@@ -191,7 +192,7 @@
     Attach(control);
     SendMetadata(control);
     mWorker.mDropsThrottles = true;
-    for (int look = 0; look < kMoreThanFences; ++look) {
+    for (int poll = 0; poll < kMoreThanFences; ++poll) {
       control.Poll();
     }
     EXPECT_EQ(control.CurrentSession(), 0);
@@ -200,7 +201,7 @@
   });
 }
 
-TEST_F(ThrottleTest, ASessionThatTellsNoTraitsOfRunningTasksIsBegunAnew)
+TEST_F(ThrottleTest, ASessionWithoutMetadataOfRunningTasksIsReplaced)
 {
   net::FiberRuntime runtime(1);
   runtime.RunAndWait([&] {
--- a/tests/taskagent/ThrottledWorker.cpp
+++ b/tests/taskagent/ThrottledWorker.cpp
@@ -24,7 +24,7 @@
   }
 }
 
-void ThrottledWorker::CarryOutLate()
+void ThrottledWorker::ApplyLate()
 {
   for (const cell::ThrottleCall& call : mLate) {
     if (AcceptFence(call.mFence).ok()) {
--- a/tests/taskagent/ThrottledWorker.h
+++ b/tests/taskagent/ThrottledWorker.h
@@ -8,8 +8,8 @@
 
 namespace foxtailbarrow::taskagent::test {
 
-/// A worker that carries out paces, and may leave them without an answer and
-/// carry them out when it is told to. Answers looks at once.
+/// A worker that applies throttle calls. It can also leave them unanswered and
+/// apply them later. Answers polls at once.
 class ThrottledWorker final : public cell::TaskWorker
 {
 public:
@@ -17,18 +17,19 @@
   {
     cell::RunNumber mRun = 0;
     std::int64_t mFigure = 0;
-    std::int32_t mThrottle = 100;
+    std::int32_t mThrottle = 100; ///< Percent of full speed.
   };
 
   std::map<cell::TaskRef, Task> mTasks;
   bool mDropsThrottles = false;
   int mConcurrentThrottles = 0; ///< Calls without an answer yet.
   int mMaxConcurrentThrottles = 0;
-  Duration mThrottleDelay{}; ///< Until a pace is answered.
+  Duration mThrottleDelay{}; ///< Before a throttle call is answered.
 
-  /// Paces that got no answer, unless a higher fence was seen since.
-  void CarryOutLate();
-  std::size_t Late() const { return mLate.size(); }
+  /// Applies the unanswered throttle calls, except those below a fence received
+  /// since.
+  void ApplyLate();
+  std::size_t LateCount() const { return mLate.size(); }
 
   void Expect(const cell::WorkerIncarnation&) override {}
   absl::StatusOr<bool> IsPresent(const cell::WorkerIncarnation&,
--- a/tests/taskagent/UnknownTaskTimerTest.cpp
+++ b/tests/taskagent/UnknownTaskTimerTest.cpp
@@ -14,24 +14,24 @@
 struct UnknownTaskCase
 {
   const char* mName;
-  int mKnownAt; ///< The second of the only look without unknown tasks.
-  std::vector<int> mAsked;
+  int mKnownAt; ///< Second of the only poll without unknown tasks.
+  std::vector<int> mRequested;
 };
 
 class UnknownTaskTimerTest : public testing::TestWithParam<UnknownTaskCase>
 {};
 
-TEST_P(UnknownTaskTimerTest, AsksAgainAfterGrowingPauses)
+TEST_P(UnknownTaskTimerTest, RequestsAgainAfterGrowingPauses)
 {
   UnknownTaskTimer timer;
-  std::vector<int> asked;
+  std::vector<int> requested;
   for (int second = 0; second <= 20; ++second) {
     if (timer.Update(second != GetParam().mKnownAt,
                      Instant(seconds(100 + second)))) {
-      asked.push_back(second);
+      requested.push_back(second);
     }
   }
-  EXPECT_EQ(asked, GetParam().mAsked);
+  EXPECT_EQ(requested, GetParam().mRequested);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/taskagent/WorkerControlTest.cpp
+++ b/tests/taskagent/WorkerControlTest.cpp
@@ -18,14 +18,15 @@
 
 const cell::TaskRef kTask{ JobId("job"), 0, 0, 0 };
 
-/// A worker that runs one task and answers looks when it is let.
+/// A worker that runs one task and does not answer polls before it is allowed
+/// to.
 class SlowWorker final : public cell::TaskWorker
 {
 public:
   bool mAnswers = false;
-  int mStarts = 0;          ///< Calls.
-  bool mDropsCalls = false; ///< Neither does anything nor answers.
-  bool mGone = false;       ///< Nothing listens at its address.
+  int mStarts = 0;                  ///< Number of calls.
+  bool mDropsCalls = false;         ///< Ignores calls without an answer.
+  bool mRefusesConnections = false; ///< Nothing listens at its address.
 
   void Expect(const cell::WorkerIncarnation&) override {}
 
@@ -41,7 +42,7 @@
   {
     ++mStarts;
     if (mDropsCalls) {
-      return Lost();
+      return Timeout();
     }
     return cell::StartReply{};
   }
@@ -61,12 +62,12 @@
     while (!mAnswers) {
       boost::this_fiber::sleep_for(milliseconds(1));
     }
-    if (mGone) {
+    if (mRefusesConnections) {
       return net::WithConnectionRefused(WithVerdict(
         absl::UnavailableError("connection refused"), Verdict::NotRun));
     }
     if (mDropsCalls) {
-      return Lost();
+      return Timeout();
     }
     cell::PollReply reply;
     reply.mRunning.emplace_back().mTask = kTask;
@@ -74,7 +75,7 @@
   }
 
 private:
-  static absl::Status Lost()
+  static absl::Status Timeout()
   {
     return WithVerdict(absl::DeadlineExceededError("timed out"),
                        Verdict::MayHaveRun);
@@ -84,13 +85,13 @@
 constexpr cell::Session kSession = 1 << 8;
 constexpr cell::Session kNextSession = 2 << 8;
 
-/// The control of a worker that answers, and its agent's world.
+/// The control of a worker in the runtime of its agent.
 class WorkerControlTest : public testing::Test
 {
 protected:
   /// Runs `aTest` on a fiber.
   template<typename Test>
-  void Play(const Test& aTest)
+  void RunOnFiber(const Test& aTest)
   {
     net::FiberRuntime runtime(1);
     mRuntime = &runtime;
@@ -147,13 +148,12 @@
   net::FiberRuntime* mRuntime = nullptr;
 };
 
-/// A worker that looks waited for 0.4 s at, and that came back under another
-/// incarnation in the same session, refused all starts meanwhile: the agent had
-/// no sample of its clock, and so no lease to give (`task-start-refused
-/// reason=no-lease` every 100 ms).
-TEST_F(WorkerControlTest, AWorkerThatCameBackTakesStartsAtOnce)
+/// A worker that restarted as another incarnation within a session refused all
+/// starts until the end of the pending poll, which waits up to 0.4 s: without a
+/// sample of its clock the agent cannot give leases.
+TEST_F(WorkerControlTest, ARestartedWorkerAcceptsStartsAtOnce)
 {
-  Play([&] {
+  RunOnFiber([&] {
     Attach();
     RestartAs("next");
     mControl->PollFirst();
@@ -163,10 +163,10 @@
   });
 }
 
-/// Crashes of a worker are told to owners that did not see what ran there.
-TEST_F(WorkerControlTest, ACrashIsRememberedWithWhatHadJustStarted)
+/// Crashes are reported with their runs to owners that do not know those runs.
+TEST_F(WorkerControlTest, ACrashIsKeptWithTheRunsThatHadJustStarted)
 {
-  Play([&] {
+  RunOnFiber([&] {
     Attach();
     RestartAs("next");
     const cell::WorkerState state = mControl->Snapshot().mState;
@@ -181,14 +181,15 @@
   });
 }
 
-/// What a crashed worker ran counted as alive until its next incarnation came.
+/// The runs of a crashed worker counted as alive until its next incarnation
+/// started.
 TEST_F(WorkerControlTest, AWorkerThatRefusesConnectionsHasEnded)
 {
-  Play([&] {
+  RunOnFiber([&] {
     Attach();
-    mWorker.mGone = true;
+    mWorker.mRefusesConnections = true;
     mControl->Poll();
-    EXPECT_FALSE(mControl->Snapshot().mEnded); // One may be of a race.
+    EXPECT_FALSE(mControl->Snapshot().mEnded); // One refusal may be a race.
     mControl->Poll();
     const WorkerSnapshot ended = mControl->Snapshot();
     EXPECT_TRUE(ended.mEnded);
@@ -196,22 +197,22 @@
     EXPECT_TRUE(ended.mState.mRunning.empty());
     ASSERT_EQ(ended.mState.mCrashes.size(), 1U);
     EXPECT_EQ(ended.mState.mCrashes[0].mRuns[0].mTask, kTask);
-    // The next owner need not wait for it.
+    // The next owner does not have to wait for the worker.
     EXPECT_TRUE(mControl->Attach(kNextSession).ok());
-    mWorker.mGone = false;
+    mWorker.mRefusesConnections = false;
     RestartAs("next");
     const WorkerSnapshot next = mControl->Snapshot();
     EXPECT_FALSE(next.mEnded);
-    EXPECT_EQ(next.mState.mCrashes.size(), 1U); // It is told once.
+    EXPECT_EQ(next.mState.mCrashes.size(), 1U); // Reported once.
   });
 }
 
 TEST_F(WorkerControlTest, AWorkerThatDoesNotAnswerHasNotEnded)
 {
-  Play([&] {
+  RunOnFiber([&] {
     Attach();
     mWorker.mDropsCalls = true;
-    for (int look = 0; look < 4; ++look) {
+    for (int poll = 0; poll < 4; ++poll) {
       mControl->Poll();
     }
     EXPECT_FALSE(mControl->Snapshot().mEnded);
@@ -219,10 +220,11 @@
   });
 }
 
-/// The owner takes a run's life from these two, whenever it reads them.
-TEST_F(WorkerControlTest, ARunIsToldWithWhenItWasFirstKnown)
+/// The owner computes a run's uptime from these two values, whenever it reads
+/// them.
+TEST_F(WorkerControlTest, ARunIsReportedWithTheTimeItWasFirstKnown)
 {
-  Play([&] {
+  RunOnFiber([&] {
     Attach();
     const WorkerSnapshot first = mControl->Snapshot();
     ASSERT_EQ(first.mState.mRunning.size(), 1U);
@@ -241,9 +243,9 @@
 struct ShrunkCase
 {
   const char* mName;
-  std::int64_t mMillicores; ///< Capacity that was told last.
-  std::int64_t mRunning;    ///< Reserved by the task that is there.
-  int mStarted;             ///< Of four starts of 1000.
+  std::int64_t mMillicores; ///< Newest reported capacity.
+  std::int64_t mRunning;    ///< Reserved by the running task.
+  int mStarted;             ///< Of four starts with 1000 each.
 };
 
 class ShrunkWorkerTest
@@ -259,12 +261,12 @@
   }
 };
 
-/// A report of a smaller capacity was on its way to the owner, and orders of
-/// the larger one on theirs: the starts brought the worker over it.
-TEST_P(ShrunkWorkerTest, GetsNoStartBeyondWhatItToldLast)
+/// The owner sent orders for the larger capacity before it received the report
+/// of the smaller one. Their starts exceeded the worker's capacity.
+TEST_P(ShrunkWorkerTest, GetsNoStartBeyondItsNewestCapacity)
 {
   mInfo.mCapacity = { 8000, 8000, 0 };
-  Play([&] {
+  RunOnFiber([&] {
     Attach();
     mInfo.mCapacity.mMillicores = GetParam().mMillicores;
     mControl->UpdateInfo(mInfo);
@@ -295,14 +297,13 @@
                            return std::string(aInfo.param.mName);
                          });
 
-/// On a day with orders that workers carry out late a worker of 96 cores
-/// refused every start from then on: what had got no answer was taken for
-/// there, though the next session's first look had shown that it was not. Two
-/// tasks that last did not run for 30 s, with 15,193 refusals.
-TEST_F(WorkerControlTest, AStartThatIsSettledByTheNextSessionTakesNoRoom)
+/// Starts without an answer were counted as running even after the first poll
+/// of the next session had shown that they were not. The worker refused every
+/// start from then on.
+TEST_F(WorkerControlTest, AStartSettledByTheNextSessionTakesNoCapacity)
 {
   mInfo.mCapacity = { 1000, 1000, 0 };
-  Play([&] {
+  RunOnFiber([&] {
     Attach();
     cell::OrderRequest late = Orders();
     AddStart(late, { JobId("late"), 0, 0, 0 }, { 1000, 1000, 0 });
@@ -316,9 +317,9 @@
   });
 }
 
-TEST_F(WorkerControlTest, NoSessionIsInForceBeforeTheWorkerWasLookedAt)
+TEST_F(WorkerControlTest, NoSessionIsInForceBeforeTheWorkerWasPolled)
 {
-  Play([&] {
+  RunOnFiber([&] {
     bool attached = false;
     mRuntime->Spawn([&] {
       const auto state = mControl->Attach(kSession);
@@ -327,7 +328,7 @@
       attached = true;
     });
     boost::this_fiber::sleep_for(milliseconds(5));
-    // A report now would say that nothing runs.
+    // A report sent now would lack the running task.
     EXPECT_TRUE(mControl->Snapshot().mState.mRunning.empty());
     EXPECT_EQ(mControl->CurrentSession(), 0);
     mWorker.mAnswers = true;
