--- a/apps/scheduler/JobRequestHandler.cpp
+++ b/apps/scheduler/JobRequestHandler.cpp
@@ -23,7 +23,7 @@
 constexpr Duration kAnswerReserve = std::chrono::milliseconds(150);
 /// Interval of checks whether the store has become silent during a write.
 constexpr Duration kSilencePoll = std::chrono::milliseconds(20);
-/// For the answer of one other scheduler.
+/// Timeout of a request forwarded to one other scheduler.
 constexpr Duration kForwardTimeout = std::chrono::milliseconds(1200);
 constexpr Duration kOwnerTimeout = std::chrono::milliseconds(500);
 
--- a/apps/scheduler/WriteRetries.cpp
+++ b/apps/scheduler/WriteRetries.cpp
@@ -15,8 +15,8 @@
 /// Duration of a call that the store does not answer. A retry that would end
 /// after the caller's deadline would only delay the answer.
 constexpr Duration kUnansweredCallTime = std::chrono::milliseconds(1000);
-/// Refusals by the store after which the caller is told to retry later: an
-/// outage outlasts the caller's deadline.
+/// Refusals by the store after which the caller is asked to retry later, since
+/// an outage outlasts the caller's deadline.
 constexpr int kMaxRefusals = 2;
 
 } // namespace
--- a/tests/scheduler/BusyOwnerTest.cpp
+++ b/tests/scheduler/BusyOwnerTest.cpp
@@ -20,7 +20,7 @@
 constexpr int kAgents = 300;
 constexpr Duration kReportInterval = milliseconds(450);
 /// Timeout for the owner to attach all agents.
-constexpr Duration kPatience = seconds(30);
+constexpr Duration kTimeout = seconds(30);
 
 std::string Configuration(int aVersion, const std::string& aPrefix)
 {
@@ -149,7 +149,7 @@
 /// change.
 TEST_F(BusyOwnerTest, AChangeOfTheConfigurationIsInForceWithinASecond)
 {
-  ASSERT_TRUE(Await([this] { return AllReport(); }, kPatience));
+  ASSERT_TRUE(Await([this] { return AllReport(); }, kTimeout));
   EXPECT_TRUE(Await([this] { return Serves("/first/"); }, seconds(1)));
   Configure(4, "/second/");
   EXPECT_TRUE(Await([this] { return Serves("/second/"); }, seconds(1)));
@@ -159,7 +159,7 @@
 /// change to be in force after two seconds on the smallest deployments.
 TEST_F(BusyOwnerTest, AWatchThatGoesSilentDelaysAChangeByTwoSecondsAtMost)
 {
-  ASSERT_TRUE(Await([this] { return AllReport(); }, kPatience));
+  ASSERT_TRUE(Await([this] { return AllReport(); }, kTimeout));
   mLink->Set(soak::LinkState::OpenSilent);
   Configure(4, "/second/");
   EXPECT_TRUE(Await([this] { return Serves("/second/"); }, seconds(2)));
--- a/tests/taskagent/RestartedAgentTest.cpp
+++ b/tests/taskagent/RestartedAgentTest.cpp
@@ -17,7 +17,7 @@
 {
 protected:
   static inline const std::string kAgent = "agent";
-  static constexpr Duration kPatience = std::chrono::seconds(10);
+  static constexpr Duration kTimeout = std::chrono::seconds(10);
 
   /// Begins a session of the scheduler with an agent without state.
   cell::OrderRequest Begin(WorkerControl& aControl)
@@ -60,7 +60,7 @@
     }
     WorkerControl restarted(mWorker, [] {});
     ASSERT_TRUE(restarted.CarryOut(Begin(restarted)).mAccepted);
-    const Instant end = MonotonicNow() + kPatience;
+    const Instant end = MonotonicNow() + kTimeout;
     const ThrottledWorker::Task& task =
       mWorker.mTasks.at({ JobId("leftover"), 0, 0, 0 });
     while (task.mThrottle > 0 && MonotonicNow() < end) {
--- a/tests/taskagent/TaskAgentTest.cpp
+++ b/tests/taskagent/TaskAgentTest.cpp
@@ -20,7 +20,7 @@
 
 constexpr cell::Session kSession = 1 << 8;
 /// Timeout for heartbeats, which are sent every 0.5 s, on a busy machine.
-constexpr Duration kPatience = seconds(10);
+constexpr Duration kTimeout = seconds(10);
 
 /// A task agent, its worker, and the owner simulated by the test, connected by
 /// TCP.
@@ -80,7 +80,7 @@
   /// Attaches the agent and returns its reply, or an error on a timeout.
   absl::StatusOr<cell::AttachReply> Attach()
   {
-    const Instant end = MonotonicNow() + kPatience;
+    const Instant end = MonotonicNow() + kTimeout;
     for (;;) {
       auto reply = net::CallTyped<cell::AttachReply>(
         mRpc,
@@ -99,7 +99,7 @@
   void AwaitBeats()
   {
     const int wanted = mAnswered + 2;
-    const Instant end = MonotonicNow() + kPatience;
+    const Instant end = MonotonicNow() + kTimeout;
     while (mAnswered < wanted && MonotonicNow() < end) {
       boost::this_fiber::sleep_for(milliseconds(5));
     }
--- a/tests/taskagent/ThrottleTest.cpp
+++ b/tests/taskagent/ThrottleTest.cpp
@@ -17,7 +17,7 @@
 constexpr cell::Session kSession = 1 << 8;
 constexpr std::int64_t kOverTarget = 60;
 constexpr std::int64_t kBaseline = 5;
-constexpr Duration kPatience = seconds(10);
+constexpr Duration kTimeout = seconds(10);
 const cell::TaskRef kServing{ JobId("serving"), 0, 0, 0 };
 const cell::TaskRef kBestEffort{ JobId("leftover"), 0, 0, 0 };
 
@@ -65,8 +65,7 @@
   template<typename Condition>
   static bool PollUntil(WorkerControl& aControl, Condition aDone)
   {
-    for (const Instant end = MonotonicNow() + kPatience;
-         MonotonicNow() < end;) {
+    for (const Instant end = MonotonicNow() + kTimeout; MonotonicNow() < end;) {
       aControl.Poll();
       if (aDone()) {
         return true;
