--- a/src/core/cell/CellSchedulerCrashes.cpp
+++ b/src/core/cell/CellSchedulerCrashes.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Longest wait for the store to accept the record of a first crash.
+/// Longest wait for the save of a first crash. A store that refuses writes for
+/// a while accepts one within this time.
 constexpr Duration kFirstCrashSaveTime = std::chrono::seconds(3);
 
 } // namespace
--- a/src/core/cell/WorkerStateTracker.h
+++ b/src/core/cell/WorkerStateTracker.h
@@ -56,10 +56,9 @@
   using RunKey = std::pair<TaskRef, RunNumber>;
 
   std::vector<RunningTask> mPolled;
-  std::map<RunKey, Instant>
-    mStarted;             ///< Starts not in a poll yet, by answer time.
-  std::set<RunKey> mSent; ///< Starts without an answer.
-  std::map<RunKey, Instant> mSince; ///< When a run was first known to run.
+  std::map<RunKey, Instant> mStarted; ///< Answered but not in a poll yet.
+  std::set<RunKey> mSent;             ///< Starts without an answer.
+  std::map<RunKey, Instant> mSince;   ///< When a run was first known to run.
   std::vector<EndedTask> mEnded;
   std::int64_t mNewestEnd = 0;
   std::int64_t mAcknowledged = 0;
--- a/tests/cell/CrashingTaskTest.cpp
+++ b/tests/cell/CrashingTaskTest.cpp
@@ -197,13 +197,15 @@
   Table,
   CrashingTaskTest,
   testing::Values(
-    CrashCase{ "HeardByAttachment", CrashNews::Attachment, ShortStep },
-    CrashCase{ "HeardByReport", CrashNews::Report, ShortStep },
-    CrashCase{ "HeardAfterTheLeases", CrashNews::LateReport, ShortStep },
+    CrashCase{ "LearnedByAttachment", CrashNews::Attachment, ShortStep },
+    CrashCase{ "LearnedByReport", CrashNews::Report, ShortStep },
+    CrashCase{ "LearnedAfterLeaseExpiry", CrashNews::LateReport, ShortStep },
     CrashCase{ "OwnersChange", CrashNews::AnotherOwner, ShortStep },
-    CrashCase{ "ThatLasts", CrashNews::Report, StandingStep },
+    CrashCase{ "Standing", CrashNews::Report, StandingStep },
     CrashCase{ "WithCopies", CrashNews::Report, CopiedStep },
-    CrashCase{ "LeftoverWithCheckpoints", CrashNews::Report, BestEffortStep }),
+    CrashCase{ "BestEffortWithCheckpoints",
+               CrashNews::Report,
+               BestEffortStep }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 } // namespace
