--- a/src/core/cell/HeartbeatOrder.h
+++ b/src/core/cell/HeartbeatOrder.h
@@ -24,7 +24,6 @@
   HeartbeatDecision Classify(const WorkerIncarnation& aIncarnation,
                              std::int64_t aSequence) const;
 
-  /// The heartbeat was accepted.
   void OnAccepted(const WorkerIncarnation& aIncarnation,
                   std::int64_t aSequence);
 
--- a/src/core/cell/OverTarget.h
+++ b/src/core/cell/OverTarget.h
@@ -11,9 +11,8 @@
 struct OverTarget
 {
   std::string mImage;
-  Duration mOver{}; ///< How long it has been over the target.
-  double mLatencyShare =
-    0; ///< Tail latency as a share of the target, smoothed.
+  Duration mOver{};         ///< How long it has been over the target.
+  double mLatencyShare = 0; ///< Smoothed tail latency by its target.
   /// Colocated best-effort images, each with the throttle of its task in
   /// percent.
   std::vector<std::string> mColocated;
--- a/src/core/cell/ThrottleCause.h
+++ b/src/core/cell/ThrottleCause.h
@@ -10,8 +10,7 @@
 {
   Interferes, ///< It interferes most with a serving task over its target.
   LongOver,   ///< It may interfere with one that has long been over its target.
-  TooLongOver, ///< As LongOver, for even longer; its own weight does not
-               ///< matter.
+  TooLongOver, ///< As LongOver, for longer, whatever its weight.
   HasHeadroom, ///< The colocated serving tasks have headroom.
 };
 
--- a/src/core/cell/ThrottleController.h
+++ b/src/core/cell/ThrottleController.h
@@ -97,8 +97,8 @@
 private:
   struct Serving
   {
-    double mLatency =
-      0; ///< Logarithm of the worst latency as a share of the target.
+    /// Logarithm of the worst latency as a share of the target, smoothed.
+    double mLatency = 0;
     OverTargetTimer mTimer;
     Instant mLoweredAt{};
     bool mObserved = false; ///< In the poll being processed.
--- a/tests/load/ReplayTime.h
+++ b/tests/load/ReplayTime.h
@@ -7,7 +7,7 @@
 
 namespace foxtailbarrow::cell::test {
 
-/// The moment at so many seconds of a replay.
+/// The instant `aSeconds` after the start of a replay.
 inline Instant At(double aSeconds)
 {
   constexpr double kMicroseconds = 1e6;
