--- a/apps/taskagent/TaskAgent.cpp
+++ b/apps/taskagent/TaskAgent.cpp
@@ -230,7 +230,7 @@
   WorkerInfo info = mWorker.Info();
   info.mDraining = true;
   info.mDrainLeft = Duration::zero();
-  info.mGone = true;
+  info.mLeft = true;
   if (mWorker.UpdateInfo(info)) {
     mOwner.RequestReport();
   }
