--- a/apps/agent/Agent.cpp
+++ b/apps/agent/Agent.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// An agent that no entry has answered for this long leaves without them.
-constexpr Duration kAlone = std::chrono::seconds(5);
+constexpr Duration kNoEntryTimeout = std::chrono::seconds(5);
 
 /// Wall time, since a later start of the agent must have a greater number.
 Incarnation IncarnationNow()
@@ -45,7 +45,7 @@
         mHeartbeats.SendNow();
       },
       [this](const TaskKey& aKey, double aUsed, Instant aTakenAt) {
-        mColocation.UsageSeen(aKey, aUsed, aTakenAt);
+        mColocation.OnUsage(aKey, aUsed, aTakenAt);
       })
   , mColocation(aRuntime,
                 mMetrics,
@@ -78,7 +78,7 @@
   })
 {
   mForwarder.SetOnServed([this](Duration aHeld, std::int32_t aInUse) {
-    mColocation.Served(aHeld, aInUse, mSettings.mSlots.mSlots);
+    mColocation.OnServed(aHeld, aInUse, mSettings.mSlots.mSlots);
   });
   AddMethods();
   AddStateSources();
@@ -238,7 +238,7 @@
 {
   const std::lock_guard lock(mConfigurationMutex);
   const std::vector<CustomerId> changed =
-    mConfiguration.Apply(aReply.mEntry, TakeDelta(aReply), FilterFor(aSent));
+    mConfiguration.Apply(aReply.mEntry, ReadDelta(aReply), FilterFor(aSent));
   for (const CustomerId& customer : changed) {
     if (const Contract* const contract = mConfiguration.Find(customer)) {
       mTasks.ApplyContract(*contract);
@@ -268,10 +268,12 @@
   const SlotLoad load = mForwarder.Load();
   const bool isIdle = load.mInUse == 0 && load.mWaiting == 0 &&
                       mServer->RequestsInProgress() == 0;
-  const bool isTold = mHeartbeats.Told(mDrainSequence) && mTasks.Empty();
-  const bool isAlone =
-    mHeartbeats.LastAnswer() + kAlone <= MonotonicNow() && mTasks.AllEnded();
-  return isIdle && (isTold || isAlone);
+  const bool isReported =
+    mHeartbeats.Reported(mDrainSequence) && mTasks.Empty();
+  const bool isWithoutEntries =
+    mHeartbeats.LastAnswer() + kNoEntryTimeout <= MonotonicNow() &&
+    mTasks.AllEnded();
+  return isIdle && (isReported || isWithoutEntries);
 }
 
 Agent::~Agent()
--- a/apps/agent/BackendProbe.cpp
+++ b/apps/agent/BackendProbe.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr unsigned kServerErrors = 500;
-constexpr Duration kLeastTimeout = std::chrono::seconds(1);
+constexpr Duration kMinTimeout = std::chrono::seconds(1);
 
 } // namespace
 
@@ -37,11 +37,12 @@
   const auto response =
     mClient.Call(mSettings.mBackend,
                  request,
-                 std::max(kLeastTimeout, mSettings.mBackendProbe));
+                 std::max(kMinTimeout, mSettings.mBackendProbe));
   const bool answers = response.ok();
-  const bool isWell = answers && response->mStatus < kServerErrors;
-  mFailures = isWell ? 0 : mFailures + 1;
-  const bool isUp = isWell || (mIsUp && !answers && mFailures < kFailures);
+  const bool isHealthy = answers && response->mStatus < kServerErrors;
+  mFailures = isHealthy ? 0 : mFailures + 1;
+  const bool isUp =
+    isHealthy || (mIsUp && !answers && mFailures < kMaxFailures);
   if (mIsUp.exchange(isUp) != isUp) {
     LogChange(isUp ? "backend-server-up" : "backend-server-leaving",
               { { "backend", mSettings.mBackend } });
--- a/apps/agent/BackendProbe.h
+++ b/apps/agent/BackendProbe.h
@@ -13,7 +13,7 @@
 
 /// Watches the backend server by GET /healthz. It is up while it answers with a
 /// status below 500, and leaving as soon as it answers 503, or after
-/// kFailures probes in a row without an answer.
+/// kMaxFailures probes in a row without an answer.
 class BackendProbe
 {
 public:
@@ -32,7 +32,7 @@
   bool IsUp() const { return mIsUp; }
 
 private:
-  static constexpr int kFailures = 2;
+  static constexpr int kMaxFailures = 2;
 
   void Probe();
 
--- a/apps/agent/ColocationControl.cpp
+++ b/apps/agent/ColocationControl.cpp
@@ -33,32 +33,32 @@
 
 void ColocationControl::Start()
 {
-  mFibers.Repeat(mPoke, kWindow, [this] { Judge(); });
+  mFibers.Repeat(mPoke, kWindow, [this] { Evaluate(); });
 }
 
-void ColocationControl::UsageSeen(const TaskKey& aKey,
-                                  double aUsed,
-                                  Instant aTakenAt)
+void ColocationControl::OnUsage(const TaskKey& aKey,
+                                double aUsed,
+                                Instant aTakenAt)
 {
   const std::lock_guard lock(mMutex);
-  mGuard.UsageSeen(aKey, aUsed, aTakenAt);
+  mGuard.OnUsage(aKey, aUsed, aTakenAt);
 }
 
-void ColocationControl::Judge()
+void ColocationControl::Evaluate()
 {
   std::vector<ColocatedTask> tasks = mHooks.mTasks();
   const double weight = mHooks.mLatencyWeight();
-  std::vector<ColocationAct> acts;
+  std::vector<ColocationAction> acts;
   {
     const std::lock_guard lock(mMutex);
     const Instant now = MonotonicNow();
     mTasks = tasks;
     mGuard.SetLatencyWeight(weight);
     mGuard.SetTasks(std::move(tasks), now);
-    mGuard.LatenciesSeen(mRecorder.Take(now));
+    mGuard.OnLatencies(mRecorder.Take(now));
     acts = mGuard.Advance(now);
   }
-  for (const ColocationAct& act : acts) {
+  for (const ColocationAction& act : acts) {
     std::visit([this](const auto& aOne) { Perform(aOne); }, act);
   }
 }
--- a/apps/agent/ColocationControl.h
+++ b/apps/agent/ColocationControl.h
@@ -39,19 +39,19 @@
   void Stop() { mFibers.Stop(); }
 
   /// On the path of every request; callable from any thread.
-  void Served(Duration aHeld, std::int32_t aInUse, std::int32_t aSlots)
+  void OnServed(Duration aHeld, std::int32_t aInUse, std::int32_t aSlots)
   {
     mRecorder.Add(aHeld, LoadLevelOf(aInUse, aSlots));
   }
 
   /// `aUsed`: part of the worker's processors.
-  void UsageSeen(const TaskKey& aKey, double aUsed, Instant aTakenAt);
+  void OnUsage(const TaskKey& aKey, double aUsed, Instant aTakenAt);
 
   /// For the state dump.
   Json::Value StateJson() const;
 
 private:
-  void Judge();
+  void Evaluate();
   void Perform(const ThrottleBatch& aAct);
   void Perform(const EvictBatch& aAct);
 
--- a/apps/agent/ErrorAnswer.cpp
+++ b/apps/agent/ErrorResponse.cpp
@@ -1,4 +1,4 @@
-#include "apps/agent/ErrorAnswer.h"
+#include "apps/agent/ErrorResponse.h"
 
 #include <chrono>
 #include <string>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-net::HttpResponse ErrorAnswer(const ErrorCause& aCause)
+net::HttpResponse ErrorResponse(const ErrorCause& aCause)
 {
   const std::string reason(ToString(aCause.mReason));
   net::HttpResponse response;
--- a/apps/agent/ErrorAnswer.h
+++ b/apps/agent/ErrorResponse.h
@@ -17,6 +17,6 @@
 };
 
 /// The answer that says so, in headers and as a small JSON body.
-net::HttpResponse ErrorAnswer(const ErrorCause& aCause);
+net::HttpResponse ErrorResponse(const ErrorCause& aCause);
 
 } // namespace foxtailbarrow
--- a/apps/agent/Forwarder.cpp
+++ b/apps/agent/Forwarder.cpp
@@ -8,7 +8,7 @@
 
 #include "absl/hash/hash.h"
 
-#include "apps/agent/SlotWait.h"
+#include "apps/agent/SlotWaiter.h"
 #include "foxtailbarrow/RequestHeaders.h"
 
 namespace foxtailbarrow {
@@ -32,9 +32,9 @@
 constexpr ErrorCause kRevoked{ kConflict,
                                Reason::DuplicateRequest,
                                Verdict::NotRun };
-constexpr ErrorCause kKeyOfOther{ kUnprocessable,
-                                  Reason::None,
-                                  Verdict::NotRun };
+constexpr ErrorCause kKeyMismatch{ kUnprocessable,
+                                   Reason::None,
+                                   Verdict::NotRun };
 constexpr ErrorCause kClosed{ kUnavailable,
                               Reason::Draining,
                               Verdict::NotRun,
@@ -103,7 +103,7 @@
   const auto forwarded =
     ParseForwarded(aRequest.mHeaders, MonotonicNow(), mDefaultDeadline);
   net::HttpResponse response =
-    forwarded ? Admit(aRequest, *forwarded) : ErrorAnswer(kMalformed);
+    forwarded ? Admit(aRequest, *forwarded) : ErrorResponse(kMalformed);
   if (forwarded) {
     response.mHeaders.Set(kRequestIdHeader, forwarded->mId.Value());
   }
@@ -119,9 +119,9 @@
       break;
     case RequestAdmission::InProgress:
     case RequestAdmission::Finished:
-      return ErrorAnswer(kDuplicate);
+      return ErrorResponse(kDuplicate);
     case RequestAdmission::Revoked:
-      return ErrorAnswer(kRevoked);
+      return ErrorResponse(kRevoked);
   }
   Outcome outcome = Run(aRequest, aForwarded);
   mRequests.Finish(aForwarded.mId, outcome.mVerdict, MonotonicNow());
@@ -154,7 +154,7 @@
     return Fail(kRevoked);
   }
   if (std::holds_alternative<AttemptMismatch>(attempt)) {
-    return Fail(kKeyOfOther);
+    return Fail(kKeyMismatch);
   }
   Outcome outcome = RunInSlot(aRequest, aForwarded);
   std::optional<StoredAnswer> answer;
@@ -188,9 +188,9 @@
   if (mGate.TryTake()) {
     return std::nullopt;
   }
-  const auto wait = std::make_shared<SlotWait>();
+  const auto wait = std::make_shared<SlotWaiter>();
   const SlotAdmission admission =
-    mGate.Wait(MonotonicNow(), aDeadline, [wait] { wait->Give(); });
+    mGate.Wait(MonotonicNow(), aDeadline, [wait] { wait->Grant(); });
   if (std::holds_alternative<SlotGranted>(admission)) {
     return std::nullopt;
   }
@@ -231,7 +231,7 @@
 
 Forwarder::Outcome Forwarder::Fail(const ErrorCause& aCause)
 {
-  return { aCause.mVerdict, ErrorAnswer(aCause) };
+  return { aCause.mVerdict, ErrorResponse(aCause) };
 }
 
 ErrorCause Forwarder::CauseOf(const absl::Status& aError) const
--- a/apps/agent/Forwarder.h
+++ b/apps/agent/Forwarder.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "apps/agent/AgentSettings.h"
-#include "apps/agent/ErrorAnswer.h"
+#include "apps/agent/ErrorResponse.h"
 #include "apps/agent/ForwardedRequest.h"
 #include "foxtailbarrow/Messages.h"
 #include "src/core/agent/IdempotencyRegister.h"
--- a/apps/agent/HeartbeatSender.cpp
+++ b/apps/agent/HeartbeatSender.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 /// After this long without an answer the settings' entries are tried too.
-constexpr Duration kSilence = std::chrono::seconds(5);
+constexpr Duration kNoAnswerTimeout = std::chrono::seconds(5);
 
 /// An answer that comes later is of no use: the next heartbeat is due.
-constexpr Duration kLeastTimeout = std::chrono::milliseconds(500);
+constexpr Duration kMinTimeout = std::chrono::milliseconds(500);
 
 /// Shortest pause between two looks at the schedule.
-constexpr Duration kLeastPause = std::chrono::milliseconds(5);
+constexpr Duration kMinPause = std::chrono::milliseconds(5);
 
 /// HTTP headers and JSON-RPC frame of a call and its answer together; measured
 /// with two entries on one machine, rounded up.
@@ -63,35 +63,34 @@
 {
   mFibers.Repeat(mPoke, [this] {
     SendRound();
-    return Pause();
+    return NextDelay();
   });
 }
 
-Duration HeartbeatSender::Pause() const
+Duration HeartbeatSender::NextDelay() const
 {
   const std::lock_guard lock(mMutex);
   const Duration left = mSchedule.NextDue() - MonotonicNow();
-  return std::clamp(
-    left, kLeastPause, std::max(kLeastPause, mSettings.mHeartbeat));
+  return std::clamp(left, kMinPause, std::max(kMinPause, mSettings.mHeartbeat));
 }
 
 void HeartbeatSender::SendNow()
 {
-  mHurry = true;
+  mSendToAll = true;
   mPoke.Now();
 }
 
-bool HeartbeatSender::Told(std::uint64_t aSequence) const
+bool HeartbeatSender::Reported(std::uint64_t aSequence) const
 {
   const std::lock_guard lock(mMutex);
-  bool isAnyTold = false;
+  bool isAnyReported = false;
   for (const auto& [entry, peer] : mPeers) {
     if (peer.mAnswers && peer.mAnsweredSequence < aSequence) {
       return false;
     }
-    isAnyTold = isAnyTold || peer.mAnswers;
+    isAnyReported = isAnyReported || peer.mAnswers;
   }
-  return isAnyTold;
+  return isAnyReported;
 }
 
 Instant HeartbeatSender::LastAnswer() const
@@ -114,7 +113,7 @@
   heartbeat.mSequence = sequence;
   for (const Endpoint& entry : targets) {
     heartbeat.mConfiguration = mHooks.mCursor(IdOf(entry));
-    mFibers.Spawn([this, entry, heartbeat] { SendOne(entry, heartbeat); });
+    mFibers.Spawn([this, entry, heartbeat] { SendTo(entry, heartbeat); });
   }
 }
 
@@ -129,12 +128,12 @@
 {
   const std::lock_guard lock(mMutex);
   UpdateEntries(aNow);
-  if (mHurry.exchange(false)) {
-    mSchedule.Hurry(aNow);
+  if (mSendToAll.exchange(false)) {
+    mSchedule.MakeAllDue(aNow);
   }
   std::vector<Endpoint> targets = mSchedule.Due(aNow, mRandom);
   std::erase_if(targets, [this](const Endpoint& aEntry) {
-    return std::exchange(mPeers[aEntry].mBusy, true);
+    return std::exchange(mPeers[aEntry].mInFlight, true);
   });
   return targets;
 }
@@ -142,23 +141,23 @@
 void HeartbeatSender::UpdateEntries(Instant aNow)
 {
   std::vector<Endpoint> entries = mEntries;
-  if (entries.empty() || mLastAnswer + kSilence <= aNow) {
+  if (entries.empty() || mLastAnswer + kNoAnswerTimeout <= aNow) {
     AddMissing(entries, mSettings.mEntries);
   }
   mSchedule.SetEntries(entries, aNow, mRandom);
   std::erase_if(mPeers, [&entries](const auto& aPeer) {
-    return !aPeer.second.mBusy &&
+    return !aPeer.second.mInFlight &&
            std::find(entries.begin(), entries.end(), aPeer.first) ==
              entries.end();
   });
 }
 
-void HeartbeatSender::SendOne(const Endpoint& aEntry,
-                              const Heartbeat& aHeartbeat)
+void HeartbeatSender::SendTo(const Endpoint& aEntry,
+                             const Heartbeat& aHeartbeat)
 {
   mSent.Increment();
   const Json::Value body = ToJson(aHeartbeat);
-  const Duration timeout = std::max(kLeastTimeout, 2 * mSettings.mHeartbeat);
+  const Duration timeout = std::max(kMinTimeout, 2 * mSettings.mHeartbeat);
   const absl::StatusOr<Json::Value> result =
     mRpc.Call(aEntry, kHeartbeatMethod, body, timeout);
   const absl::StatusOr<HeartbeatReply> reply =
@@ -168,19 +167,19 @@
     LogDebug("heartbeat-failed",
              { { "entry", aEntry },
                { "error", std::string(reply.status().message()) } });
-    NoteSilence(aEntry);
+    OnNoAnswer(aEntry);
     return;
   }
   mHooks.mOnReply(aHeartbeat, *reply);
   const std::size_t bytes =
     FormatJson(body).size() + FormatJson(*result).size();
-  NoteAnswer(aEntry, aHeartbeat.mSequence, *reply, bytes);
+  OnAnswer(aEntry, aHeartbeat.mSequence, *reply, bytes);
 }
 
-void HeartbeatSender::NoteAnswer(const Endpoint& aEntry,
-                                 std::uint64_t aSequence,
-                                 const HeartbeatReply& aReply,
-                                 std::size_t aBytes)
+void HeartbeatSender::OnAnswer(const Endpoint& aEntry,
+                               std::uint64_t aSequence,
+                               const HeartbeatReply& aReply,
+                               std::size_t aBytes)
 {
   const std::lock_guard lock(mMutex);
   mSchedule.Measured(aBytes + kFrameBytes);
@@ -188,7 +187,7 @@
   if (!std::exchange(peer.mAnswers, true)) {
     LogChange("entry-answers", { { "entry", aEntry } });
   }
-  peer.mBusy = false;
+  peer.mInFlight = false;
   peer.mEntry = aReply.mEntry;
   peer.mAnsweredSequence = std::max(peer.mAnsweredSequence, aSequence);
   peer.mAnsweredAt = mLastAnswer = MonotonicNow();
@@ -197,11 +196,11 @@
   }
 }
 
-void HeartbeatSender::NoteSilence(const Endpoint& aEntry)
+void HeartbeatSender::OnNoAnswer(const Endpoint& aEntry)
 {
   const std::lock_guard lock(mMutex);
   Peer& peer = mPeers[aEntry];
-  peer.mBusy = false;
+  peer.mInFlight = false;
   if (std::exchange(peer.mAnswers, false)) {
     LogChange("entry-silent", { { "entry", aEntry } });
   }
--- a/apps/agent/HeartbeatSender.h
+++ b/apps/agent/HeartbeatSender.h
@@ -63,7 +63,7 @@
 
   /// True when every entry that answers has answered this round or a later one,
   /// and at least one has.
-  bool Told(std::uint64_t aSequence) const;
+  bool Reported(std::uint64_t aSequence) const;
 
   /// When an entry answered last.
   Instant LastAnswer() const;
@@ -74,24 +74,24 @@
 private:
   struct Peer
   {
-    EntryId mEntry;     ///< Empty before its first answer.
-    bool mBusy = false; ///< A heartbeat is under way.
+    EntryId mEntry;         ///< Empty before its first answer.
+    bool mInFlight = false; ///< A heartbeat is under way.
     bool mAnswers = false;
     Instant mAnsweredAt{};
     std::uint64_t mAnsweredSequence = 0;
   };
 
   void SendRound();
-  Duration Pause() const;
+  Duration NextDelay() const;
   std::vector<Endpoint> Targets(Instant aNow);
   void UpdateEntries(Instant aNow);
-  void SendOne(const Endpoint& aEntry, const Heartbeat& aHeartbeat);
+  void SendTo(const Endpoint& aEntry, const Heartbeat& aHeartbeat);
   EntryId IdOf(const Endpoint& aEntry) const;
-  void NoteAnswer(const Endpoint& aEntry,
-                  std::uint64_t aSequence,
-                  const HeartbeatReply& aReply,
-                  std::size_t aBytes);
-  void NoteSilence(const Endpoint& aEntry);
+  void OnAnswer(const Endpoint& aEntry,
+                std::uint64_t aSequence,
+                const HeartbeatReply& aReply,
+                std::size_t aBytes);
+  void OnNoAnswer(const Endpoint& aEntry);
 
   const AgentSettings& mSettings;
   net::RpcClient mRpc;
@@ -99,7 +99,7 @@
   Poke mPoke;
   FiberGroup mFibers;
   std::atomic<std::uint64_t> mSequence{ 0 };
-  std::atomic<bool> mHurry{ false };
+  std::atomic<bool> mSendToAll{ false };
   mutable std::mutex mMutex; ///< Guards what follows.
   HeartbeatSchedule mSchedule;
   absl::BitGen mRandom;
--- a/apps/agent/Main.cpp
+++ b/apps/agent/Main.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Duration kPoll = std::chrono::milliseconds(20);
+constexpr Duration kPollInterval = std::chrono::milliseconds(20);
 
 void WaitUntilDone(const Agent& aAgent, Duration aTimeout)
 {
@@ -19,7 +19,7 @@
       LogWarning("drain-timeout");
       return;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
--- a/apps/agent/SlotWait.h
+++ b/apps/agent/SlotWaiter.h
@@ -8,14 +8,14 @@
 namespace foxtailbarrow {
 
 /// Lets one fiber wait until another, maybe on another thread, gives it a slot.
-class SlotWait
+class SlotWaiter
 {
 public:
-  void Give()
+  void Grant()
   {
     {
       const std::lock_guard lock(mMutex);
-      mGiven = true;
+      mGranted = true;
     }
     mChanged.notify_one();
   }
@@ -24,13 +24,13 @@
   bool WaitUntil(Instant aUntil)
   {
     std::unique_lock lock(mMutex);
-    return mChanged.wait_until(lock, aUntil, [this] { return mGiven; });
+    return mChanged.wait_until(lock, aUntil, [this] { return mGranted; });
   }
 
 private:
   boost::fibers::mutex mMutex;
   boost::fibers::condition_variable mChanged;
-  bool mGiven = false;
+  bool mGranted = false;
 };
 
 } // namespace foxtailbarrow
--- a/apps/agent/TaskControl.cpp
+++ b/apps/agent/TaskControl.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 /// Longest time between two rounds of the call loop.
-constexpr Duration kRound = std::chrono::milliseconds(200);
+constexpr Duration kMaxCallInterval = std::chrono::milliseconds(200);
 
 /// Leases are renewed this often.
-constexpr Duration kRenewal = std::chrono::seconds(1);
+constexpr Duration kRenewalInterval = std::chrono::seconds(1);
 
-constexpr Duration kPoll = std::chrono::milliseconds(5);
+constexpr Duration kPollInterval = std::chrono::milliseconds(5);
 
 Json::Value TaskJson(const AgentTask& aTask)
 {
@@ -38,11 +38,11 @@
                          net::FiberRuntime& aRuntime,
                          Worker& aWorker,
                          Metrics& aMetrics,
-                         OnNews aOnNews,
+                         OnChange aOnChange,
                          OnUsage aOnUsage)
   : mSettings(aSettings)
   , mWorker(aWorker)
-  , mOnNews(std::move(aOnNews))
+  , mOnChange(std::move(aOnChange))
   , mOnUsage(std::move(aOnUsage))
   , mLedger(aSettings.mServiceReserve)
   , mTable({},
@@ -63,9 +63,9 @@
 
 void TaskControl::Start()
 {
-  mFibers.Repeat(mCallPoke, kRound, [this] { MakeCalls(); });
+  mFibers.Repeat(mCallPoke, kMaxCallInterval, [this] { MakeCalls(); });
   mFibers.Repeat(mViewPoke, mSettings.mViewInterval, [this] { Poll(); });
-  mFibers.Repeat(mRenewPoke, kRenewal, [this] { Renew(); });
+  mFibers.Repeat(mRenewPoke, kRenewalInterval, [this] { Renew(); });
 }
 
 AssignReply TaskControl::Assign(const foxtailbarrow::Assign& aAssign)
@@ -107,9 +107,9 @@
   return ControlReply{ *std::move(status) };
 }
 
-bool TaskControl::WaitForEnd(const TaskKey& aKey, Duration aLongest) const
+bool TaskControl::WaitForEnd(const TaskKey& aKey, Duration aTimeout) const
 {
-  const Instant end = MonotonicNow() + aLongest;
+  const Instant end = MonotonicNow() + aTimeout;
   while (MonotonicNow() < end) {
     {
       const std::lock_guard lock(mMutex);
@@ -118,7 +118,7 @@
         return true;
       }
     }
-    boost::this_fiber::sleep_for(kPoll);
+    boost::this_fiber::sleep_for(kPollInterval);
   }
   return false;
 }
--- a/apps/agent/TaskControl.h
+++ b/apps/agent/TaskControl.h
@@ -28,7 +28,7 @@
 {
 public:
   /// Called when something happened that owners should hear of at once.
-  using OnNews = std::function<void()>;
+  using OnChange = std::function<void()>;
 
   /// Called with each usage sample: the part of the worker's processors.
   using OnUsage =
@@ -39,7 +39,7 @@
               net::FiberRuntime& aRuntime,
               Worker& aWorker,
               Metrics& aMetrics,
-              OnNews aOnNews,
+              OnChange aOnChange,
               OnUsage aOnUsage);
 
   void Start();
@@ -88,18 +88,18 @@
   void ReportUsage(const WorkerView& aView, Instant aAskedAt);
   void Renew();
   void Perform(const WorkerCall& aCall, Instant aDecidedAt);
-  void PerformOne(const CallStart& aCall);
-  void PerformOne(const CallStop& aCall);
-  void PerformOne(const CallCheckpoint& aCall);
-  void PerformOne(const CallThrottle& aCall);
-  void PerformOne(const CallAcknowledge& aCall);
-  void PerformOne(const CallRenew& aCall);
-  void GiveBack(const WorkerCall& aCall);
-  bool WaitForEnd(const TaskKey& aKey, Duration aLongest) const;
+  void Call(const CallStart& aCall);
+  void Call(const CallStop& aCall);
+  void Call(const CallCheckpoint& aCall);
+  void Call(const CallThrottle& aCall);
+  void Call(const CallAcknowledge& aCall);
+  void Call(const CallRenew& aCall);
+  void ReportNotRun(const WorkerCall& aCall);
+  bool WaitForEnd(const TaskKey& aKey, Duration aTimeout) const;
 
   const AgentSettings& mSettings;
   Worker& mWorker;
-  const OnNews mOnNews;
+  const OnChange mOnChange;
   const OnUsage mOnUsage;
   mutable std::mutex mMutex; ///< Guards mLedger and mTable; never held in I/O.
   CapacityLedger mLedger;
--- a/apps/agent/TaskControlWorker.cpp
+++ b/apps/agent/TaskControlWorker.cpp
@@ -11,7 +11,7 @@
 
 /// A call that was decided longer ago is decided anew: the process may have
 /// been frozen, and a lease may have lapsed.
-constexpr Duration kStaleDecision = std::chrono::milliseconds(250);
+constexpr Duration kMaxDecisionAge = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -47,9 +47,9 @@
   }
   if (!mReady.exchange(true)) {
     LogChange("ledger-rebuilt", { { "tasks", view->mTasks.size() } });
-    mOnNews();
+    mOnChange();
   } else if (endedAfter > endedBefore) {
-    mOnNews();
+    mOnChange();
   }
 }
 
@@ -74,28 +74,28 @@
     renewals = mTable.Renewals(MonotonicNow());
   }
   for (const CallRenew& renewal : renewals) {
-    PerformOne(renewal);
+    Call(renewal);
   }
 }
 
 void TaskControl::Perform(const WorkerCall& aCall, Instant aDecidedAt)
 {
-  if (MonotonicNow() - aDecidedAt > kStaleDecision) {
-    GiveBack(aCall);
+  if (MonotonicNow() - aDecidedAt > kMaxDecisionAge) {
+    ReportNotRun(aCall);
     return;
   }
-  std::visit([this](const auto& aOne) { PerformOne(aOne); }, aCall);
+  std::visit([this](const auto& aOne) { Call(aOne); }, aCall);
   mCallPoke.Now();
 }
 
-void TaskControl::PerformOne(const CallStart& aCall)
+void TaskControl::Call(const CallStart& aCall)
 {
   const absl::Status result = mWorker.Start(aCall.mStart);
   const std::lock_guard lock(mMutex);
   mTable.StartDone(aCall.mStart.mKey, result, MonotonicNow());
 }
 
-void TaskControl::PerformOne(const CallStop& aCall)
+void TaskControl::Call(const CallStop& aCall)
 {
   const absl::Status result = mWorker.Stop(aCall.mKey);
   {
@@ -105,7 +105,7 @@
   mViewPoke.Now();
 }
 
-void TaskControl::PerformOne(const CallCheckpoint& aCall)
+void TaskControl::Call(const CallCheckpoint& aCall)
 {
   const absl::StatusOr<std::string> result = mWorker.Checkpoint(aCall.mKey);
   {
@@ -113,34 +113,34 @@
     mTable.CheckpointDone(aCall.mKey, result, MonotonicNow());
   }
   if (result.ok()) {
-    mOnNews();
+    mOnChange();
   } else {
     mViewPoke.Now();
   }
 }
 
-void TaskControl::PerformOne(const CallThrottle& aCall)
+void TaskControl::Call(const CallThrottle& aCall)
 {
   const absl::Status result = mWorker.Throttle(aCall.mKey, aCall.mFraction);
   const std::lock_guard lock(mMutex);
   mTable.ThrottleDone(aCall.mKey, aCall.mFraction, result, MonotonicNow());
 }
 
-void TaskControl::PerformOne(const CallAcknowledge& aCall)
+void TaskControl::Call(const CallAcknowledge& aCall)
 {
   const absl::Status result = mWorker.Acknowledge(aCall.mKeys);
   const std::lock_guard lock(mMutex);
   mTable.AcknowledgeDone(aCall.mKeys, result, MonotonicNow());
 }
 
-void TaskControl::PerformOne(const CallRenew& aCall)
+void TaskControl::Call(const CallRenew& aCall)
 {
   if (!mWorker.Renew(aCall.mKeys, aCall.mLease).ok()) {
     mWorkerErrors.Increment();
   }
 }
 
-void TaskControl::GiveBack(const WorkerCall& aCall)
+void TaskControl::ReportNotRun(const WorkerCall& aCall)
 {
   const absl::Status late =
     WithVerdict(absl::AbortedError("decided too long ago"), Verdict::NotRun);
--- a/apps/ctl/ContractCommands.cpp
+++ b/apps/ctl/ContractCommands.cpp
@@ -10,7 +10,7 @@
 #include "foxtailbarrow/Verdict.h"
 #include "src/core/contract/ContractDocument.h"
 #include "src/core/message/Codec.h"
-#include "src/platform/contract/ContractBook.h"
+#include "src/platform/contract/ContractRegistry.h"
 
 namespace foxtailbarrow::ctl {
 
@@ -31,14 +31,14 @@
 }
 
 /// Tells the outcome of a write to one contract.
-struct OutcomeTeller
+struct WriteOutcomeFormatter
 {
   std::string mContract; ///< "contract of hydro-krakow"
   std::string mDone;     ///< "applied"
 
   CommandResult operator()(const ContractWritten& aWritten) const
   {
-    return Told(
+    return Written(
       absl::StrCat(mContract, " ", mDone, " at revision ", aWritten.mRevision),
       mDone,
       aWritten.mRevision);
@@ -46,11 +46,11 @@
 
   CommandResult operator()(const ContractUnchanged& aUnchanged) const
   {
-    return Told(absl::StrCat(mContract,
-                             " is in force already, since revision ",
-                             aUnchanged.mRevision),
-                "unchanged",
-                aUnchanged.mRevision);
+    return Written(absl::StrCat(mContract,
+                                " is in force already, since revision ",
+                                aUnchanged.mRevision),
+                   "unchanged",
+                   aUnchanged.mRevision);
   }
 
   CommandResult operator()(const ContractConflict& aConflict) const
@@ -61,7 +61,7 @@
                         " not ",
                         mDone,
                         ": another operator was faster; ",
-                        Found(aConflict.mFound),
+                        StoredRevisionText(aConflict.mFound),
                         ". Look at it with contracts show, then try again."));
     result.mJson["revision"] = Json::Int64{ aConflict.mFound };
     return result;
@@ -87,9 +87,9 @@
   }
 
 private:
-  static CommandResult Told(const std::string& aText,
-                            const std::string& aOutcome,
-                            Revision aRevision)
+  static CommandResult Written(const std::string& aText,
+                               const std::string& aOutcome,
+                               Revision aRevision)
   {
     Json::Value json(Json::objectValue);
     json["outcome"] = aOutcome;
@@ -97,7 +97,7 @@
     return Succeed(aText + "\n", std::move(json));
   }
 
-  static std::string Found(Revision aRevision)
+  static std::string StoredRevisionText(Revision aRevision)
   {
     return aRevision == 0
              ? "the store holds no such contract"
@@ -105,7 +105,7 @@
   }
 };
 
-CommandResult ShowOne(ContractBook& aBook, const CustomerId& aCustomer)
+CommandResult ShowOne(ContractRegistry& aBook, const CustomerId& aCustomer)
 {
   const absl::StatusOr<Contract> contract = aBook.Read(aCustomer);
   if (!contract.ok()) {
@@ -121,7 +121,7 @@
     aLimit.mMillicores, "/", aLimit.mMemoryMb, "/", aLimit.mAccelerators);
 }
 
-CommandResult ShowAll(ContractBook& aBook)
+CommandResult ShowAll(ContractRegistry& aBook)
 {
   const absl::StatusOr<std::vector<Contract>> contracts = aBook.List();
   if (!contracts.ok()) {
@@ -178,15 +178,17 @@
   if (!contract.ok()) {
     return BadFile(aPath, contract.status());
   }
-  const OutcomeTeller teller{ "contract of " + contract->mCustomer.Value(),
-                              "applied" };
-  return std::visit(teller, ContractBook(aStore).Apply(*contract, aExpected));
+  const WriteOutcomeFormatter formatter{
+    "contract of " + contract->mCustomer.Value(), "applied"
+  };
+  return std::visit(formatter,
+                    ContractRegistry(aStore).Apply(*contract, aExpected));
 }
 
 CommandResult ShowContracts(Store& aStore,
                             const std::optional<CustomerId>& aCustomer)
 {
-  ContractBook book(aStore);
+  ContractRegistry book(aStore);
   return aCustomer ? ShowOne(book, *aCustomer) : ShowAll(book);
 }
 
@@ -194,8 +196,10 @@
                              const CustomerId& aCustomer,
                              std::optional<Revision> aExpected)
 {
-  const OutcomeTeller teller{ "contract of " + aCustomer.Value(), "removed" };
-  return std::visit(teller, ContractBook(aStore).Remove(aCustomer, aExpected));
+  const WriteOutcomeFormatter formatter{ "contract of " + aCustomer.Value(),
+                                         "removed" };
+  return std::visit(formatter,
+                    ContractRegistry(aStore).Remove(aCustomer, aExpected));
 }
 
 } // namespace foxtailbarrow::ctl
--- a/apps/ctl/CtlSettings.cpp
+++ b/apps/ctl/CtlSettings.cpp
@@ -47,7 +47,7 @@
         mValues.mCommand = makeCommand();
       }
     }
-    if (const char* fault = SubmitFault()) {
+    if (const char* fault = SubmitError()) {
       aErr << "foxtailbarrow-ctl: jobs submit: " << fault << "\n";
       return kExitUsage;
     }
@@ -246,7 +246,7 @@
   }
 
   /// Null when the command is no submission or its flags fit together.
-  const char* SubmitFault() const
+  const char* SubmitError() const
   {
     const auto* submit = std::get_if<JobsSubmit>(&mValues.mCommand);
     if (submit == nullptr) {
--- a/apps/ctl/EntryAnswer.cpp
+++ b/apps/ctl/EntryAnswer.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-CommandResult JudgeAnswer(
+CommandResult ToCommandResult(
   std::string_view aWhat,
   const absl::StatusOr<net::HttpResponse>& aAnswer,
   const std::function<CommandResult(const Json::Value&)>& aOnSuccess)
--- a/apps/ctl/FleetCommands.cpp
+++ b/apps/ctl/FleetCommands.cpp
@@ -31,7 +31,7 @@
                          TextTable aTable,
                          const RowOf& aRow)
 {
-  return JudgeAnswer(
+  return ToCommandResult(
     "agents", Get(aCall, kAgentsTarget), [&](const Json::Value& aAgents) {
       if (!aAgents.isArray()) {
         return Fail(kExitUnreachable, "agents: the answer is no list");
@@ -53,7 +53,7 @@
 }
 
 /// "used/whole" of one kind of resource.
-std::string Part(const Json::Value& aAgent, const char* aField)
+std::string UsedOfCapacity(const Json::Value& aAgent, const char* aField)
 {
   const auto amount = [&](const char* aSide) {
     const Json::Value& resources = aAgent[aSide];
@@ -66,10 +66,14 @@
 
 std::vector<std::string> WorkerRow(const Json::Value& aAgent)
 {
-  return { CellText(aAgent["agent"]),    CellText(aAgent["failureDomain"]),
-           CellText(aAgent["rack"]),     CellText(aAgent["state"]),
-           Part(aAgent, "millicores"),   Part(aAgent, "memoryMb"),
-           Part(aAgent, "accelerators"), CellText(aAgent["reason"]) };
+  return { CellText(aAgent["agent"]),
+           CellText(aAgent["failureDomain"]),
+           CellText(aAgent["rack"]),
+           CellText(aAgent["state"]),
+           UsedOfCapacity(aAgent, "millicores"),
+           UsedOfCapacity(aAgent, "memoryMb"),
+           UsedOfCapacity(aAgent, "accelerators"),
+           CellText(aAgent["reason"]) };
 }
 
 } // namespace
@@ -106,7 +110,7 @@
 
 CommandResult DumpState(const CallEntry& aCall)
 {
-  return JudgeAnswer(
+  return ToCommandResult(
     "state", Get(aCall, kStateTarget), [](const Json::Value& aState) {
       return Succeed(FormatJsonIndented(aState) + "\n", aState);
     });
--- a/apps/ctl/JobCommands.cpp
+++ b/apps/ctl/JobCommands.cpp
@@ -74,7 +74,7 @@
 
 /// The record as the entry tells it: whole in an explanation, a summary where
 /// no entry owns the job's shard just now.
-std::string ExplanationHead(const Json::Value& aBody)
+std::string ExplanationHeader(const Json::Value& aBody)
 {
   const Json::Value& record =
     aBody.isMember("record") ? aBody["record"] : aBody;
@@ -103,7 +103,7 @@
                 CellText(decision["times"]),
                 CellText(decision["agent"]) });
   }
-  return Succeed(ExplanationHead(aBody) + table.Text(), aBody);
+  return Succeed(ExplanationHeader(aBody) + table.Text(), aBody);
 }
 
 } // namespace
@@ -123,23 +123,24 @@
   request.mHeaders.Set("Content-Type", "application/json");
   request.mHeaders.Set(kIdempotencyKeyHeader, aIdempotencyKey);
   request.mBody = aBody;
-  return JudgeAnswer("job not submitted, idempotency key " + aIdempotencyKey,
-                     aCall(request, kRepeatable),
-                     [](const Json::Value& aAnswer) {
-                       return Succeed(absl::StrCat("accepted ",
-                                                   CellText(aAnswer["id"]),
-                                                   ", ",
-                                                   CellText(aAnswer["state"]),
-                                                   "\n"),
-                                      aAnswer);
-                     });
+  return ToCommandResult(
+    "job not submitted, idempotency key " + aIdempotencyKey,
+    aCall(request, kRepeatable),
+    [](const Json::Value& aAnswer) {
+      return Succeed(absl::StrCat("accepted ",
+                                  CellText(aAnswer["id"]),
+                                  ", ",
+                                  CellText(aAnswer["state"]),
+                                  "\n"),
+                     aAnswer);
+    });
 }
 
 CommandResult ListJobs(const CallEntry& aCall,
                        const std::string& aCustomer,
                        const std::string& aState)
 {
-  return JudgeAnswer(
+  return ToCommandResult(
     "jobs",
     aCall(Request("GET", ListTarget(aCustomer, aState)), kRepeatable),
     JobTable);
@@ -147,7 +148,7 @@
 
 CommandResult ExplainJob(const CallEntry& aCall, const std::string& aJob)
 {
-  return JudgeAnswer(
+  return ToCommandResult(
     "job " + aJob,
     aCall(Request("GET", JobTarget(aJob) + "/explain"), kRepeatable),
     Explanation);
@@ -155,12 +156,12 @@
 
 CommandResult CancelJob(const CallEntry& aCall, const std::string& aJob)
 {
-  return JudgeAnswer("job " + aJob,
-                     aCall(Request("DELETE", JobTarget(aJob)), kRepeatable),
-                     [&aJob](const Json::Value& aAnswer) {
-                       return Succeed("cancel of " + aJob + " accepted\n",
-                                      aAnswer);
-                     });
+  return ToCommandResult("job " + aJob,
+                         aCall(Request("DELETE", JobTarget(aJob)), kRepeatable),
+                         [&aJob](const Json::Value& aAnswer) {
+                           return Succeed("cancel of " + aJob + " accepted\n",
+                                          aAnswer);
+                         });
 }
 
 } // namespace foxtailbarrow::ctl
--- a/apps/ctl/TextTable.cpp
+++ b/apps/ctl/TextTable.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kGap = 2;
+constexpr std::size_t kColumnGap = 2;
 
 } // namespace
 
@@ -33,7 +33,7 @@
     std::string line;
     for (std::size_t i = 0; i < row.size(); ++i) {
       line += row[i];
-      line.append(mWidths[i] - row[i].size() + kGap, ' ');
+      line.append(mWidths[i] - row[i].size() + kColumnGap, ' ');
     }
     line.erase(line.find_last_not_of(' ') + 1);
     text += line + "\n";
--- a/apps/entry/AgentCalls.cpp
+++ b/apps/entry/AgentCalls.cpp
@@ -17,13 +17,13 @@
 
 constexpr Duration kRevokeTimeout = std::chrono::milliseconds(500);
 
-std::string RemainingMs(Duration aRemaining)
+std::string FormatRemainingMs(Duration aRemaining)
 {
   const auto whole = std::chrono::ceil<std::chrono::milliseconds>(aRemaining);
   return std::to_string(std::max<std::int64_t>(whole.count(), 1));
 }
 
-std::optional<Duration> SecondsOf(std::optional<std::string_view> aText)
+std::optional<Duration> ParseSeconds(std::optional<std::string_view> aText)
 {
   std::int64_t seconds = 0;
   if (!aText || !absl::SimpleAtoi(
@@ -34,12 +34,12 @@
 }
 
 /// Reads what the agent says about the attempt and takes its own headers off.
-Attempt Judge(net::HttpResponse aResponse)
+Attempt ParseAttempt(net::HttpResponse aResponse)
 {
   Attempt attempt;
   net::HttpHeaders& headers = aResponse.mHeaders;
   if (const auto load = headers.Find(kLoadHeader)) {
-    attempt.mLoad = ParseLoadFigures(*load);
+    attempt.mLoad = ParseLoadSnapshot(*load);
   }
   const auto verdict = headers.Find(net::kVerdictHeader);
   attempt.mVerdict = verdict
@@ -48,7 +48,7 @@
   if (const auto reason = headers.Find(kReasonHeader)) {
     attempt.mReason = ParseReason(*reason).value_or(Reason::None);
   }
-  attempt.mRetryAfter = SecondsOf(headers.Find(kRetryAfterHeader));
+  attempt.mRetryAfter = ParseSeconds(headers.Find(kRetryAfterHeader));
   headers.Erase(kLoadHeader);
   attempt.mResponse = std::move(aResponse);
   return attempt;
@@ -71,14 +71,14 @@
   const Instant start = MonotonicNow();
   const Duration remaining = aCaller.mDeadline - start;
   aRequest.mHeaders.Set(kRequestIdHeader, aCaller.mId.Value());
-  aRequest.mHeaders.Set(kDeadlineHeader, RemainingMs(remaining));
+  aRequest.mHeaders.Set(kDeadlineHeader, FormatRemainingMs(remaining));
   if (aCaller.mIdempotent) {
     aRequest.mHeaders.Set(kIdempotentHeader, "true");
   }
   absl::StatusOr<net::HttpResponse> response =
     mClient.Call(aAgent.mEndpoint, aRequest, remaining);
   if (response.ok()) {
-    return Judge(*std::move(response));
+    return ParseAttempt(*std::move(response));
   }
   Attempt attempt;
   attempt.mVerdict = VerdictOf(response.status());
@@ -95,7 +95,7 @@
   Revoke question;
   question.mRequest = aCaller.mId;
   question.mAge = aAge;
-  const auto reply = Ask(question, aAgent);
+  const auto reply = SendRevoke(question, aAgent);
   if (!reply || reply->mVerdict != Verdict::NotRun) {
     return Verdict::MayHaveRun;
   }
@@ -110,11 +110,11 @@
   question.mRequest = aCaller.mId;
   question.mCustomer = aCaller.mCustomer;
   question.mIdempotencyKey = std::string(aCaller.mIdempotencyKey);
-  return Ask(question, aAgent);
+  return SendRevoke(question, aAgent);
 }
 
-std::optional<RevokeReply> AgentCalls::Ask(const Revoke& aQuestion,
-                                           const RoutableAgent& aAgent)
+std::optional<RevokeReply> AgentCalls::SendRevoke(const Revoke& aQuestion,
+                                                  const RoutableAgent& aAgent)
 {
   const auto reply = net::CallTyped<RevokeReply>(
     mRpc, aAgent.mEndpoint, kRevokeMethod, aQuestion, kRevokeTimeout);
--- a/apps/entry/AgentCalls.h
+++ b/apps/entry/AgentCalls.h
@@ -5,7 +5,7 @@
 
 #include "apps/entry/CallerRequest.h"
 #include "foxtailbarrow/Messages.h"
-#include "src/core/routing/LoadFigures.h"
+#include "src/core/routing/LoadSnapshot.h"
 #include "src/core/routing/RoutableAgent.h"
 #include "src/net/HttpClient.h"
 #include "src/net/Rpc.h"
@@ -20,7 +20,7 @@
   Reason mReason = Reason::None; ///< Set when the agent refused.
   std::optional<Duration> mRetryAfter;
   std::optional<net::HttpResponse> mResponse; ///< Whole, when there is one.
-  std::optional<LoadFigures> mLoad;
+  std::optional<LoadSnapshot> mLoad;
 };
 
 /// The calls that the request path makes to agents. Callable from any request
@@ -45,8 +45,8 @@
   Verdict RevokeRequest(const CallerRequest& aCaller,
                         const RoutableAgent& aAgent,
                         Duration aAge);
-  std::optional<RevokeReply> Ask(const Revoke& aQuestion,
-                                 const RoutableAgent& aAgent);
+  std::optional<RevokeReply> SendRevoke(const Revoke& aQuestion,
+                                        const RoutableAgent& aAgent);
 
   net::HttpClient& mClient;
   net::RpcClient mRpc;
--- a/apps/entry/CallerRequest.cpp
+++ b/apps/entry/CallerRequest.cpp
@@ -41,7 +41,7 @@
 }
 
 /// Visible ASCII, so that a key is safe in headers, logs and dumps.
-bool IsKey(std::string_view aText)
+bool IsIdempotencyKey(std::string_view aText)
 {
   return !aText.empty() && aText.size() <= kMaxIdBytes &&
          std::ranges::all_of(
@@ -53,7 +53,7 @@
 std::variant<CallerRequest, Refusal> ReadCallerRequest(
   const net::HttpRequest& aRequest,
   const DeadlineLimits& aLimits,
-  RequestId aFreshId,
+  RequestId aGeneratedId,
   Instant aNow)
 {
   CallerRequest request;
@@ -64,7 +64,7 @@
   }
   request.mCustomer = CustomerId(std::string(*customer));
 
-  request.mId = std::move(aFreshId);
+  request.mId = std::move(aGeneratedId);
   if (const auto id = headers.Find(kRequestIdHeader)) {
     if (!IsRequestId(*id)) {
       return BadHeader(
@@ -73,7 +73,7 @@
     request.mId = RequestId(std::string(*id));
   }
   if (const auto key = headers.Find(kIdempotencyKeyHeader)) {
-    if (!IsKey(*key)) {
+    if (!IsIdempotencyKey(*key)) {
       return BadHeader(
         "Idempotency-Key: allowed 1 to 128 of A-Z, a-z, 0-9, . _ : -");
     }
--- a/apps/entry/CallerRequest.h
+++ b/apps/entry/CallerRequest.h
@@ -3,7 +3,7 @@
 #include <string_view>
 #include <variant>
 
-#include "apps/entry/Answers.h"
+#include "apps/entry/ErrorResponse.h"
 #include "foxtailbarrow/Id.h"
 #include "foxtailbarrow/Time.h"
 #include "src/net/HttpMessage.h"
@@ -26,11 +26,11 @@
   Duration mMax;
 };
 
-/// Checks the headers. `aFreshId` is taken where the caller gave no id.
+/// Checks the headers. `aGeneratedId` is taken where the caller gave no id.
 std::variant<CallerRequest, Refusal> ReadCallerRequest(
   const net::HttpRequest& aRequest,
   const DeadlineLimits& aLimits,
-  RequestId aFreshId,
+  RequestId aGeneratedId,
   Instant aNow);
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/ContractFeed.cpp
+++ b/apps/entry/ContractWatcher.cpp
@@ -1,4 +1,4 @@
-#include "apps/entry/ContractFeed.h"
+#include "apps/entry/ContractWatcher.h"
 
 #include <string>
 #include <utility>
@@ -12,38 +12,38 @@
 
 namespace {
 
-constexpr Duration kShortestRetry = std::chrono::milliseconds(250);
-constexpr Duration kLongestRetry = std::chrono::milliseconds(1000);
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(250);
+constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(1000);
 
 } // namespace
 
-ContractFeed::ContractFeed(ControlContext& aContext,
-                           Snapshot<ContractTable>& aTable,
-                           Listener aListener)
+ContractWatcher::ContractWatcher(ControlContext& aContext,
+                                 Snapshot<ContractTable>& aTable,
+                                 Listener aListener)
   : mContext(aContext)
   , mTable(aTable)
   , mListener(std::move(aListener))
 {
 }
 
-void ContractFeed::Start()
+void ContractWatcher::Start()
 {
   mContext.mRuntime.Spawn([this] {
     while (true) {
       Follow();
       boost::this_fiber::sleep_for(
-        Jitter(kShortestRetry, kLongestRetry, mRandom));
+        Jitter(kMinRetryDelay, kMaxRetryDelay, mRandom));
     }
   });
 }
 
-void ContractFeed::Follow()
+void ContractWatcher::Follow()
 {
   const auto listing = mContext.mStore.List(kContractPrefix);
   if (!listing.ok()) {
     return;
   }
-  Take(mSource.ApplyListing(*listing));
+  OnUpdate(mSource.ApplyListing(*listing));
   if (mTable.Load()->mAsOf == 0) {
     Publish(); // The store may hold none.
   }
@@ -51,14 +51,14 @@
     mContext.mStore.Watch(kContractPrefix,
                           listing->mRevision,
                           [this](const std::vector<StoreEvent>& aEvents) {
-                            Take(mSource.ApplyEvents(aEvents));
+                            OnUpdate(mSource.ApplyEvents(aEvents));
                             return !mSource.NeedsListing();
                           });
   LogChange("contract-watch-ended",
             { { "cause", std::string(ended.message()) } });
 }
 
-void ContractFeed::Take(const ConfigurationUpdate& aUpdate)
+void ContractWatcher::OnUpdate(const ConfigurationUpdate& aUpdate)
 {
   for (const absl::Status& error : aUpdate.mErrors) {
     LogError("contract-unreadable",
@@ -80,7 +80,7 @@
   mListener(change);
 }
 
-void ContractFeed::Publish()
+void ContractWatcher::Publish()
 {
   const auto view = mSource.View();
   const auto former = mTable.Load();
@@ -104,13 +104,13 @@
   mTable.Publish(std::move(table));
 }
 
-void ContractFeed::Contribute(const Heartbeat& aHeartbeat,
-                              HeartbeatReply& aReply)
+void ContractWatcher::Contribute(const Heartbeat& aHeartbeat,
+                                 HeartbeatReply& aReply)
 {
-  PutDelta(mSource.Answer(aHeartbeat), aReply);
+  WriteDelta(mSource.Answer(aHeartbeat), aReply);
 }
 
-bool ContractFeed::Has(const CustomerId& aCustomer) const
+bool ContractWatcher::Has(const CustomerId& aCustomer) const
 {
   return mSource.View()->Find(aCustomer) != nullptr;
 }
--- a/apps/entry/ContractFeed.h
+++ b/apps/entry/ContractWatcher.h
@@ -16,7 +16,7 @@
 /// Follows the contracts in the store by one watch, publishes them to the
 /// request threads and hands them on to agents in heartbeat replies. While the
 /// store is away the last ones stay in force.
-class ContractFeed
+class ContractWatcher
 {
 public:
   struct Change
@@ -26,9 +26,9 @@
   };
   using Listener = std::function<void(const Change&)>;
 
-  ContractFeed(ControlContext& aContext,
-               Snapshot<ContractTable>& aTable,
-               Listener aListener);
+  ContractWatcher(ControlContext& aContext,
+                  Snapshot<ContractTable>& aTable,
+                  Listener aListener);
 
   /// Starts the fiber that follows the store.
   void Start();
@@ -43,7 +43,7 @@
 
 private:
   void Follow();
-  void Take(const ConfigurationUpdate& aUpdate);
+  void OnUpdate(const ConfigurationUpdate& aUpdate);
   void Publish();
 
   ControlContext& mContext;
--- a/apps/entry/EntryProcess.cpp
+++ b/apps/entry/EntryProcess.cpp
@@ -8,8 +8,8 @@
 
 #include <boost/fiber/operations.hpp>
 
-#include "apps/entry/Answers.h"
 #include "apps/entry/EntryMetrics.h"
+#include "apps/entry/ErrorResponse.h"
 #include "apps/entry/RunOn.h"
 #include "apps/entry/StateViews.h"
 #include "src/platform/store/CountingStore.h"
@@ -27,7 +27,7 @@
 constexpr Duration kDrainPoll = std::chrono::milliseconds(20);
 /// While the store is away the shards cannot be given back; their next owners
 /// then wait out this entry's tenure.
-constexpr Duration kLeaveTimeout = std::chrono::seconds(5);
+constexpr Duration kReleaseTimeout = std::chrono::seconds(5);
 
 Incarnation IncarnationNow()
 {
@@ -60,7 +60,7 @@
   : mSettings(aSettings)
   , mRouting(std::make_shared<const RoutingTable>())
   , mContracts(std::make_shared<const ContractTable>())
-  , mShares(std::make_shared<const ShareBasis>())
+  , mShares(std::make_shared<const ShareAllocation>())
   , mRequestRuntime(aSettings.mThreads)
   , mControlRuntime(kControlThreads)
   , mRequestClient(mRequestRuntime)
@@ -102,9 +102,9 @@
 
 void EntryProcess::MakeParts()
 {
-  mPlainStore = std::make_unique<EtcdStore>(
+  mEtcdStore = std::make_unique<EtcdStore>(
     mControlRuntime, EtcdSettings{ .mEndpoints = mSettings.mStore });
-  mStore = std::make_unique<CountingStore>(*mPlainStore);
+  mStore = std::make_unique<CountingStore>(*mEtcdStore);
   mContext = std::make_unique<ControlContext>(
     ControlContext{ mSettings.mId, mControlRuntime, *mStore, mRpc, mMetrics });
   const EntryRecord self{
@@ -113,7 +113,7 @@
   MakeOwnership(self);
   MakeShares({ self.mEntry, self.mIncarnation });
   MakeJobs();
-  mAgents = std::make_unique<AgentDesk>(*mContext, mRouting);
+  mHeartbeatHandler = std::make_unique<HeartbeatHandler>(*mContext, mRouting);
   MakeRequestPath();
   mAdmin =
     std::make_unique<AdminPages>(mMetrics, mState, [this] { return Health(); });
@@ -122,7 +122,7 @@
   AddJobMetrics(mMetrics, mJobs->Logic());
   AddContributors();
   AddMethods();
-  AddStatePages();
+  AddStateSources();
   StartParts();
   mReady = true;
 }
@@ -134,14 +134,15 @@
     OwnershipSettingsOf(mSettings),
     aSelf,
     OwnershipDriver::Callbacks{
-      .mGained =
+      .mAcquired =
         [this](ShardId aShard, Generation aGeneration) {
-          mJobs->TakeShard(aShard, aGeneration);
+          mJobs->OnShardAcquired(aShard, aGeneration);
         },
-      .mGivenUp = [this](ShardId aShard) { mJobs->DropShard(aShard); },
-      .mCleared = [this](ShardId aShard) { mJobs->ClearShard(aShard); },
+      .mReleased = [this](ShardId aShard) { mJobs->OnShardLost(aShard); },
+      .mEarlierLeasesExpired =
+        [this](ShardId aShard) { mJobs->OnEarlierLeasesExpired(aShard); },
       .mSuperseded = [] { std::quick_exit(kExitSuperseded); },
-      .mDrained = [this] { mLeft = true; } });
+      .mDrained = [this] { mOwnershipReleased = true; } });
 }
 
 void EntryProcess::MakeShares(const ShareOwner& aSelf)
@@ -162,28 +163,30 @@
     [this](ShardId aShard) {
       return mOwnership->Logic().MayReassign(aShard, MonotonicNow());
     },
-    mSettings.mKeepEnded);
-  mJobPages = std::make_unique<JobPages>(
-    *mContext,
-    *mOwnership,
-    *mJobs,
-    mSettings.mShards,
-    [this](const CustomerId& aCustomer) { return mFeed->Has(aCustomer); });
+    mSettings.mEndedRetention);
+  mJobPages =
+    std::make_unique<JobPages>(*mContext,
+                               *mOwnership,
+                               *mJobs,
+                               mSettings.mShards,
+                               [this](const CustomerId& aCustomer) {
+                                 return mContractWatcher->Has(aCustomer);
+                               });
 }
 
 void EntryProcess::MakeRequestPath()
 {
-  mFeed = std::make_unique<ContractFeed>(
-    *mContext, mContracts, [this](const ContractFeed::Change& aChange) {
+  mContractWatcher = std::make_unique<ContractWatcher>(
+    *mContext, mContracts, [this](const ContractWatcher::Change& aChange) {
       mJobs->Handle(ContractsChanged{ aChange.mChanged, aChange.mRemoved });
-      mAgents->SetAllowances(AllowancesOf(*mContracts.Load()));
+      mHeartbeatHandler->SetAllowances(AllowancesOf(*mContracts.Load()));
     });
   mProxy = std::make_unique<RequestProxy>(
     mRouting,
     mContracts,
     mShares,
     mSettings.mFailureDomain,
-    mAgents->Detector(),
+    mHeartbeatHandler->Detector(),
     DeadlineLimits{ mSettings.mDefaultDeadline, mSettings.mMaxDeadline },
     mRequestClient,
     mMetrics);
@@ -191,14 +194,14 @@
 
 void EntryProcess::StartParts()
 {
-  mFeed->Start();
-  mAgents->Start();
+  mContractWatcher->Start();
+  mHeartbeatHandler->Start();
   mOwnership->Start();
   mShareDriver->Start();
   mJobs->Start();
   mControlRuntime.Spawn([this] {
     while (true) {
-      mJobs->ExpectInterval(mAgents->LongestInterval());
+      mJobs->ExpectInterval(mHeartbeatHandler->MaxHeartbeatInterval());
       boost::this_fiber::sleep_for(kIntervalPoll);
     }
   });
@@ -206,43 +209,47 @@
 
 void EntryProcess::AddContributors()
 {
-  mAgents->AddContributor(
+  mHeartbeatHandler->AddContributor(
     [this](const Heartbeat& aHeartbeat, HeartbeatReply& aReply) {
-      mFeed->Contribute(aHeartbeat, aReply);
+      mContractWatcher->Contribute(aHeartbeat, aReply);
     });
-  mAgents->AddContributor(
+  mHeartbeatHandler->AddContributor(
     [this](const Heartbeat& aHeartbeat, HeartbeatReply& aReply) {
       TaskReplies replies = mJobs->OnHeartbeat(aHeartbeat);
       aReply.mLeases = std::move(replies.mLeases);
       aReply.mAcknowledged = std::move(replies.mAcknowledged);
       aReply.mUnknown = std::move(replies.mUnknown);
     });
-  mAgents->AddContributor([this](const Heartbeat&, HeartbeatReply& aReply) {
-    for (const LiveEntry& entry : mOwnership->Logic().Roster().Live()) {
-      aReply.mEntries.push_back(entry.mRecord.mEndpoint);
-    }
-  });
+  mHeartbeatHandler->AddContributor(
+    [this](const Heartbeat&, HeartbeatReply& aReply) {
+      for (const LiveEntry& entry : mOwnership->Logic().Roster().Live()) {
+        aReply.mEntries.push_back(entry.mRecord.mEndpoint);
+      }
+    });
 }
 
 void EntryProcess::AddMethods()
 {
-  mAgents->AddMethods(mDispatcher);
+  mHeartbeatHandler->AddMethods(mDispatcher);
   mOwnership->AddMethods(mDispatcher);
   mJobPages->AddMethods(mDispatcher);
 }
 
-void EntryProcess::AddStatePages()
+void EntryProcess::AddStateSources()
 {
   mState.Add("agents", [this] {
-    return AgentsView(mAgents->Directory(), mJobs->Logic(), MonotonicNow());
+    return AgentsView(
+      mHeartbeatHandler->Directory(), mJobs->Logic(), MonotonicNow());
   });
   mState.Add("jobs", [this] { return JobsView(mJobs->Logic()); });
   mState.Add("ownership", [this] {
     return OwnershipView(mOwnership->Logic(), MonotonicNow());
   });
   mState.Add("contracts", [this] {
-    return ContractsView(
-      *mContracts.Load(), *mShares.Load(), mFeed->AsOf(), MonotonicNow());
+    return ContractsView(*mContracts.Load(),
+                         *mShares.Load(),
+                         mContractWatcher->AsOf(),
+                         MonotonicNow());
   });
 }
 
@@ -257,7 +264,7 @@
 net::HttpResponse EntryProcess::ServeControl(net::HttpRequest& aRequest)
 {
   if (!mReady) {
-    return AnswerOf({ .mMessage = "the entry is starting" });
+    return ErrorResponse({ .mMessage = "the entry is starting" });
   }
   if (aRequest.mTarget == net::kRpcTarget) {
     return mDispatcher.Handle(aRequest);
@@ -268,7 +275,7 @@
   if (auto page = mAdmin->Answer(aRequest)) {
     return *std::move(page);
   }
-  return AnswerOf({ .mStatus = 404, .mMessage = "no such page" });
+  return ErrorResponse({ .mStatus = 404, .mMessage = "no such page" });
 }
 
 absl::Status EntryProcess::Health() const
@@ -276,10 +283,10 @@
   if (mDraining) {
     return absl::UnavailableError("draining");
   }
-  if (mFeed->AsOf() == 0) {
+  if (mContractWatcher->AsOf() == 0) {
     return absl::UnavailableError("no configuration read yet");
   }
-  if (mAgents->Directory().IsFirstView(MonotonicNow())) {
+  if (mHeartbeatHandler->Directory().IsDiscovering(MonotonicNow())) {
     return absl::UnavailableError("agents are not known yet");
   }
   return absl::OkStatus();
@@ -294,10 +301,11 @@
     mShareDriver->Release();
     mOwnership->Drain();
   });
-  const Instant leaveEnd = std::min(end, MonotonicNow() + kLeaveTimeout);
+  const Instant leaveEnd = std::min(end, MonotonicNow() + kReleaseTimeout);
   const auto waits = [&](Instant aNow) {
-    return mCallers->RequestsInProgress() > 0 ? aNow < end
-                                              : !mLeft && aNow < leaveEnd;
+    return mCallers->RequestsInProgress() > 0
+             ? aNow < end
+             : !mOwnershipReleased && aNow < leaveEnd;
   };
   while (waits(MonotonicNow())) {
     std::this_thread::sleep_for(kDrainPoll);
--- a/apps/entry/EntryProcess.h
+++ b/apps/entry/EntryProcess.h
@@ -5,10 +5,10 @@
 
 #include "absl/status/status.h"
 
-#include "apps/entry/AgentDesk.h"
-#include "apps/entry/ContractFeed.h"
+#include "apps/entry/ContractWatcher.h"
 #include "apps/entry/ControlContext.h"
 #include "apps/entry/EntrySettings.h"
+#include "apps/entry/HeartbeatHandler.h"
 #include "apps/entry/JobDriver.h"
 #include "apps/entry/JobPages.h"
 #include "apps/entry/OwnershipDriver.h"
@@ -49,7 +49,7 @@
   void StartParts();
   void AddContributors();
   void AddMethods();
-  void AddStatePages();
+  void AddStateSources();
   net::HttpResponse ServeCaller(net::HttpRequest& aRequest);
   net::HttpResponse ServeControl(net::HttpRequest& aRequest);
   absl::Status Health() const;
@@ -59,21 +59,21 @@
   StateDump mState;
   Snapshot<RoutingTable> mRouting;
   Snapshot<ContractTable> mContracts;
-  Snapshot<ShareBasis> mShares;
+  Snapshot<ShareAllocation> mShares;
   net::FiberRuntime mRequestRuntime;
   net::FiberRuntime mControlRuntime;
   net::HttpClient mRequestClient;
   net::HttpClient mControlClient;
   net::RpcClient mRpc;
   net::RpcDispatcher mDispatcher;
-  std::unique_ptr<Store> mPlainStore;
+  std::unique_ptr<Store> mEtcdStore;
   std::unique_ptr<CountingStore> mStore;
   std::unique_ptr<ControlContext> mContext;
   std::unique_ptr<JobDriver> mJobs;
   std::unique_ptr<OwnershipDriver> mOwnership;
   std::unique_ptr<ShareDriver> mShareDriver;
-  std::unique_ptr<AgentDesk> mAgents;
-  std::unique_ptr<ContractFeed> mFeed;
+  std::unique_ptr<HeartbeatHandler> mHeartbeatHandler;
+  std::unique_ptr<ContractWatcher> mContractWatcher;
   std::unique_ptr<JobPages> mJobPages;
   std::unique_ptr<RequestProxy> mProxy;
   std::unique_ptr<AdminPages> mAdmin;
@@ -81,7 +81,7 @@
   std::unique_ptr<net::HttpServer> mControl;
   std::atomic<bool> mReady{ false };
   std::atomic<bool> mDraining{ false };
-  std::atomic<bool> mLeft{ false };
+  std::atomic<bool> mOwnershipReleased{ false };
 };
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/EntrySettings.cpp
+++ b/apps/entry/EntrySettings.cpp
@@ -53,7 +53,7 @@
                            { milliseconds(10), hours(1) },
                            "longest deadline that a caller may state");
   settings.AddMilliseconds("--keep-ended-ms",
-                           aSettings.mKeepEnded,
+                           aSettings.mEndedRetention,
                            { std::chrono::seconds(1), kMaxKeepEnded },
                            "how long records of ended jobs stay at least");
   settings.AddMilliseconds("--drain-timeout-ms",
--- a/apps/entry/EntrySettings.h
+++ b/apps/entry/EntrySettings.h
@@ -25,7 +25,7 @@
   std::uint32_t mShareSlots = 3;
   Duration mDefaultDeadline = std::chrono::seconds(10);
   Duration mMaxDeadline = std::chrono::minutes(5);
-  Duration mKeepEnded = std::chrono::hours(24); ///< Records of ended jobs.
+  Duration mEndedRetention = std::chrono::hours(24); ///< Records of ended jobs.
   Duration mDrainTimeout = std::chrono::seconds(30);
   LogLevel mLogLevel = LogLevel::Info;
 };
--- a/apps/entry/Answers.cpp
+++ b/apps/entry/ErrorResponse.cpp
@@ -1,4 +1,4 @@
-#include "apps/entry/Answers.h"
+#include "apps/entry/ErrorResponse.h"
 
 #include <string>
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-net::HttpResponse AnswerOf(const Refusal& aRefusal)
+net::HttpResponse ErrorResponse(const Refusal& aRefusal)
 {
   Json::Value body(Json::objectValue);
   body["error"] = std::string(aRefusal.mMessage);
--- a/apps/entry/Answers.h
+++ b/apps/entry/ErrorResponse.h
@@ -22,6 +22,6 @@
 };
 
 /// The final answer for a refusal: headers and a JSON body say the same.
-net::HttpResponse AnswerOf(const Refusal& aRefusal);
+net::HttpResponse ErrorResponse(const Refusal& aRefusal);
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/AgentDesk.cpp
+++ b/apps/entry/HeartbeatHandler.cpp
@@ -1,4 +1,4 @@
-#include "apps/entry/AgentDesk.h"
+#include "apps/entry/HeartbeatHandler.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,21 +20,22 @@
 
 } // namespace
 
-AgentDesk::AgentDesk(ControlContext& aContext, Snapshot<RoutingTable>& aTable)
+HeartbeatHandler::HeartbeatHandler(ControlContext& aContext,
+                                   Snapshot<RoutingTable>& aTable)
   : mContext(aContext)
   , mTable(aTable)
-  , mWhole(std::make_shared<const RoutingTable>())
+  , mUnlimitedTable(std::make_shared<const RoutingTable>())
   , mHeartbeats(aContext.mMetrics.Counter("heartbeats_total",
                                           "Heartbeats received from agents"))
 {
 }
 
-void AgentDesk::AddContributor(Contributor aContributor)
+void HeartbeatHandler::AddContributor(Contributor aContributor)
 {
   mContributors.push_back(std::move(aContributor));
 }
 
-void AgentDesk::AddMethods(net::RpcDispatcher& aDispatcher)
+void HeartbeatHandler::AddMethods(net::RpcDispatcher& aDispatcher)
 {
   net::AddTyped<Heartbeat>(
     aDispatcher, "agent.heartbeat", [this](const Heartbeat& aHeartbeat) {
@@ -42,7 +43,7 @@
     });
 }
 
-void AgentDesk::Start()
+void HeartbeatHandler::Start()
 {
   mContext.mRuntime.Spawn([this] {
     while (true) {
@@ -55,7 +56,7 @@
   });
 }
 
-HeartbeatReply AgentDesk::OnHeartbeat(const Heartbeat& aHeartbeat)
+HeartbeatReply HeartbeatHandler::OnHeartbeat(const Heartbeat& aHeartbeat)
 {
   mHeartbeats.Increment();
   mDirectory.Apply(aHeartbeat, MonotonicNow());
@@ -70,13 +71,13 @@
   return reply;
 }
 
-void AgentDesk::SetAllowances(std::vector<CopyAllowance> aAllowances)
+void HeartbeatHandler::SetAllowances(std::vector<CopyAllowance> aAllowances)
 {
   mAllowances = std::move(aAllowances);
-  mTable.Publish(LimitCopies(mWhole, mAllowances));
+  mTable.Publish(LimitCopies(mUnlimitedTable, mAllowances));
 }
 
-Duration AgentDesk::LongestInterval() const
+Duration HeartbeatHandler::MaxHeartbeatInterval() const
 {
   Duration longest{};
   for (const AgentRecord* record : mDirectory.Agents()) {
@@ -87,20 +88,21 @@
   return longest;
 }
 
-void AgentDesk::EvaluateHealth(Instant aNow)
+void HeartbeatHandler::EvaluateHealth(Instant aNow)
 {
   if (aNow - mEvaluatedAt < kEvaluateInterval) {
     return;
   }
   mEvaluatedAt = aNow;
-  for (const EjectionEvent& event : mDetector.Evaluate(*mWhole, aNow)) {
+  for (const EjectionEvent& event :
+       mDetector.Evaluate(*mUnlimitedTable, aNow)) {
     LogChange(
       "agent-health",
       { { "agent", event.mAgent }, { "reason", ToString(event.mReason) } });
   }
 }
 
-void AgentDesk::Publish()
+void HeartbeatHandler::Publish()
 {
   for (const MembershipEvent& event : mDirectory.TakeEvents()) {
     LogChange("agent-phase",
@@ -109,8 +111,8 @@
                 { "to", ToString(event.mTo) } });
   }
   if (mDirectory.Changed()) {
-    mWhole = mDirectory.Table();
-    mTable.Publish(LimitCopies(mWhole, mAllowances));
+    mUnlimitedTable = mDirectory.Table();
+    mTable.Publish(LimitCopies(mUnlimitedTable, mAllowances));
   }
 }
 
--- a/apps/entry/AgentDesk.h
+++ b/apps/entry/HeartbeatHandler.h
@@ -18,13 +18,13 @@
 /// Answers the agents' heartbeats: keeps the directory, publishes routing
 /// tables to the request threads, and lets the parts that have something for
 /// the agent fill in the reply.
-class AgentDesk
+class HeartbeatHandler
 {
 public:
   /// Fills in its own fields of the reply.
   using Contributor = std::function<void(const Heartbeat&, HeartbeatReply&)>;
 
-  AgentDesk(ControlContext& aContext, Snapshot<RoutingTable>& aTable);
+  HeartbeatHandler(ControlContext& aContext, Snapshot<RoutingTable>& aTable);
 
   void AddContributor(Contributor aContributor);
 
@@ -36,7 +36,7 @@
   void SetAllowances(std::vector<CopyAllowance> aAllowances);
 
   /// Longest interval at which a serving agent sends heartbeats, as learned.
-  Duration LongestInterval() const;
+  Duration MaxHeartbeatInterval() const;
 
   /// Starts the fiber that notices silent agents.
   void Start();
@@ -53,7 +53,7 @@
   Snapshot<RoutingTable>& mTable;
   AgentDirectory mDirectory;
   /// Without the limits of copies, as the detector judges it.
-  std::shared_ptr<const RoutingTable> mWhole;
+  std::shared_ptr<const RoutingTable> mUnlimitedTable;
   std::vector<CopyAllowance> mAllowances;
   OutlierDetector mDetector;
   Instant mEvaluatedAt{};
--- a/apps/entry/JobDriver.cpp
+++ b/apps/entry/JobDriver.cpp
@@ -22,12 +22,12 @@
 /// Longest wait of a record for others to share its transaction.
 constexpr Duration kCommitLinger = std::chrono::milliseconds(5);
 /// Every held shard is listed again this often.
-constexpr Duration kListAgainInterval = std::chrono::seconds(30);
-constexpr Duration kShortestListInterval = std::chrono::seconds(1);
+constexpr Duration kRelistInterval = std::chrono::seconds(30);
+constexpr Duration kMinRelistInterval = std::chrono::seconds(1);
 constexpr Duration kListRetry = std::chrono::milliseconds(500);
 
 /// The job's record changes only while its shard has the same holder.
-RecordWrite WriteOf(const CommitRecord& aCommit)
+RecordWrite ToRecordWrite(const CommitRecord& aCommit)
 {
   const std::string key = JobKey(aCommit.mShard, aCommit.mRecord.mSpec.mId);
   return { .mWrite = { key, ToJsonText(aCommit.mRecord), 0 },
@@ -36,7 +36,8 @@
              StoreCompare{ ShardKey(aCommit.mShard), aCommit.mGeneration } };
 }
 
-CommitDone DoneOf(CommitToken aToken, const absl::StatusOr<Revision>& aWritten)
+CommitDone ToCommitDone(CommitToken aToken,
+                        const absl::StatusOr<Revision>& aWritten)
 {
   if (aWritten.ok()) {
     return { aToken, CommitOutcome::Applied, *aWritten };
@@ -52,7 +53,7 @@
            0 };
 }
 
-std::optional<StoredJob> StoredJobOf(const StoreEntry& aEntry)
+std::optional<StoredJob> ParseStoredJob(const StoreEntry& aEntry)
 {
   absl::StatusOr<JobRecord> record = FromJsonText<JobRecord>(aEntry.mValue);
   if (!record.ok()) {
@@ -67,9 +68,9 @@
 } // namespace
 
 JobDriver::JobDriver(ControlContext& aContext,
-                     ShardQuestion aMayExtend,
-                     ShardQuestion aMayReassign,
-                     Duration aKeepEnded)
+                     ShardPredicate aMayExtend,
+                     ShardPredicate aMayReassign,
+                     Duration aEndedRetention)
   : mContext(aContext)
   , mMayExtend(std::move(aMayExtend))
   , mMayReassign(std::move(aMayReassign))
@@ -78,7 +79,7 @@
             [&aContext](std::function<void()> aBody) {
               aContext.mRuntime.Spawn(std::move(aBody));
             })
-  , mEnded(aKeepEnded)
+  , mEnded(aEndedRetention)
   , mDeleted(aContext.mMetrics.Counter(
       "job_records_deleted_total",
       "Records of ended jobs deleted after their keeping time"))
@@ -97,8 +98,8 @@
     while (true) {
       const auto shards = static_cast<int>(std::max(mHeld.size(), 1UL));
       boost::this_fiber::sleep_for(
-        std::max(kListAgainInterval / shards, kShortestListInterval));
-      ListAgain();
+        std::max(kRelistInterval / shards, kMinRelistInterval));
+      RelistNext();
     }
   });
 }
@@ -112,7 +113,7 @@
   }
 }
 
-void JobDriver::TakeShard(ShardId aShard, Generation aGeneration)
+void JobDriver::OnShardAcquired(ShardId aShard, Generation aGeneration)
 {
   mHeld[aShard] = aGeneration;
   mContext.mRuntime.Spawn(
@@ -133,7 +134,7 @@
     }
     ShardAcquired event{ aShard, aGeneration, {}, mMayReassign(aShard) };
     for (const StoreEntry& entry : listing->mEntries) {
-      if (auto job = StoredJobOf(entry)) {
+      if (auto job = ParseStoredJob(entry)) {
         event.mJobs.push_back(*std::move(job));
       }
     }
@@ -144,19 +145,19 @@
 
 /// Finds jobs whose word never came, since the process that accepted them died:
 /// one held shard after the other.
-void JobDriver::ListAgain()
+void JobDriver::RelistNext()
 {
-  auto next = mHeld.upper_bound(mListedAgain);
+  auto next = mHeld.upper_bound(mLastRelisted);
   if (next == mHeld.end()) {
     next = mHeld.begin();
   }
   if (next == mHeld.end()) {
     return;
   }
-  mListedAgain = next->first;
-  const auto listing = mContext.mStore.List(JobShardPrefix(mListedAgain));
+  mLastRelisted = next->first;
+  const auto listing = mContext.mStore.List(JobShardPrefix(mLastRelisted));
   if (listing.ok()) {
-    ReadChanged(mListedAgain, *listing);
+    ReadChanged(mLastRelisted, *listing);
   }
 }
 
@@ -171,20 +172,20 @@
     if (known != nullptr && known->mStored.mRevision >= entry.mModRevision) {
       continue;
     }
-    if (auto stored = StoredJobOf(entry)) {
-      TakeListed(aShard, *std::move(stored));
+    if (auto stored = ParseStoredJob(entry)) {
+      OnListed(aShard, *std::move(stored));
     }
   }
 }
 
-void JobDriver::TakeListed(ShardId aShard, StoredJob aStored)
+void JobDriver::OnListed(ShardId aShard, StoredJob aStored)
 {
   if (!IsFinal(aStored.mRecord.mState)) {
     Handle(JobRead{ aShard, std::move(aStored) });
     return;
   }
   const JobId& job = aStored.mRecord.mSpec.mId;
-  if (mEnded.Seen(aShard, job, aStored.mRevision, MonotonicNow())) {
+  if (mEnded.OnFinalRecord(aShard, job, aStored.mRevision, MonotonicNow())) {
     DeleteEnded(aShard, aStored);
   }
 }
@@ -205,38 +206,38 @@
   });
 }
 
-void JobDriver::DropShard(ShardId aShard)
+void JobDriver::OnShardLost(ShardId aShard)
 {
   mHeld.erase(aShard);
   mEnded.ForgetShard(aShard);
   Handle(ShardLost{ aShard });
 }
 
-bool JobDriver::ReadHinted(const JobChanged& aHint)
+bool JobDriver::OnJobChanged(const JobChanged& aChange)
 {
-  if (!mLogic.Owns(aHint.mShard)) {
+  if (!mLogic.Owns(aChange.mShard)) {
     return false;
   }
-  Run(ReadJob{ aHint.mShard, aHint.mJob });
+  Run(ReadJob{ aChange.mShard, aChange.mJob });
   return true;
 }
 
-void JobDriver::ClearShard(ShardId aShard)
+void JobDriver::OnEarlierLeasesExpired(ShardId aShard)
 {
   Handle(ShardCleared{ aShard });
 }
 
 TaskReplies JobDriver::OnHeartbeat(const Heartbeat& aHeartbeat)
 {
-  mExtension.reset();
-  Handle(HeartbeatSeen{ aHeartbeat });
+  mLeaseExtension.reset();
+  Handle(HeartbeatReceived{ aHeartbeat });
   TaskReplies replies;
   if (const auto pending = mPending.find(aHeartbeat.mAgent);
       pending != mPending.end()) {
     replies = std::move(pending->second);
     mPending.erase(pending);
   }
-  const auto extension = std::exchange(mExtension, std::nullopt);
+  const auto extension = std::exchange(mLeaseExtension, std::nullopt);
   if (!extension) {
     return replies;
   }
@@ -268,8 +269,8 @@
 void JobDriver::Run(const CommitRecord& aAction)
 {
   mContext.mRuntime.Spawn([this, aAction] {
-    const auto written = mWriter.Write(aAction.mShard, WriteOf(aAction));
-    Handle(DoneOf(aAction.mToken, written));
+    const auto written = mWriter.Write(aAction.mShard, ToRecordWrite(aAction));
+    Handle(ToCommitDone(aAction.mToken, written));
   });
 }
 
@@ -324,7 +325,7 @@
 
 void JobDriver::Run(const ExtendLeases& aAction)
 {
-  mExtension = aAction;
+  mLeaseExtension = aAction;
 }
 
 void JobDriver::Run(const ReadJob& aAction)
@@ -336,7 +337,7 @@
       Handle(JobMissing{ aAction.mShard, aAction.mJob });
       return;
     }
-    if (auto job = entry.ok() ? StoredJobOf(*entry) : std::nullopt) {
+    if (auto job = entry.ok() ? ParseStoredJob(*entry) : std::nullopt) {
       Handle(JobRead{ aAction.mShard, *std::move(job) });
       return;
     }
--- a/apps/entry/JobDriver.h
+++ b/apps/entry/JobDriver.h
@@ -29,15 +29,15 @@
 class JobDriver
 {
 public:
-  using ShardQuestion = std::function<bool(ShardId)>;
+  using ShardPredicate = std::function<bool(ShardId)>;
 
   /// `aMayExtend`: may task leases of the shard be extended now?
   /// `aMayReassign`: is no lease of an earlier owner left?
-  /// `aKeepEnded`: how long records of ended jobs stay at least.
+  /// `aEndedRetention`: how long records of ended jobs stay at least.
   JobDriver(ControlContext& aContext,
-            ShardQuestion aMayExtend,
-            ShardQuestion aMayReassign,
-            Duration aKeepEnded);
+            ShardPredicate aMayExtend,
+            ShardPredicate aMayReassign,
+            Duration aEndedRetention);
 
   /// Starts the ticking fiber and the one that lists held shards again.
   void Start();
@@ -45,15 +45,15 @@
   void Handle(const JobEvent& aEvent);
 
   /// Lists the jobs of a shard that was won and hands them to the scheduler.
-  void TakeShard(ShardId aShard, Generation aGeneration);
-  void DropShard(ShardId aShard);
+  void OnShardAcquired(ShardId aShard, Generation aGeneration);
+  void OnShardLost(ShardId aShard);
 
   /// No lease that an earlier owner of the shard granted is left.
-  void ClearShard(ShardId aShard);
+  void OnEarlierLeasesExpired(ShardId aShard);
 
   /// Reads a job of which another process says that it changed. False when
   /// this entry does not own the shard.
-  bool ReadHinted(const JobChanged& aHint);
+  bool OnJobChanged(const JobChanged& aChange);
 
   /// Gives the heartbeat to the scheduler and returns what its reply carries.
   TaskReplies OnHeartbeat(const Heartbeat& aHeartbeat);
@@ -65,9 +65,9 @@
 
 private:
   void ListShard(ShardId aShard, Generation aGeneration);
-  void ListAgain();
+  void RelistNext();
   void ReadChanged(ShardId aShard, const StoreListing& aListing);
-  void TakeListed(ShardId aShard, StoredJob aStored);
+  void OnListed(ShardId aShard, StoredJob aStored);
   void DeleteEnded(ShardId aShard, const StoredJob& aStored);
   TaskReplies& PendingFor(const AgentId& aAgent);
 
@@ -80,19 +80,19 @@
   void Run(const ReadJob& aAction);
 
   ControlContext& mContext;
-  ShardQuestion mMayExtend;
-  ShardQuestion mMayReassign;
+  ShardPredicate mMayExtend;
+  ShardPredicate mMayReassign;
   BatchWriter mWriter;
   JobScheduler mLogic;
   EndedRecords mEnded;
   absl::BitGen mRandom;
   /// Shards held, with the generation under which each is being listed.
   absl::btree_map<ShardId, Generation> mHeld;
-  ShardId mListedAgain = 0;
+  ShardId mLastRelisted = 0;
   absl::flat_hash_map<AgentId, TaskReplies> mPending;
   prometheus::Counter& mDeleted;
   /// Set by the scheduler while it handles a heartbeat.
-  std::optional<ExtendLeases> mExtension;
+  std::optional<ExtendLeases> mLeaseExtension;
 };
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/JobPages.cpp
+++ b/apps/entry/JobPages.cpp
@@ -6,7 +6,7 @@
 
 #include "absl/strings/str_cat.h"
 
-#include "apps/entry/Answers.h"
+#include "apps/entry/ErrorResponse.h"
 #include "apps/entry/JobKeys.h"
 #include "apps/entry/JobSubmission.h"
 #include "apps/entry/JobViews.h"
@@ -28,23 +28,24 @@
 
 net::HttpResponse BadRequest(std::string_view aMessage)
 {
-  return AnswerOf(
+  return ErrorResponse(
     { .mStatus = 400, .mVerdict = Verdict::NotRun, .mMessage = aMessage });
 }
 
 net::HttpResponse NoSuchJob()
 {
-  return AnswerOf(
+  return ErrorResponse(
     { .mStatus = 404, .mVerdict = Verdict::NotRun, .mMessage = "no such job" });
 }
 
 net::HttpResponse StoreUnavailable(Verdict aVerdict)
 {
-  return AnswerOf({ .mStatus = 503,
-                    .mVerdict = aVerdict,
-                    .mReason = Reason::WaitingForStore,
-                    .mRetryAfter = kStoreRetryAfter,
-                    .mMessage = "the store did not take or answer the call" });
+  return ErrorResponse(
+    { .mStatus = 503,
+      .mVerdict = aVerdict,
+      .mReason = Reason::WaitingForStore,
+      .mRetryAfter = kStoreRetryAfter,
+      .mMessage = "the store did not take or answer the call" });
 }
 
 /// Value of a parameter of a query "a=1&b=2"; empty when absent.
@@ -74,10 +75,10 @@
   , mShards(aShards)
   , mHasContract(std::move(aHasContract))
   , mWriter(aContext.mStore)
-  , mHints(
+  , mNotifier(
       aContext,
       [this](ShardId aShard) { return OwnerOf(aShard); },
-      [this](const JobChanged& aHint) { return mJobs.ReadHinted(aHint); })
+      [this](const JobChanged& aChange) { return mJobs.OnJobChanged(aChange); })
 {
 }
 
@@ -86,8 +87,8 @@
   net::AddTyped<JobChanged>(
     aDispatcher,
     kJobChangedMethod,
-    [this](const JobChanged& aHint) -> absl::StatusOr<JobChangedReply> {
-      if (mJobs.ReadHinted(aHint)) {
+    [this](const JobChanged& aChange) -> absl::StatusOr<JobChangedReply> {
+      if (mJobs.OnJobChanged(aChange)) {
         return JobChangedReply{};
       }
       return WithVerdict(absl::FailedPreconditionError("not the shard's owner"),
@@ -99,12 +100,12 @@
       if (!aParams["job"].isString()) {
         return absl::InvalidArgumentError("job: allowed text");
       }
-      return ExplainHere(JobId(aParams["job"].asString()));
+      return ExplainLocally(JobId(aParams["job"].asString()));
     });
   aDispatcher.Add(kListJobsMethod,
                   [this](const Json::Value&) -> absl::StatusOr<Json::Value> {
                     Json::Value result(Json::objectValue);
-                    result["jobs"] = ListHere();
+                    result["jobs"] = ListLocally();
                     return result;
                   });
 }
@@ -140,10 +141,10 @@
       return Cancel(JobId(std::string(rest)));
     }
   }
-  return AnswerOf({ .mStatus = 405,
-                    .mVerdict = Verdict::NotRun,
-                    .mMessage = "allowed: POST and GET of jobs, GET and "
-                                "DELETE of one job, GET of its explain" });
+  return ErrorResponse({ .mStatus = 405,
+                         .mVerdict = Verdict::NotRun,
+                         .mMessage = "allowed: POST and GET of jobs, GET and "
+                                     "DELETE of one job, GET of its explain" });
 }
 
 net::HttpResponse JobPages::Submit(const net::HttpRequest& aRequest)
@@ -156,28 +157,30 @@
     return BadRequest(std::string(spec.status().message()));
   }
   if (!mHasContract(spec->mCustomer)) {
-    return AnswerOf({ .mStatus = 403,
-                      .mVerdict = Verdict::NotRun,
-                      .mReason = Reason::NoContract,
-                      .mMessage = "no contract of this customer is in force" });
+    return ErrorResponse(
+      { .mStatus = 403,
+        .mVerdict = Verdict::NotRun,
+        .mReason = Reason::NoContract,
+        .mMessage = "no contract of this customer is in force" });
   }
-  const SubmissionResult result = mWriter.Submit(ShardFor(spec->mId), *spec);
+  const SubmissionResult result = mWriter.Submit(ShardOfJob(spec->mId), *spec);
   if (const auto* failed = std::get_if<SubmissionFailed>(&result)) {
     return StoreUnavailable(failed->mVerdict);
   }
   if (std::holds_alternative<SubmissionConflict>(result)) {
-    return AnswerOf({ .mStatus = 409,
-                      .mVerdict = Verdict::NotRun,
-                      .mReason = Reason::DuplicateRequest,
-                      .mMessage = "the idempotency key names another job" });
+    return ErrorResponse(
+      { .mStatus = 409,
+        .mVerdict = Verdict::NotRun,
+        .mReason = Reason::DuplicateRequest,
+        .mMessage = "the idempotency key names another job" });
   }
-  TellOwner(spec->mId);
+  NotifyOwner(spec->mId);
   return net::JsonResponse(202, SummaryOf(std::get<Submitted>(result).mRecord));
 }
 
 net::HttpResponse JobPages::Show(const JobId& aJob)
 {
-  const auto entry = mContext.mStore.Read(JobKey(ShardFor(aJob), aJob));
+  const auto entry = mContext.mStore.Read(JobKey(ShardOfJob(aJob), aJob));
   if (absl::IsNotFound(entry.status())) {
     return NoSuchJob();
   }
@@ -191,10 +194,10 @@
 
 net::HttpResponse JobPages::Explain(const JobId& aJob)
 {
-  const ShardId shard = ShardFor(aJob);
+  const ShardId shard = ShardOfJob(aJob);
   Json::Value view;
   if (mJobs.Logic().Owns(shard)) {
-    view = ExplainHere(aJob);
+    view = ExplainLocally(aJob);
   } else if (const auto owner = OwnerOf(shard)) {
     Json::Value params(Json::objectValue);
     params["job"] = aJob.Value();
@@ -224,7 +227,7 @@
       }
     }
   };
-  append(ListHere());
+  append(ListLocally());
   const auto live = mOwnership.Logic().Roster().Live();
   const std::vector<LiveEntry> peers(live.begin(), live.end());
   for (const LiveEntry& peer : peers) {
@@ -246,33 +249,33 @@
 
 net::HttpResponse JobPages::Cancel(const JobId& aJob)
 {
-  switch (mWriter.Cancel(ShardFor(aJob), aJob)) {
+  switch (mWriter.Cancel(ShardOfJob(aJob), aJob)) {
     case CancelResult::Unknown:
       return NoSuchJob();
     case CancelResult::AlreadyFinal:
-      return AnswerOf({ .mStatus = 409,
-                        .mVerdict = Verdict::NotRun,
-                        .mMessage = "the job has ended" });
-    case CancelResult::NotRecorded:
+      return ErrorResponse({ .mStatus = 409,
+                             .mVerdict = Verdict::NotRun,
+                             .mMessage = "the job has ended" });
+    case CancelResult::NotSaved:
       return StoreUnavailable(Verdict::MayHaveRun);
     case CancelResult::Accepted:
       break;
   }
-  TellOwner(aJob);
+  NotifyOwner(aJob);
   Json::Value body(Json::objectValue);
   body["id"] = aJob.Value();
   body["cancelRequested"] = true;
   return net::JsonResponse(202, body);
 }
 
-ShardId JobPages::ShardFor(const JobId& aJob) const
+ShardId JobPages::ShardOfJob(const JobId& aJob) const
 {
   return ShardOf(aJob, mShards);
 }
 
-void JobPages::TellOwner(const JobId& aJob)
+void JobPages::NotifyOwner(const JobId& aJob)
 {
-  mHints.Send({ ShardFor(aJob), aJob });
+  mNotifier.Send({ ShardOfJob(aJob), aJob });
 }
 
 std::optional<Endpoint> JobPages::OwnerOf(ShardId aShard) const
@@ -284,13 +287,13 @@
   return owner->mRecord.mEndpoint;
 }
 
-Json::Value JobPages::ExplainHere(const JobId& aJob) const
+Json::Value JobPages::ExplainLocally(const JobId& aJob) const
 {
   const Json::Value view = ExplanationOf(mJobs.Logic(), aJob, MonotonicNow());
   return view.isNull() ? Json::Value(Json::objectValue) : view;
 }
 
-Json::Value JobPages::ListHere() const
+Json::Value JobPages::ListLocally() const
 {
   Json::Value jobs(Json::arrayValue);
   mJobs.Logic().Jobs().ForEach([&jobs](const JobEntry& aEntry) {
--- a/apps/entry/JobPages.h
+++ b/apps/entry/JobPages.h
@@ -7,8 +7,8 @@
 #include "absl/random/random.h"
 
 #include "apps/entry/ControlContext.h"
+#include "apps/entry/JobChangeNotifier.h"
 #include "apps/entry/JobDriver.h"
-#include "apps/entry/JobHints.h"
 #include "apps/entry/JobWriter.h"
 #include "apps/entry/OwnershipDriver.h"
 #include "src/net/HttpMessage.h"
@@ -44,11 +44,11 @@
   net::HttpResponse List(std::string_view aQuery);
   net::HttpResponse Cancel(const JobId& aJob);
 
-  ShardId ShardFor(const JobId& aJob) const;
-  void TellOwner(const JobId& aJob);
+  ShardId ShardOfJob(const JobId& aJob) const;
+  void NotifyOwner(const JobId& aJob);
   std::optional<Endpoint> OwnerOf(ShardId aShard) const;
-  Json::Value ExplainHere(const JobId& aJob) const;
-  Json::Value ListHere() const;
+  Json::Value ExplainLocally(const JobId& aJob) const;
+  Json::Value ListLocally() const;
 
   ControlContext& mContext;
   const OwnershipDriver& mOwnership;
@@ -56,7 +56,7 @@
   std::uint32_t mShards;
   HasContract mHasContract;
   JobWriter mWriter;
-  JobHints mHints;
+  JobChangeNotifier mNotifier;
   absl::BitGen mRandom;
 };
 
--- a/apps/entry/JobViews.cpp
+++ b/apps/entry/JobViews.cpp
@@ -13,9 +13,9 @@
   return std::string(aText);
 }
 
-Json::Value ViewOf(const Decision& aDecision,
-                   const WorkerIndex& aWorkers,
-                   Instant aNow)
+Json::Value ToJsonView(const Decision& aDecision,
+                       const WorkerIndex& aWorkers,
+                       Instant aNow)
 {
   Json::Value view(Json::objectValue);
   const Duration age = aNow - aDecision.mAt;
@@ -63,7 +63,7 @@
   view["record"] = ToJson(*record);
   view["decisions"] = Json::Value(Json::arrayValue);
   for (const Decision& decision : aScheduler.Explain(aJob)) {
-    view["decisions"].append(ViewOf(decision, aScheduler.Workers(), aNow));
+    view["decisions"].append(ToJsonView(decision, aScheduler.Workers(), aNow));
   }
   return view;
 }
--- a/apps/entry/JobWriter.cpp
+++ b/apps/entry/JobWriter.cpp
@@ -15,13 +15,14 @@
   return { { { aKey, 0 } }, { { aKey, ToJsonText(aRecord), 0 } } };
 }
 
-bool SameWork(const JobSpec& aLeft, const JobSpec& aRight)
+bool IsSameSpec(const JobSpec& aLeft, const JobSpec& aRight)
 {
   return ToJsonText(aLeft) == ToJsonText(aRight);
 }
 
-/// A record written by Seal(): nobody was told that the job was accepted.
-bool IsSealed(const JobRecord& aRecord)
+/// A record written by BlockLateWrite(): nobody was told that the job was
+/// accepted.
+bool IsBlocked(const JobRecord& aRecord)
 {
   return aRecord.mState == JobState::Cancelled && aRecord.mEpoch == 0 &&
          !aRecord.mCancelRequested &&
@@ -30,14 +31,14 @@
 
 } // namespace
 
-SubmissionResult JobWriter::Judge(const StoreEntry& aEntry,
-                                  const JobSpec& aSpec)
+SubmissionResult JobWriter::ResultOfExisting(const StoreEntry& aEntry,
+                                             const JobSpec& aSpec)
 {
   absl::StatusOr<JobRecord> record = FromJsonText<JobRecord>(aEntry.mValue);
-  if (!record.ok() || !SameWork(record->mSpec, aSpec)) {
+  if (!record.ok() || !IsSameSpec(record->mSpec, aSpec)) {
     return SubmissionConflict{};
   }
-  if (IsSealed(*record)) {
+  if (IsBlocked(*record)) {
     return Reopen(aEntry, aSpec);
   }
   return Submitted{ *std::move(record) };
@@ -69,23 +70,24 @@
   if (!result.ok() && VerdictOf(result.status()) == Verdict::NotRun) {
     return SubmissionFailed{ Verdict::NotRun };
   }
-  return Resolve(key, aSpec);
+  return ReadBack(key, aSpec);
 }
 
-SubmissionResult JobWriter::Resolve(const std::string& aKey,
-                                    const JobSpec& aSpec)
+SubmissionResult JobWriter::ReadBack(const std::string& aKey,
+                                     const JobSpec& aSpec)
 {
   const auto entry = mStore.Read(aKey);
   if (entry.ok()) {
-    return Judge(*entry, aSpec);
+    return ResultOfExisting(*entry, aSpec);
   }
   if (absl::IsNotFound(entry.status())) {
-    return Seal(aKey, aSpec);
+    return BlockLateWrite(aKey, aSpec);
   }
   return SubmissionFailed{ Verdict::MayHaveRun };
 }
 
-SubmissionResult JobWriter::Seal(const std::string& aKey, const JobSpec& aSpec)
+SubmissionResult JobWriter::BlockLateWrite(const std::string& aKey,
+                                           const JobSpec& aSpec)
 {
   JobRecord sealed;
   sealed.mSpec = aSpec;
@@ -96,7 +98,7 @@
     return SubmissionFailed{ Verdict::NotRun };
   }
   if (const auto entry = mStore.Read(aKey); entry.ok()) {
-    return Judge(*entry, aSpec);
+    return ResultOfExisting(*entry, aSpec);
   }
   return SubmissionFailed{ Verdict::MayHaveRun };
 }
@@ -114,7 +116,7 @@
     }
     absl::StatusOr<JobRecord> record = FromJsonText<JobRecord>(entry->mValue);
     if (!record.ok()) {
-      return CancelResult::NotRecorded;
+      return CancelResult::NotSaved;
     }
     if (record->mCancelRequested) {
       return CancelResult::Accepted;
@@ -129,7 +131,7 @@
       return CancelResult::Accepted;
     }
   }
-  return CancelResult::NotRecorded;
+  return CancelResult::NotSaved;
 }
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/JobWriter.h
+++ b/apps/entry/JobWriter.h
@@ -31,8 +31,8 @@
 {
   Accepted,
   AlreadyFinal,
-  Unknown,     ///< No such job.
-  NotRecorded, ///< The store did not take it; the job goes on.
+  Unknown,  ///< No such job.
+  NotSaved, ///< The store did not take it; the job goes on.
 };
 
 /// Writes what callers ask for into job records.
@@ -54,9 +54,11 @@
   CancelResult Cancel(ShardId aShard, const JobId& aJob);
 
 private:
-  SubmissionResult Resolve(const std::string& aKey, const JobSpec& aSpec);
-  SubmissionResult Seal(const std::string& aKey, const JobSpec& aSpec);
-  SubmissionResult Judge(const StoreEntry& aEntry, const JobSpec& aSpec);
+  SubmissionResult ReadBack(const std::string& aKey, const JobSpec& aSpec);
+  SubmissionResult BlockLateWrite(const std::string& aKey,
+                                  const JobSpec& aSpec);
+  SubmissionResult ResultOfExisting(const StoreEntry& aEntry,
+                                    const JobSpec& aSpec);
 
   /// A sealed record's submission is repeated: it is accepted after all.
   SubmissionResult Reopen(const StoreEntry& aEntry, const JobSpec& aSpec);
--- a/apps/entry/OwnershipDriver.cpp
+++ b/apps/entry/OwnershipDriver.cpp
@@ -78,33 +78,33 @@
   LogChange(
     "shard-gained",
     { { "shard", aAction.mShard }, { "generation", aAction.mGeneration } });
-  mCallbacks.mGained(aAction.mShard, aAction.mGeneration);
+  mCallbacks.mAcquired(aAction.mShard, aAction.mGeneration);
 }
 
 void OwnershipDriver::Run(const ShardGivenUp& aAction)
 {
   LogChange("shard-given-up", { { "shard", aAction.mShard } });
-  mCallbacks.mGivenUp(aAction.mShard);
+  mCallbacks.mReleased(aAction.mShard);
 }
 
 void OwnershipDriver::Run(const EarlierLeasesExpired& aAction)
 {
-  mCallbacks.mCleared(aAction.mShard);
+  mCallbacks.mEarlierLeasesExpired(aAction.mShard);
 }
 
 void OwnershipDriver::Run(const SendAttest& aAction)
 {
-  Ask<AttestReply>(aAction, kAttestMethod);
+  Send<AttestReply>(aAction, kAttestMethod);
 }
 
 void OwnershipDriver::Run(const SendPromise& aAction)
 {
-  Ask<PromiseReply>(aAction, kPromiseMethod);
+  Send<PromiseReply>(aAction, kPromiseMethod);
 }
 
 /// Sends the action's question; only an answer is an event.
 template<typename Reply, typename Action>
-void OwnershipDriver::Ask(const Action& aAction, const char* aMethod)
+void OwnershipDriver::Send(const Action& aAction, const char* aMethod)
 {
   mContext.mRuntime.Spawn([this, aAction, aMethod] {
     const auto reply = net::CallTyped<Reply>(mContext.mRpc,
--- a/apps/entry/OwnershipDriver.h
+++ b/apps/entry/OwnershipDriver.h
@@ -15,10 +15,10 @@
 public:
   struct Callbacks
   {
-    std::function<void(ShardId, Generation)> mGained;
-    std::function<void(ShardId)> mGivenUp;
+    std::function<void(ShardId, Generation)> mAcquired;
+    std::function<void(ShardId)> mReleased;
     /// No lease of an owner before this one is left.
-    std::function<void(ShardId)> mCleared;
+    std::function<void(ShardId)> mEarlierLeasesExpired;
     std::function<void()> mSuperseded; ///< This process must end.
     std::function<void()> mDrained;
   };
@@ -52,7 +52,7 @@
   void Run(const Drained& aAction);
 
   template<typename Reply, typename Action>
-  void Ask(const Action& aAction, const char* aMethod);
+  void Send(const Action& aAction, const char* aMethod);
 
   ControlContext& mContext;
   ShardOwnership mLogic;
--- a/apps/entry/RequestProxy.cpp
+++ b/apps/entry/RequestProxy.cpp
@@ -27,7 +27,7 @@
   return sRandom;
 }
 
-RequestId FreshId()
+RequestId GenerateRequestId()
 {
   const std::uint64_t high = Random()();
   const std::uint64_t low = Random()();
@@ -36,17 +36,17 @@
 }
 
 /// Tells the customer's admission that an admitted request has ended.
-class AdmissionEnd
+class AdmissionGuard
 {
 public:
-  explicit AdmissionEnd(CustomerAdmission& aAdmission)
+  explicit AdmissionGuard(CustomerAdmission& aAdmission)
     : mAdmission(aAdmission)
   {
   }
-  ~AdmissionEnd() { mAdmission.Finish(MonotonicNow()); }
+  ~AdmissionGuard() { mAdmission.Finish(MonotonicNow()); }
 
-  AdmissionEnd(const AdmissionEnd&) = delete;
-  AdmissionEnd& operator=(const AdmissionEnd&) = delete;
+  AdmissionGuard(const AdmissionGuard&) = delete;
+  AdmissionGuard& operator=(const AdmissionGuard&) = delete;
 
 private:
   CustomerAdmission& mAdmission;
@@ -107,7 +107,7 @@
 
 RequestProxy::RequestProxy(const Snapshot<RoutingTable>& aRouting,
                            const Snapshot<ContractTable>& aContracts,
-                           const Snapshot<ShareBasis>& aShares,
+                           const Snapshot<ShareAllocation>& aShares,
                            FailureDomainId aOwnDomain,
                            const OutlierDetector& aDetector,
                            DeadlineLimits aDeadlines,
@@ -134,8 +134,8 @@
 net::HttpResponse RequestProxy::Forward(net::HttpRequest& aRequest)
 {
   mRequests.Increment();
-  const auto read =
-    ReadCallerRequest(aRequest, mDeadlines, FreshId(), MonotonicNow());
+  const auto read = ReadCallerRequest(
+    aRequest, mDeadlines, GenerateRequestId(), MonotonicNow());
   if (const auto* refusal = std::get_if<Refusal>(&read)) {
     return Refuse(*refusal);
   }
@@ -143,15 +143,15 @@
   const auto contracts = mContracts.Load();
   const CustomerState* customer = contracts->Find(caller.mCustomer);
   net::HttpResponse response = customer != nullptr
-                                 ? Admitted(aRequest, caller, *customer)
+                                 ? ForwardAdmitted(aRequest, caller, *customer)
                                  : Refuse(NoContract(*contracts));
   response.mHeaders.Set(kRequestIdHeader, caller.mId.Value());
   return response;
 }
 
-net::HttpResponse RequestProxy::Admitted(net::HttpRequest& aRequest,
-                                         const CallerRequest& aCaller,
-                                         const CustomerState& aCustomer)
+net::HttpResponse RequestProxy::ForwardAdmitted(net::HttpRequest& aRequest,
+                                                const CallerRequest& aCaller,
+                                                const CustomerState& aCustomer)
 {
   const AdmissionDecision decision = aCustomer.mAdmission->Decide(
     *aCustomer.mContract,
@@ -166,24 +166,24 @@
                     .mMessage = "the customer's share of its contract at this "
                                 "entry is used up" });
   }
-  const AdmissionEnd end(*aCustomer.mAdmission);
+  const AdmissionGuard end(*aCustomer.mAdmission);
   Progress progress{ aRequest, aCaller, ServiceOf(*aCustomer.mContract), {} };
   return Route(progress);
 }
 
 net::HttpResponse RequestProxy::Route(Progress& aProgress)
 {
-  mRetryBudget.FirstAttempt();
+  mRetryBudget.OnFirstAttempt();
   while (true) {
     Choice choice = Pick(aProgress);
     if (const auto* none = std::get_if<NoChoice>(&choice)) {
-      return Refuse(
-        RefusalOf(GiveUp{ WorstVerdict(aProgress.mEarlier, none->mVerdict),
-                          none->mReason,
-                          none->mRetryAfter }));
+      return Refuse(RefusalOf(
+        GiveUp{ WorstVerdict(aProgress.mEarlierVerdict, none->mVerdict),
+                none->mReason,
+                none->mRetryAfter }));
     }
     Picked& picked = std::get<Picked>(choice);
-    if (const auto refusal = AskFirst(aProgress, picked)) {
+    if (const auto refusal = RevokeTarget(aProgress, picked)) {
       return Refuse(*refusal);
     }
     ++aProgress.mAttempts;
@@ -221,7 +221,7 @@
                         .mCustomer = caller.mCustomer,
                         .mIdempotencyKey = caller.mIdempotencyKey,
                         .mIdempotent = caller.mIdempotent,
-                        .mKeyPassedOn = aProgress.mKeyPassedOn,
+                        .mKeyRevoked = aProgress.mKeyRevoked,
                         .mExcluded = aProgress.mExcluded },
                       MonotonicNow(),
                       Random());
@@ -229,10 +229,10 @@
 
 /// Has the agents that may know the idempotency key promise not to run it. One
 /// that already did is sent the request itself: it replays its answer.
-std::optional<Refusal> RequestProxy::AskFirst(const Progress& aProgress,
-                                              Picked& aPicked)
+std::optional<Refusal> RequestProxy::RevokeTarget(const Progress& aProgress,
+                                                  Picked& aPicked)
 {
-  for (const foxtailbarrow::AskFirst& ask : aPicked.mAskFirst) {
+  for (const foxtailbarrow::RevokeTarget& ask : aPicked.mRevokeFirst) {
     const auto reply = mAgents.RevokeKey(aProgress.mCaller, *ask.mAgent);
     const bool elsewhere =
       reply && ask.mMustBeFirstPromise && reply->mPromisedBefore;
@@ -264,7 +264,7 @@
   const Instant now = MonotonicNow();
   const RetryDecision decision =
     mRetryPolicy.Decide({ .mVerdict = aAttempt.mVerdict,
-                          .mEarlier = aProgress.mEarlier,
+                          .mEarlierVerdict = aProgress.mEarlierVerdict,
                           .mReason = aAttempt.mReason,
                           .mIdempotent = aProgress.mCaller.mIdempotent,
                           .mAttempts = aProgress.mAttempts,
@@ -276,9 +276,10 @@
   if (const auto* giveUp = std::get_if<GiveUp>(&decision)) {
     return RefusalOf(*giveUp);
   }
-  aProgress.mEarlier = WorstVerdict(aProgress.mEarlier, aAttempt.mVerdict);
-  aProgress.mKeyPassedOn |= aAttempt.mVerdict == Verdict::NotRun &&
-                            aAttempt.mReason == Reason::DuplicateRequest;
+  aProgress.mEarlierVerdict =
+    WorstVerdict(aProgress.mEarlierVerdict, aAttempt.mVerdict);
+  aProgress.mKeyRevoked |= aAttempt.mVerdict == Verdict::NotRun &&
+                           aAttempt.mReason == Reason::DuplicateRequest;
   if (const Duration delay = std::get<Retry>(decision).mDelay;
       delay > Duration::zero()) {
     boost::this_fiber::sleep_for(delay);
@@ -289,7 +290,7 @@
 net::HttpResponse RequestProxy::Refuse(const Refusal& aRefusal)
 {
   mRefused.Increment();
-  return AnswerOf(aRefusal);
+  return ErrorResponse(aRefusal);
 }
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/RequestProxy.h
+++ b/apps/entry/RequestProxy.h
@@ -7,7 +7,7 @@
 #include "apps/entry/AgentCalls.h"
 #include "apps/entry/CallerRequest.h"
 #include "apps/entry/ContractTable.h"
-#include "src/core/admission/ShareBasis.h"
+#include "src/core/admission/ShareAllocation.h"
 #include "src/core/base/Snapshot.h"
 #include "src/core/retry/RetryPolicy.h"
 #include "src/core/routing/CopyLimit.h"
@@ -29,7 +29,7 @@
 public:
   RequestProxy(const Snapshot<RoutingTable>& aRouting,
                const Snapshot<ContractTable>& aContracts,
-               const Snapshot<ShareBasis>& aShares,
+               const Snapshot<ShareAllocation>& aShares,
                FailureDomainId aOwnDomain,
                const OutlierDetector& aDetector,
                DeadlineLimits aDeadlines,
@@ -46,18 +46,19 @@
     const CallerRequest& mCaller;
     ServiceId mService;
     std::vector<AgentId> mExcluded;
-    Verdict mEarlier = Verdict::NotRun; ///< Of the attempts so far.
-    bool mKeyPassedOn = false;
+    Verdict mEarlierVerdict = Verdict::NotRun; ///< Of the attempts so far.
+    bool mKeyRevoked = false;
     int mAttempts = 0;
   };
 
-  net::HttpResponse Admitted(net::HttpRequest& aRequest,
-                             const CallerRequest& aCaller,
-                             const CustomerState& aCustomer);
+  net::HttpResponse ForwardAdmitted(net::HttpRequest& aRequest,
+                                    const CallerRequest& aCaller,
+                                    const CustomerState& aCustomer);
   net::HttpResponse Route(Progress& aProgress);
   ServiceId ServiceOf(const Contract& aContract) const;
   Choice Pick(const Progress& aProgress) const;
-  std::optional<Refusal> AskFirst(const Progress& aProgress, Picked& aPicked);
+  std::optional<Refusal> RevokeTarget(const Progress& aProgress,
+                                      Picked& aPicked);
   Attempt Send(Progress& aProgress, Picked aPicked);
   std::optional<Refusal> AfterFailure(Progress& aProgress,
                                       const Attempt& aAttempt);
@@ -65,7 +66,7 @@
 
   const Snapshot<RoutingTable>& mRouting;
   const Snapshot<ContractTable>& mContracts;
-  const Snapshot<ShareBasis>& mShares;
+  const Snapshot<ShareAllocation>& mShares;
   Router mRouter;
   const OutlierDetector& mDetector;
   DeadlineLimits mDeadlines;
--- a/apps/entry/ShareDriver.cpp
+++ b/apps/entry/ShareDriver.cpp
@@ -17,9 +17,9 @@
 namespace {
 
 constexpr std::string_view kSharesPrefix = "/foxtailbarrow/shares/";
-constexpr Duration kRosterPoll = std::chrono::milliseconds(100);
-constexpr Duration kSlotsWithoutOwn = std::chrono::seconds(1);
-constexpr Duration kSlotsWithOwn = std::chrono::seconds(10);
+constexpr Duration kRosterInterval = std::chrono::milliseconds(100);
+constexpr Duration kPollWithoutSlot = std::chrono::seconds(1);
+constexpr Duration kPollWithSlot = std::chrono::seconds(10);
 
 std::string SlotKey(std::int32_t aSlot)
 {
@@ -32,13 +32,13 @@
                          const ShareSettings& aSettings,
                          const ShareOwner& aSelf,
                          const ShardOwnership& aOwnership,
-                         Snapshot<ShareBasis>& aBasis)
+                         Snapshot<ShareAllocation>& aAllocation)
   : mContext(aContext)
   , mSettings(aSettings)
   , mSelf(aSelf)
   , mOwnership(aOwnership)
-  , mBasis(aBasis)
-  , mKeeper(aSettings, aSelf)
+  , mAllocation(aAllocation)
+  , mAllocator(aSettings, aSelf)
 {
 }
 
@@ -46,37 +46,38 @@
 {
   mContext.mRuntime.Spawn([this] {
     while (true) {
-      FollowRoster();
-      boost::this_fiber::sleep_for(kRosterPoll);
+      UpdateRoster();
+      boost::this_fiber::sleep_for(kRosterInterval);
     }
   });
   mContext.mRuntime.Spawn([this] {
     while (!mReleased) {
       ReadSlots();
-      boost::this_fiber::sleep_for(mKeeper.Basis().mSlot ? kSlotsWithOwn
-                                                         : kSlotsWithoutOwn);
+      boost::this_fiber::sleep_for(
+        mAllocator.Allocation().mSlot ? kPollWithSlot : kPollWithoutSlot);
     }
   });
 }
 
-void ShareDriver::FollowRoster()
+void ShareDriver::UpdateRoster()
 {
   if (const auto tenure = mOwnership.Tenure(); tenure != mTenure) {
     if (mTenure) {
-      mKeeper.OnLeft();
+      mAllocator.OnLeft();
     }
     if (tenure) {
-      mKeeper.OnJoined(MonotonicNow());
+      mAllocator.OnJoined(MonotonicNow());
     }
     mTenure = tenure;
-    mRosterFrom.reset();
+    mRosterConfirmedAt.reset();
   }
   const auto from = mOwnership.Roster().LastConfirmedRound();
-  if (mTenure && from && from != mRosterFrom) {
-    mRosterFrom = from;
-    mKeeper.OnRoster(*from, LiveIds());
+  if (mTenure && from && from != mRosterConfirmedAt) {
+    mRosterConfirmedAt = from;
+    mAllocator.OnRoster(*from, LiveIds());
   }
-  mBasis.Publish(std::make_shared<const ShareBasis>(mKeeper.Basis()));
+  mAllocation.Publish(
+    std::make_shared<const ShareAllocation>(mAllocator.Allocation()));
 }
 
 void ShareDriver::ReadSlots()
@@ -87,7 +88,7 @@
     return;
   }
   const auto claim =
-    mKeeper.OnSlots(started, MonotonicNow(), SlotsOf(*listing), LiveIds());
+    mAllocator.OnSlots(started, MonotonicNow(), SlotsOf(*listing), LiveIds());
   if (claim) {
     Claim(*claim);
   }
@@ -106,9 +107,10 @@
 void ShareDriver::Release()
 {
   mReleased = true;
-  const auto slot = mKeeper.Basis().mSlot;
-  mKeeper.OnReleased();
-  mBasis.Publish(std::make_shared<const ShareBasis>(mKeeper.Basis()));
+  const auto slot = mAllocator.Allocation().mSlot;
+  mAllocator.OnReleased();
+  mAllocation.Publish(
+    std::make_shared<const ShareAllocation>(mAllocator.Allocation()));
   if (!slot) {
     return;
   }
--- a/apps/entry/ShareDriver.h
+++ b/apps/entry/ShareDriver.h
@@ -4,13 +4,13 @@
 #include <vector>
 
 #include "apps/entry/ControlContext.h"
-#include "src/core/admission/ShareKeeper.h"
+#include "src/core/admission/ShareAllocator.h"
 #include "src/core/base/Snapshot.h"
 #include "src/core/ownership/ShardOwnership.h"
 
 namespace foxtailbarrow::entry {
 
-/// Runs ShareKeeper: tells it the roster as ownership's rounds confirm it,
+/// Runs ShareAllocator: tells it the roster as ownership's rounds confirm it,
 /// claims a share slot in the store, and publishes to the request threads how
 /// much of every limit this entry may use.
 class ShareDriver
@@ -20,7 +20,7 @@
               const ShareSettings& aSettings,
               const ShareOwner& aSelf,
               const ShardOwnership& aOwnership,
-              Snapshot<ShareBasis>& aBasis);
+              Snapshot<ShareAllocation>& aAllocation);
 
   /// Starts the fibers.
   void Start();
@@ -29,7 +29,7 @@
   void Release();
 
 private:
-  void FollowRoster();
+  void UpdateRoster();
   void ReadSlots();
   void Claim(const SlotClaim& aClaim);
   std::vector<EntryId> LiveIds() const;
@@ -39,10 +39,10 @@
   ShareSettings mSettings;
   ShareOwner mSelf;
   const ShardOwnership& mOwnership;
-  Snapshot<ShareBasis>& mBasis;
-  ShareKeeper mKeeper;
+  Snapshot<ShareAllocation>& mAllocation;
+  ShareAllocator mAllocator;
   std::optional<StoreLease> mTenure;
-  std::optional<Instant> mRosterFrom;
+  std::optional<Instant> mRosterConfirmedAt;
   bool mReleased = false;
 };
 
--- a/apps/entry/StateViews.cpp
+++ b/apps/entry/StateViews.cpp
@@ -22,7 +22,7 @@
     .count();
 }
 
-Json::Value ViewOf(const AgentRecord& aRecord, Instant aNow)
+Json::Value ToJsonView(const AgentRecord& aRecord, Instant aNow)
 {
   Json::Value view(Json::objectValue);
   view["agent"] = aRecord.mAgent.Value();
@@ -37,10 +37,10 @@
   view["capacity"] = ToJson(aRecord.mLoad.mCapacity);
   view["reserved"] = ToJson(aRecord.mLoad.mReserved);
   view["configuration"] = Json::Int64(aRecord.mConfiguration);
-  view["ageMs"] = Milliseconds(aNow - aRecord.mHeardAt);
-  if (aRecord.mGauges != nullptr) {
-    view["inFlightHere"] = aRecord.mGauges->mLoad.InFlight();
-    const AgentHealth& health = aRecord.mGauges->mHealth;
+  view["ageMs"] = Milliseconds(aNow - aRecord.mHeartbeatAt);
+  if (aRecord.mRoutingState != nullptr) {
+    view["inFlightHere"] = aRecord.mRoutingState->mLoad.InFlight();
+    const AgentHealth& health = aRecord.mRoutingState->mHealth;
     if (health.mState == HealthState::Ejected) {
       view["reason"] = Text(ToString(health.mReason.load()));
     }
@@ -56,7 +56,7 @@
 {
   Json::Value list(Json::arrayValue);
   for (const AgentRecord* record : aDirectory.Agents()) {
-    Json::Value view = ViewOf(*record, aNow);
+    Json::Value view = ToJsonView(*record, aNow);
     if (const auto slot = aScheduler.Workers().SlotOf(record->mAgent);
         slot && aScheduler.Workers().At(*slot).mQuarantined) {
       view["reason"] = Text(ToString(Reason::Quarantined));
@@ -114,7 +114,7 @@
 }
 
 Json::Value ContractsView(const ContractTable& aTable,
-                          const ShareBasis& aShares,
+                          const ShareAllocation& aShares,
                           Revision aAsOf,
                           Instant aNow)
 {
--- a/apps/entry/StateViews.h
+++ b/apps/entry/StateViews.h
@@ -3,7 +3,7 @@
 #include <json/value.h>
 
 #include "apps/entry/ContractTable.h"
-#include "src/core/admission/ShareBasis.h"
+#include "src/core/admission/ShareAllocation.h"
 #include "src/core/job/JobScheduler.h"
 #include "src/core/membership/AgentDirectory.h"
 #include "src/core/ownership/ShardOwnership.h"
@@ -24,7 +24,7 @@
 
 /// The contracts in force, and how much of each limit this entry may use now.
 Json::Value ContractsView(const ContractTable& aTable,
-                          const ShareBasis& aShares,
+                          const ShareAllocation& aShares,
                           Revision aAsOf,
                           Instant aNow);
 
--- a/apps/entry/StoreCalls.cpp
+++ b/apps/entry/StoreCalls.cpp
@@ -44,7 +44,7 @@
     if (ttl.ok()) {
       return LeaseKept{};
     }
-    return GoneOrFailed(ttl.status());
+    return NotFoundOrFailed(ttl.status());
   }
 
   StoreResult operator()(const RevokeLeaseCall& aCall) const
@@ -53,7 +53,7 @@
     if (status.ok()) {
       return LeaseRevoked{};
     }
-    return GoneOrFailed(status);
+    return NotFoundOrFailed(status);
   }
 
   StoreResult operator()(const ListCall& aCall) const
@@ -67,7 +67,7 @@
   }
 
 private:
-  static StoreResult GoneOrFailed(const absl::Status& aStatus)
+  static StoreResult NotFoundOrFailed(const absl::Status& aStatus)
   {
     if (absl::IsNotFound(aStatus)) {
       return LeaseNotFound{};
--- a/apps/replay/ReplayRun.cpp
+++ b/apps/replay/ReplayRun.cpp
@@ -15,7 +15,7 @@
 #include "apps/replay/StandInAudit.h"
 #include "src/core/trace/RequestAudit.h"
 #include "src/core/trace/TaskAudit.h"
-#include "src/platform/contract/ContractBook.h"
+#include "src/platform/contract/ContractRegistry.h"
 
 namespace foxtailbarrow::replay {
 
@@ -153,7 +153,7 @@
 absl::Status ReplayRun::ApplyContract(const TraceContract& aLine)
 {
   const ContractOutcome outcome =
-    ContractBook(*mStore).Apply(aLine.mContract, std::nullopt);
+    ContractRegistry(*mStore).Apply(aLine.mContract, std::nullopt);
   if (!std::holds_alternative<ContractWritten>(outcome) &&
       !std::holds_alternative<ContractUnchanged>(outcome)) {
     return absl::UnavailableError(absl::StrCat(
--- a/apps/scheduler/JobRequestHandler.cpp
+++ b/apps/scheduler/JobRequestHandler.cpp
@@ -43,7 +43,7 @@
 } // namespace
 
 JobRequestHandler::JobRequestHandler(net::FiberRuntime& aRuntime,
-                                     PulsedStore& aStore,
+                                     HealthTrackingStore& aStore,
                                      net::RpcClient& aRpc,
                                      const Election& aElection,
                                      std::vector<Endpoint> aPeers)
--- a/apps/scheduler/JobRequestHandler.h
+++ b/apps/scheduler/JobRequestHandler.h
@@ -14,7 +14,7 @@
 #include "src/core/cell/PeerAvailability.h"
 #include "src/net/FiberRuntime.h"
 #include "src/net/Rpc.h"
-#include "src/platform/store/PulsedStore.h"
+#include "src/platform/store/HealthTrackingStore.h"
 
 namespace foxtailbarrow::scheduler {
 
@@ -25,7 +25,7 @@
 {
 public:
   JobRequestHandler(net::FiberRuntime& aRuntime,
-                    PulsedStore& aStore,
+                    HealthTrackingStore& aStore,
                     net::RpcClient& aRpc,
                     const Election& aElection,
                     std::vector<Endpoint> aPeers);
@@ -71,7 +71,7 @@
   void NotifyOwner(const cell::StoredJob& aJob);
 
   net::FiberRuntime& mRuntime;
-  PulsedStore& mStore;
+  HealthTrackingStore& mStore;
   net::RpcClient& mRpc;
   const Election& mElection;
   std::vector<Endpoint> mPeers; ///< Other schedulers.
--- a/apps/scheduler/Scheduler.h
+++ b/apps/scheduler/Scheduler.h
@@ -11,12 +11,12 @@
 #include "apps/scheduler/SchedulerSettings.h"
 #include "platform/AdviceClient.h"
 #include "platform/KvStore.h"
-#include "src/core/base/ResumeWatch.h"
+#include "src/core/base/SuspendDetector.h"
 #include "src/net/FiberGroup.h"
 #include "src/net/HttpServer.h"
 #include "src/net/Rpc.h"
 #include "src/platform/store/CountingStore.h"
-#include "src/platform/store/PulsedStore.h"
+#include "src/platform/store/HealthTrackingStore.h"
 #include "src/telemetry/AdminPages.h"
 
 namespace foxtailbarrow::scheduler {
@@ -62,7 +62,7 @@
   net::FiberRuntime& mRuntime;
   platform::KvStore mPlainStore;
   CountingStore mCountedStore;
-  PulsedStore mStore;
+  HealthTrackingStore mStore;
   platform::AdviceClient mAdvice;
   net::HttpClient mClient;
   net::RpcClient mRpc;
@@ -81,7 +81,7 @@
   Poke mConfigurationPoke;
   Poke mProbePoke;
   Poke mResumePoke;
-  ResumeWatch mResume;
+  SuspendDetector mResume;
   std::unique_ptr<net::HttpServer> mCallers;
   std::unique_ptr<net::HttpServer> mReady;
   std::unique_ptr<net::HttpServer> mPeers;
--- a/apps/taskagent/TaskAgent.cpp
+++ b/apps/taskagent/TaskAgent.cpp
@@ -167,7 +167,7 @@
   }
   std::visit([this](const auto& aMessage) { OnWorkerMessage(aMessage); },
              *message);
-  return platform::AcknowledgeWorker();
+  return platform::AcknowledgeWorkerMessage();
 }
 
 void TaskAgent::OnWorkerMessage(const platform::WorkerHeartbeat& aHeartbeat)
@@ -221,7 +221,7 @@
   }
 }
 
-void TaskAgent::OnWorkerMessage(const platform::WorkerGone& aGone)
+void TaskAgent::OnWorkerMessage(const platform::WorkerDeregistration& aGone)
 {
   if (!mHeartbeats.OnWorkerLeft(aGone.mIncarnation)) {
     return;
--- a/apps/taskagent/TaskAgent.h
+++ b/apps/taskagent/TaskAgent.h
@@ -12,7 +12,7 @@
 #include "platform/KvStore.h"
 #include "platform/WorkerClient.h"
 #include "platform/WorkerHeartbeat.h"
-#include "src/core/base/ResumeWatch.h"
+#include "src/core/base/SuspendDetector.h"
 #include "src/core/cell/HeartbeatOrder.h"
 #include "src/core/cell/LogRateLimiter.h"
 #include "src/net/FiberGroup.h"
@@ -37,7 +37,7 @@
   net::HttpResponse ServeOwner(const net::HttpRequest& aRequest);
   net::HttpResponse ServeAdmin(const net::HttpRequest& aRequest);
   void OnWorkerMessage(const platform::WorkerHeartbeat& aHeartbeat);
-  void OnWorkerMessage(const platform::WorkerGone& aGone);
+  void OnWorkerMessage(const platform::WorkerDeregistration& aGone);
   /// After a suspension of the machine, reports at once to find out whether the
   /// session is still in force. Leases expire by the clock.
   void OnResume();
@@ -64,7 +64,7 @@
   std::unique_ptr<net::HttpServer> mOwnerServer;
   std::unique_ptr<net::HttpServer> mAdminServer;
   Poke mPollPoke;
-  ResumeWatch mResume;
+  SuspendDetector mResume;
   FiberGroup mFibers;
 };
 
--- a/bench/admission/Decision.cpp
+++ b/bench/admission/Decision.cpp
@@ -29,14 +29,14 @@
   return contract;
 }
 
-ShareBasis ThreeEntries()
+ShareAllocation ThreeEntries()
 {
-  ShareBasis basis;
+  ShareAllocation basis;
   basis.mStandingPermille = 500;
   basis.mSlots = 3;
   basis.mSlot = 1;
   basis.mStandingUntil = Instant::max();
-  basis.mLive = 3;
+  basis.mLiveEntries = 3;
   basis.mRank = 1;
   basis.mLeaseUntil = Instant::max();
   return basis;
@@ -49,7 +49,7 @@
   const auto own = static_cast<std::size_t>(aState.thread_index());
   CustomerAdmission& admission = sSlots[isShared ? 0 : own].mAdmission;
   const Contract contract = ContractOf(aState.range(1) != 0);
-  const ShareBasis basis = ThreeEntries();
+  const ShareAllocation basis = ThreeEntries();
   std::int64_t admitted = 0;
   for (auto _ : aState) {
     const Instant now = MonotonicNow();
--- a/bench/agent/AgentDecisions.cpp
+++ b/bench/agent/AgentDecisions.cpp
@@ -161,7 +161,7 @@
     }
     now += std::chrono::seconds(1);
     guard.SetTasks(tasks, now);
-    guard.LatenciesSeen(recorder.Take(now));
+    guard.OnLatencies(recorder.Take(now));
     benchmark::DoNotOptimize(guard.Advance(now).size());
   }
 }
--- a/bench/colocation/ColocationModel.h
+++ b/bench/colocation/ColocationModel.h
@@ -22,7 +22,7 @@
 struct TaskClass
 {
   std::string mName;
-  std::array<double, kLoadLevels> mHarm{};
+  std::array<double, kLoadLevels> mInterference{};
 };
 
 struct Scenario
@@ -167,8 +167,8 @@
     const std::size_t level = LoadLevelOf(std::max(1, inUse), 8);
     double excess = 0.0;
     for (const Task& task : mTasks) {
-      excess +=
-        Classes()[task.mClass].mHarm[level] * kTaskSize * task.mFraction;
+      excess += Classes()[task.mClass].mInterference[level] * kTaskSize *
+                task.mFraction;
     }
     std::lognormal_distribution<> noise(0.0, 0.35);
     const double base = kBaseMs * (1.0 + load);
@@ -198,12 +198,12 @@
     }
     while (!mUsage.empty() && mUsage.front().mTakenAt + kUsageLag <= aSecond) {
       const LateUsage& usage = mUsage.front();
-      UsageSeen(mPolicy, usage.mKey, usage.mUsed, At(usage.mTakenAt));
+      OnUsage(mPolicy, usage.mKey, usage.mUsed, At(usage.mTakenAt));
       mUsage.pop_front();
     }
-    LatenciesSeen(mPolicy, mRecorder.Take(At(aSecond + 1)));
+    OnLatencies(mPolicy, mRecorder.Take(At(aSecond + 1)));
     TellTasks(aSecond + 1);
-    for (const ColocationAct& act : Advance(mPolicy, At(aSecond + 1))) {
+    for (const ColocationAction& act : Advance(mPolicy, At(aSecond + 1))) {
       std::visit([&](const auto& aOne) { Apply(aOne, aSecond); }, act);
     }
   }
--- a/bench/placement/Placement.cpp
+++ b/bench/placement/Placement.cpp
@@ -145,7 +145,7 @@
 private:
   int mWorkers;
   std::uint64_t mSequence = 0;
-  HeartbeatSeen mPrepared;
+  HeartbeatReceived mPrepared;
   std::mt19937_64 mRandom{ 3 };
   JobScheduler mScheduler;
 };
--- a/bench/placement/Trial.h
+++ b/bench/placement/Trial.h
@@ -206,7 +206,7 @@
       heartbeat.mTasks.push_back({ 0, task.mStatus });
     }
     const std::uint64_t sequence = aModel.mSequence;
-    Tell(HeartbeatSeen{ heartbeat });
+    Tell(HeartbeatReceived{ heartbeat });
     Tell(HeartbeatReplySent{
       heartbeat.mAgent, heartbeat.mIncarnation, sequence, mNow + 20s });
   }
--- a/bench/routing/EntryModel.h
+++ b/bench/routing/EntryModel.h
@@ -82,7 +82,7 @@
     request->mCounts =
       mEvents.Now() >= Instant(std::chrono::hours(1)) + kWarmUp;
     mResult.mRequests += request->mCounts ? 1 : 0;
-    mBudget.FirstAttempt();
+    mBudget.OnFirstAttempt();
     Try(request);
   }
 
@@ -94,7 +94,7 @@
     bool mCounts = false;
     std::string mKey;
     int mAttempts = 0;
-    Verdict mEarlier = Verdict::NotRun;
+    Verdict mEarlierVerdict = Verdict::NotRun;
     std::vector<AgentId> mTried;
   };
   using PendingPointer = std::shared_ptr<Pending>;
@@ -131,7 +131,8 @@
       Send(aRequest, std::move(*picked));
     } else {
       const auto& refusal = std::get<NoChoice>(choice);
-      Conclude(*aRequest, WorstVerdict(refusal.mVerdict, aRequest->mEarlier));
+      Conclude(*aRequest,
+               WorstVerdict(refusal.mVerdict, aRequest->mEarlierVerdict));
     }
   }
 
@@ -147,7 +148,7 @@
     auto attempt =
       std::make_shared<Attempt>(std::move(aPicked), mDetector, mEvents.Now());
     const auto finish = [this, aRequest, attempt](ServerAnswer aAnswer,
-                                                  const LoadFigures& aLoad) {
+                                                  const LoadSnapshot& aLoad) {
       if (!std::exchange(attempt->mIsOver, true)) {
         Finish(aRequest, attempt->mRequest, aAnswer, aLoad);
       }
@@ -156,7 +157,7 @@
     mEvents.After(delay, [this, server, delay, deadline, finish] {
       mServers[server]->Take(
         deadline,
-        [this, delay, finish](ServerAnswer aAnswer, const LoadFigures& aLoad) {
+        [this, delay, finish](ServerAnswer aAnswer, const LoadSnapshot& aLoad) {
           mEvents.After(delay, [=] { finish(aAnswer, aLoad); });
         });
     });
@@ -171,7 +172,7 @@
   void Finish(const PendingPointer& aRequest,
               RequestInFlight& aInFlight,
               ServerAnswer aAnswer,
-              const LoadFigures& aLoad)
+              const LoadSnapshot& aLoad)
   {
     const Instant now = mEvents.Now();
     switch (aAnswer) {
@@ -219,7 +220,7 @@
   {
     FailedAttempt attempt;
     attempt.mVerdict = aVerdict;
-    attempt.mEarlier = aRequest->mEarlier;
+    attempt.mEarlierVerdict = aRequest->mEarlierVerdict;
     attempt.mReason = aReason;
     attempt.mIdempotent = aRequest->mIdempotent;
     attempt.mAttempts = aRequest->mAttempts;
@@ -230,7 +231,8 @@
       Conclude(*aRequest, answer->mVerdict);
       return;
     }
-    aRequest->mEarlier = WorstVerdict(aRequest->mEarlier, aVerdict);
+    aRequest->mEarlierVerdict =
+      WorstVerdict(aRequest->mEarlierVerdict, aVerdict);
     mResult.mRetried += aRequest->mCounts ? 1 : 0;
     mEvents.After(std::get<foxtailbarrow::Retry>(decision).mDelay,
                   [this, aRequest] { Try(aRequest); });
--- a/bench/routing/PickBenchmark.cpp
+++ b/bench/routing/PickBenchmark.cpp
@@ -90,8 +90,8 @@
   for (auto unused : aState) {
     const auto choice = sRouter.Pick(sTables.Load(), request, kWarm, random);
     const auto& picked = std::get<Picked>(choice);
-    picked.mAgent->mGauges->mLoad.Start();
-    picked.mAgent->mGauges->mLoad.End();
+    picked.mAgent->mRoutingState->mLoad.Start();
+    picked.mAgent->mRoutingState->mLoad.End();
   }
 }
 BENCHMARK(BM_PickThreads)->Threads(1)->Threads(2)->Threads(4);
@@ -102,7 +102,7 @@
   const auto directory = DirectoryOf(count);
   for (int i = 0; i < count; ++i) {
     directory->Find(HeartbeatOf(i).mAgent)
-      ->mGauges->mLoad.Report({ 8, 8, 16 }, kWarm);
+      ->mRoutingState->mLoad.Report({ 8, 8, 16 }, kWarm);
   }
   const Router router(FailureDomainId("domain-0"));
   const Snapshot<RoutingTable> tables(directory->Table());
--- a/bench/routing/Run.h
+++ b/bench/routing/Run.h
@@ -102,7 +102,7 @@
     heartbeat.mRack = RackId(std::to_string(RackOf(aServer)));
     heartbeat.mFailureDomain = FailureDomainId(DomainName(DomainOf(aServer)));
     heartbeat.mState = ServingState::Serving;
-    const LoadFigures load = mServers[aServer]->Load();
+    const LoadSnapshot load = mServers[aServer]->Load();
     heartbeat.mLoad.mSlots = load.mSlots;
     heartbeat.mLoad.mSlotsInUse = load.mSlotsInUse;
     heartbeat.mLoad.mWaiting = load.mWaiting;
--- a/bench/routing/ServerModel.h
+++ b/bench/routing/ServerModel.h
@@ -6,7 +6,7 @@
 
 #include "bench/routing/EventQueue.h"
 #include "bench/routing/Scenario.h"
-#include "src/core/routing/LoadFigures.h"
+#include "src/core/routing/LoadSnapshot.h"
 
 namespace foxtailbarrow::bench {
 
@@ -24,7 +24,7 @@
 class ServerModel
 {
 public:
-  using OnAnswer = std::function<void(ServerAnswer, LoadFigures)>;
+  using OnAnswer = std::function<void(ServerAnswer, LoadSnapshot)>;
 
   ServerModel(EventQueue& aEvents, double aSigma, unsigned aSeed)
     : mEvents(aEvents)
@@ -63,7 +63,7 @@
     StartNext();
   }
 
-  LoadFigures Load() const
+  LoadSnapshot Load() const
   {
     return { mInUse, kSlots, static_cast<std::int32_t>(mWaiting.size()) };
   }
--- a/src/core/admission/ConcurrencyGate.cpp
+++ b/src/core/admission/ConcurrencyGate.cpp
@@ -27,7 +27,7 @@
 
 void ConcurrencyGate::Leave(Instant aNow)
 {
-  Undo();
+  UndoEnter();
   const std::int64_t now = aNow.time_since_epoch().count();
   const std::int64_t last = mLastEnd.exchange(now, std::memory_order_relaxed);
   if (last == 0) {
@@ -43,7 +43,7 @@
                       std::memory_order_relaxed);
 }
 
-void ConcurrencyGate::Undo()
+void ConcurrencyGate::UndoEnter()
 {
   mInProgress.fetch_sub(1, std::memory_order_relaxed);
 }
--- a/src/core/admission/ConcurrencyGate.h
+++ b/src/core/admission/ConcurrencyGate.h
@@ -19,7 +19,7 @@
   void Leave(Instant aNow);
 
   /// One that entered was not started after all.
-  void Undo();
+  void UndoEnter();
 
   std::int64_t InProgress() const
   {
--- a/src/core/admission/CustomerAdmission.cpp
+++ b/src/core/admission/CustomerAdmission.cpp
@@ -23,19 +23,19 @@
 } // namespace
 
 BucketLimit RateShare(const Contract& aContract,
-                      const ShareBasis& aBasis,
+                      const ShareAllocation& aAllocation,
                       Instant aNow)
 {
   const auto units =
     static_cast<std::int64_t>(aContract.mRequestsPerSecond * kRateUnits);
-  const std::int64_t rate = UsableShare(units, aBasis, aNow);
-  const std::int64_t burst = UsableShare(aContract.mBurst, aBasis, aNow);
+  const std::int64_t rate = UsableShare(units, aAllocation, aNow);
+  const std::int64_t burst = UsableShare(aContract.mBurst, aAllocation, aNow);
   return { static_cast<double>(rate) / kRateUnits,
            std::max<std::int64_t>(burst, 1) };
 }
 
 AdmissionDecision CustomerAdmission::Decide(const Contract& aContract,
-                                            const ShareBasis& aBasis,
+                                            const ShareAllocation& aAllocation,
                                             const AdmissionRequest& aRequest)
 {
   const Instant now = aRequest.mNow;
@@ -45,15 +45,15 @@
       Reason::DeadlineTooShort, aRequest.mExpectedWait, aRequest);
   }
   const std::int64_t concurrency =
-    UsableShare(aContract.mMaxConcurrency, aBasis, now);
+    UsableShare(aContract.mMaxConcurrency, aAllocation, now);
   if (!mGate.TryEnter(concurrency)) {
     const Duration wait =
       concurrency == 0 ? kRetryWithoutShare : mGate.MeanInterval();
     return RefuseFor(Reason::ConcurrencyLimit, wait, aRequest);
   }
   if (const auto wait =
-        mBucket.TryTake(now, RateShare(aContract, aBasis, now))) {
-    mGate.Undo();
+        mBucket.TryTake(now, RateShare(aContract, aAllocation, now))) {
+    mGate.UndoEnter();
     return RefuseFor(Reason::RateLimit, *wait, aRequest);
   }
   return Admit{};
--- a/src/core/admission/CustomerAdmission.h
+++ b/src/core/admission/CustomerAdmission.h
@@ -3,7 +3,7 @@
 #include "foxtailbarrow/Contract.h"
 #include "src/core/admission/AdmissionDecision.h"
 #include "src/core/admission/ConcurrencyGate.h"
-#include "src/core/admission/ShareBasis.h"
+#include "src/core/admission/ShareAllocation.h"
 #include "src/core/admission/TokenBucket.h"
 
 namespace foxtailbarrow {
@@ -28,7 +28,7 @@
 {
 public:
   AdmissionDecision Decide(const Contract& aContract,
-                           const ShareBasis& aBasis,
+                           const ShareAllocation& aAllocation,
                            const AdmissionRequest& aRequest);
 
   /// An admitted request has ended, with whatever outcome.
@@ -45,7 +45,7 @@
 /// least 1 where the rate share is above 0, so that tokens can be taken one at
 /// a time; all bursts together are at most the contract's plus one an entry.
 BucketLimit RateShare(const Contract& aContract,
-                      const ShareBasis& aBasis,
+                      const ShareAllocation& aAllocation,
                       Instant aNow);
 
 } // namespace foxtailbarrow
--- a/src/core/admission/DrainRate.cpp
+++ b/src/core/admission/DequeueRate.cpp
@@ -1,4 +1,4 @@
-#include "src/core/admission/DrainRate.h"
+#include "src/core/admission/DequeueRate.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,11 +11,11 @@
 
 } // namespace
 
-void DrainRate::OnLeave(Instant aNow, bool aBacklog)
+void DequeueRate::OnDequeued(Instant aNow, bool aBacklog)
 {
   if (mHadBacklog) {
-    // A plain mean at first, then one of about the last kSettledSamples.
-    mSamples = std::min(mSamples + 1, kSettledSamples);
+    // A plain mean at first, then one of about the last kSampleWindow.
+    mSamples = std::min(mSamples + 1, kSampleWindow);
     const auto newest = static_cast<double>((aNow - mLast).count());
     const double step = (newest - mMeanMicros) / mSamples;
     mMeanMicros = std::max(kMinMicros, mMeanMicros + step);
@@ -24,7 +24,7 @@
   mHadBacklog = aBacklog;
 }
 
-Duration DrainRate::Interval() const
+Duration DequeueRate::Interval() const
 {
   return mSamples == 0 ? kDefaultInterval : Duration(std::llround(mMeanMicros));
 }
--- a/src/core/admission/FairBand.cpp
+++ b/src/core/admission/FairBand.cpp
@@ -32,7 +32,7 @@
   QueuedRequest request = std::move(flow.mRequests.front());
   flow.mRequests.pop_front();
   --mSize;
-  flow.mRate.OnLeave(aNow, !flow.mRequests.empty());
+  flow.mRate.OnDequeued(aNow, !flow.mRequests.empty());
   mVirtualNow = tag;
   flow.mTag = tag + 1 / flow.mWeight;
   mOrder.emplace(flow.mTag, customer);
@@ -53,7 +53,7 @@
   }
 }
 
-QueuedRequest FairBand::TakeNewestOfHeaviest()
+QueuedRequest FairBand::TakeNewestOfLargest()
 {
   const auto load = [](const auto& aItem) {
     return static_cast<double>(aItem.second.mRequests.size()) /
@@ -72,13 +72,13 @@
   return request;
 }
 
-Duration FairBand::WaitAt(const Flow& aFlow,
-                          std::size_t aPosition,
-                          Duration aInterval) const
+Duration FairBand::WaitAtPosition(const Flow& aFlow,
+                                  std::size_t aPosition,
+                                  Duration aInterval) const
 {
   // What the customer got of late says more than its weight, since others come
   // and go.
-  if (aFlow.mRate.Settled()) {
+  if (aFlow.mRate.HasEnoughSamples()) {
     return aFlow.mRate.Interval() * static_cast<Duration::rep>(aPosition + 1);
   }
   return WaitByWeights(aPosition, aFlow.mWeight, mWeights, aInterval);
@@ -104,14 +104,14 @@
     return Duration::zero();
   }
   if (const Flow* flow = Find(aCustomer)) {
-    return WaitAt(*flow, flow->mRequests.size(), aInterval);
+    return WaitAtPosition(*flow, flow->mRequests.size(), aInterval);
   }
   return WaitByWeights(0, aWeight, mWeights + aWeight, aInterval);
 }
 
-bool FairBand::IsOverPart(const CustomerId& aCustomer,
-                          double aWeight,
-                          std::size_t aCapacity) const
+bool FairBand::ExceedsFairShare(const CustomerId& aCustomer,
+                                double aWeight,
+                                std::size_t aCapacity) const
 {
   const Flow* flow = Find(aCustomer);
   const double weights = mWeights + (flow == nullptr ? aWeight : 0);
@@ -121,7 +121,7 @@
 }
 
 std::vector<std::pair<QueuedRequest, Duration>>
-FairBand::TakeHopeless(Instant aNow, Duration aInterval, std::size_t aAhead)
+FairBand::TakeLate(Instant aNow, Duration aInterval, std::size_t aAhead)
 {
   std::vector<std::pair<QueuedRequest, Duration>> taken;
   std::vector<CustomerId> emptied;
@@ -131,8 +131,9 @@
     for (QueuedRequest& request : flow.mRequests) {
       // The first of a flow may start with the next slot.
       const Duration wait =
-        ahead + (kept.empty() ? Duration::zero()
-                              : WaitAt(flow, kept.size() - 1, aInterval));
+        ahead + (kept.empty()
+                   ? Duration::zero()
+                   : WaitAtPosition(flow, kept.size() - 1, aInterval));
       if (request.mDeadline <= aNow || wait >= request.mDeadline - aNow) {
         taken.emplace_back(std::move(request), wait);
       } else {
--- a/src/core/admission/FairBand.h
+++ b/src/core/admission/FairBand.h
@@ -8,7 +8,7 @@
 #include "absl/container/btree_set.h"
 #include "absl/container/flat_hash_map.h"
 
-#include "src/core/admission/DrainRate.h"
+#include "src/core/admission/DequeueRate.h"
 #include "src/core/admission/QueuedRequest.h"
 
 namespace foxtailbarrow {
@@ -27,12 +27,13 @@
 
   /// Takes the newest request of the customer with the longest queue for its
   /// weight. The band must not be empty.
-  QueuedRequest TakeNewestOfHeaviest();
+  QueuedRequest TakeNewestOfLargest();
 
   /// Takes every request that would start after its deadline, given the time
   /// between two starts and the requests of a higher band that go first.
-  std::vector<std::pair<QueuedRequest, Duration>>
-  TakeHopeless(Instant aNow, Duration aInterval, std::size_t aAhead);
+  std::vector<std::pair<QueuedRequest, Duration>> TakeLate(Instant aNow,
+                                                           Duration aInterval,
+                                                           std::size_t aAhead);
 
   /// Until a further request of this customer would start.
   Duration ExpectedWait(const CustomerId& aCustomer,
@@ -40,9 +41,9 @@
                         Duration aInterval) const;
 
   /// True when the customer has more than its fair part of a full queue.
-  bool IsOverPart(const CustomerId& aCustomer,
-                  double aWeight,
-                  std::size_t aCapacity) const;
+  bool ExceedsFairShare(const CustomerId& aCustomer,
+                        double aWeight,
+                        std::size_t aCapacity) const;
 
   std::size_t Size() const { return mSize; }
 
@@ -51,14 +52,14 @@
   {
     std::deque<QueuedRequest> mRequests;
     double mWeight = 1;
-    double mTag = 0; ///< Virtual time at which the first one is due.
-    DrainRate mRate; ///< Of this customer alone, since its queue was empty.
+    double mTag = 0;   ///< Virtual time at which the first one is due.
+    DequeueRate mRate; ///< Of this customer alone, since its queue was empty.
   };
 
   /// Of a request with `aPosition` others of its customer before it.
-  Duration WaitAt(const Flow& aFlow,
-                  std::size_t aPosition,
-                  Duration aInterval) const;
+  Duration WaitAtPosition(const Flow& aFlow,
+                          std::size_t aPosition,
+                          Duration aInterval) const;
   Duration WaitByWeights(std::size_t aPosition,
                          double aWeight,
                          double aWeights,
--- a/src/core/admission/FairQueue.cpp
+++ b/src/core/admission/FairQueue.cpp
@@ -66,24 +66,24 @@
     Push(std::move(aRequest));
     return {};
   }
-  return { MakeRoom(std::move(aRequest)) };
+  return { EvictOrRefuse(std::move(aRequest)) };
 }
 
-QueueRefusal FairQueue::MakeRoom(QueuedRequest aRequest)
+QueueRefusal FairQueue::EvictOrRefuse(QueuedRequest aRequest)
 {
   const Duration interval = mRate.Interval();
   // Latency-critical requests take the room of batch before their own.
   const bool takesFromOwn = aRequest.mBatch || mBatch.Size() == 0;
   const bool isOver =
-    takesFromOwn && BandOf(aRequest).IsOverPart(aRequest.mCustomer,
-                                                aRequest.mWeight,
-                                                mSettings.mCapacity);
+    takesFromOwn && BandOf(aRequest).ExceedsFairShare(aRequest.mCustomer,
+                                                      aRequest.mWeight,
+                                                      mSettings.mCapacity);
   const bool onlyCritical = aRequest.mBatch && mBatch.Size() == 0;
   if (isOver || onlyCritical) {
     return GiveUp(aRequest, Reason::Overload, ExpectedWait(aRequest));
   }
   FairBand& source = mBatch.Size() > 0 ? mBatch : mCritical;
-  const QueuedRequest victim = source.TakeNewestOfHeaviest();
+  const QueuedRequest victim = source.TakeNewestOfLargest();
   Push(std::move(aRequest));
   return GiveUp(
     victim, Reason::Overload, interval * static_cast<Duration::rep>(Size()));
@@ -103,7 +103,7 @@
     pop.mNext = std::move(request);
   }
   if (pop.mNext) {
-    mRate.OnLeave(aNow, Size() > 0);
+    mRate.OnDequeued(aNow, Size() > 0);
   }
   return pop;
 }
@@ -113,8 +113,7 @@
   std::vector<QueueRefusal> refusals;
   const Duration interval = mRate.Interval();
   const auto take = [&](FairBand& aBand, std::size_t aAhead) {
-    for (const auto& [request, wait] :
-         aBand.TakeHopeless(aNow, interval, aAhead)) {
+    for (const auto& [request, wait] : aBand.TakeLate(aNow, interval, aAhead)) {
       refusals.push_back(GiveUp(request, Reason::DeadlineTooShort, wait));
     }
   };
--- a/src/core/admission/FairQueue.h
+++ b/src/core/admission/FairQueue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/core/admission/DrainRate.h"
+#include "src/core/admission/DequeueRate.h"
 #include "src/core/admission/FairBand.h"
 #include "src/core/admission/QueuedRequest.h"
 
@@ -38,12 +38,12 @@
 private:
   FairBand& BandOf(const QueuedRequest& aRequest);
   void Push(QueuedRequest aRequest);
-  QueueRefusal MakeRoom(QueuedRequest aRequest);
+  QueueRefusal EvictOrRefuse(QueuedRequest aRequest);
 
   QueueSettings mSettings;
   FairBand mCritical;
   FairBand mBatch;
-  DrainRate mRate;
+  DequeueRate mRate;
 };
 
 } // namespace foxtailbarrow
--- a/src/core/admission/FifoQueue.cpp
+++ b/src/core/admission/FifoQueue.cpp
@@ -42,7 +42,7 @@
     pop.mNext = std::move(request);
   }
   if (pop.mNext) {
-    mRate.OnLeave(aNow, !mRequests.empty());
+    mRate.OnDequeued(aNow, !mRequests.empty());
   }
   return pop;
 }
--- a/src/core/admission/FifoQueue.h
+++ b/src/core/admission/FifoQueue.h
@@ -2,7 +2,7 @@
 
 #include <deque>
 
-#include "src/core/admission/DrainRate.h"
+#include "src/core/admission/DequeueRate.h"
 #include "src/core/admission/QueuedRequest.h"
 
 namespace foxtailbarrow {
@@ -25,7 +25,7 @@
 
   QueueSettings mSettings;
   std::deque<QueuedRequest> mRequests;
-  DrainRate mRate;
+  DequeueRate mRate;
 };
 
 } // namespace foxtailbarrow
--- a/src/core/admission/ShareKeeper.h
+++ b/src/core/admission/ShareAllocator.h
@@ -9,7 +9,7 @@
 
 #include "foxtailbarrow/Contract.h"
 #include "foxtailbarrow/Messages.h"
-#include "src/core/admission/ShareBasis.h"
+#include "src/core/admission/ShareAllocation.h"
 #include "src/core/admission/ShareSettings.h"
 
 namespace foxtailbarrow {
@@ -42,17 +42,17 @@
 /// central counter.
 ///
 /// Inputs: what the entry read from the store, with the time at which the call
-/// STARTED, since the answer may have waited. Outputs: a ShareBasis to publish
-/// and the share slot to claim.
+/// STARTED, since the answer may have waited. Outputs: a ShareAllocation to
+/// publish and the share slot to claim.
 ///
 /// Promises: the usable shares of all entries together never exceed a limit,
 /// with entries that join, die, freeze or are cut off, and with a store that
 /// is away, as long as clocks run within 1% of each other. A frozen entry that
 /// wakes finds its parts lapsed by its own clock.
-class ShareKeeper
+class ShareAllocator
 {
 public:
-  ShareKeeper(ShareSettings aSettings, ShareOwner aSelf);
+  ShareAllocator(ShareSettings aSettings, ShareOwner aSelf);
 
   /// The own roster key was written under a new store lease; `aConfirmed` is
   /// when the answer arrived. Others may use the roster without it until then.
@@ -76,24 +76,24 @@
   /// Before the slot is released for good: it is not used from now on.
   void OnReleased();
 
-  const ShareBasis& Basis() const { return mBasis; }
+  const ShareAllocation& Allocation() const { return mAllocation; }
 
 private:
   bool Owns(const ShareSlot& aSlot) const;
-  void NoteAbsences(Instant aStarted,
-                    Instant aAnswered,
-                    std::span<const ShareSlot> aSlots,
-                    std::span<const EntryId> aLive);
+  void UpdateAbsences(Instant aStarted,
+                      Instant aAnswered,
+                      std::span<const ShareSlot> aSlots,
+                      std::span<const EntryId> aLive);
   bool IsFree(const ShareSlot& aSlot, Instant aNow) const;
 
   ShareSettings mSettings;
   ShareOwner mSelf;
   bool mJoined = false;
   bool mReleased = false;
-  ShareBasis mBasis;
+  ShareAllocation mAllocation;
   /// Owners of slots that are not in the roster, and since when without a
   /// gap in which they could have been there.
-  absl::flat_hash_map<EntryId, Instant> mAbsentSince;
+  absl::flat_hash_map<EntryId, Instant> mOwnerAbsentSince;
   Instant mLastRead{};
 };
 
--- a/src/core/admission/ShareOwnerCodec.cpp
+++ b/src/core/admission/ShareOwnerCodec.cpp
@@ -1,4 +1,4 @@
-#include "src/core/admission/ShareKeeper.h"
+#include "src/core/admission/ShareAllocator.h"
 #include "src/core/message/detail/Define.h"
 
 namespace foxtailbarrow {
--- a/src/core/admission/ShareSettings.h
+++ b/src/core/admission/ShareSettings.h
@@ -22,7 +22,7 @@
   Duration mStandingValidity = std::chrono::minutes(110);
   /// How long others leave the slot of a vanished entry alone. Above
   /// mStandingValidity, clock error included.
-  Duration mHold = std::chrono::minutes(120);
+  Duration mReclaimDelay = std::chrono::minutes(120);
 };
 
 } // namespace foxtailbarrow
--- a/src/core/base/ResumeWatch.h
+++ b/src/core/base/SuspendDetector.h
@@ -10,13 +10,13 @@
 /// Finds out that the machine was suspended, by a clock that stands still
 /// meanwhile. Pure. What ends by a lease is judged by BootClock and needs no
 /// more; this is for what a process believes until it hears otherwise.
-class ResumeWatch
+class SuspendDetector
 {
 public:
   /// Nothing of ours is believed for less than 2 s without a word, so that a
   /// shorter suspension changes nothing; and a process that waits for its
   /// processor between the readings of two clocks seems suspended.
-  static constexpr Duration kShortest = std::chrono::milliseconds(500);
+  static constexpr Duration kMinSuspension = std::chrono::milliseconds(500);
 
   using SteadyTime = std::chrono::steady_clock::time_point;
 
@@ -26,13 +26,14 @@
     const Duration ahead =
       aNow.time_since_epoch() -
       std::chrono::duration_cast<Duration>(aSteady.time_since_epoch());
-    const Duration slept = mAhead ? ahead - *mAhead : Duration::zero();
-    mAhead = ahead;
-    return slept >= kShortest ? std::optional(slept) : std::nullopt;
+    const Duration slept =
+      mClockOffset ? ahead - *mClockOffset : Duration::zero();
+    mClockOffset = ahead;
+    return slept >= kMinSuspension ? std::optional(slept) : std::nullopt;
   }
 
 private:
-  std::optional<Duration> mAhead; ///< Of the boot clock.
+  std::optional<Duration> mClockOffset; ///< Of the boot clock.
 };
 
 } // namespace foxtailbarrow
--- a/src/core/colocation/ColocationAct.h
+++ b/src/core/colocation/ColocationAction.h
@@ -19,6 +19,6 @@
   TaskKey mKey;
 };
 
-using ColocationAct = std::variant<ThrottleBatch, EvictBatch>;
+using ColocationAction = std::variant<ThrottleBatch, EvictBatch>;
 
 } // namespace foxtailbarrow
--- a/src/core/colocation/ColocationGuard.cpp
+++ b/src/core/colocation/ColocationGuard.cpp
@@ -16,11 +16,11 @@
 /// Excess after a step back, within this time, is blamed on it.
 constexpr Duration kRaiseTrial = std::chrono::seconds(30);
 
-/// Range of Patience().
-constexpr double kLeastPatience = 0.5;
-constexpr double kMostPatience = 4.0;
+/// Range of ToleranceFactor().
+constexpr double kMinTolerance = 0.5;
+constexpr double kMaxTolerance = 4.0;
 
-constexpr double kLeastWeight = 0.01;
+constexpr double kMinWeight = 0.01;
 
 /// What a task uses at the fraction; < 0 = not known.
 double UsedAt(double aFullUse, double aFraction)
@@ -50,18 +50,18 @@
   mHistory.Set(mTasks, aNow);
 }
 
-void ColocationGuard::UsageSeen(const TaskKey& aKey,
-                                double aUsed,
-                                Instant aTakenAt)
+void ColocationGuard::OnUsage(const TaskKey& aKey,
+                              double aUsed,
+                              Instant aTakenAt)
 {
-  const auto fraction = mHistory.Measured(aKey, aUsed, aTakenAt);
+  const auto fraction = mHistory.AttributeUsage(aKey, aUsed, aTakenAt);
   if (const auto state = mStates.find(aKey);
       fraction && state != mStates.end()) {
     state->second.mFullUse = aUsed / *fraction;
   }
 }
 
-void ColocationGuard::LatenciesSeen(const LatencyWindow& aWindow)
+void ColocationGuard::OnLatencies(const LatencyWindow& aWindow)
 {
   mWindows.push_back(aWindow);
   if (mWindows.size() > kMaxWindows) {
@@ -75,27 +75,27 @@
   return state == mStates.end() ? 1.0 : state->second.mFraction;
 }
 
-std::vector<ColocationAct> ColocationGuard::Advance(Instant aNow)
+std::vector<ColocationAction> ColocationGuard::Advance(Instant aNow)
 {
-  std::vector<ColocationAct> acts;
+  std::vector<ColocationAction> acts;
   while (!mWindows.empty() &&
          mWindows.front().mEnd + mSettings.mUsageWait <= aNow) {
-    Judge(mWindows.front());
+    EvaluateWindow(mWindows.front());
     mWindows.pop_front();
   }
-  Foresee(aNow, acts);
+  ThrottleAhead(aNow, acts);
   if (!acts.empty() || aNow < mSteppedAt + mSettings.mCoolDown) {
     return acts;
   }
   if (mBad >= mSettings.mBadWindows) {
-    StepAgainst(aNow, acts);
+    ThrottleOrEvict(aNow, acts);
   } else if (mGood >= mSettings.mGoodWindows) {
-    StepBack(aNow, acts);
+    RelaxThrottle(aNow, acts);
   }
   return acts;
 }
 
-void ColocationGuard::Judge(const LatencyWindow& aWindow)
+void ColocationGuard::EvaluateWindow(const LatencyWindow& aWindow)
 {
   const Placement* const placement =
     mHistory.Over(aWindow.mBegin, aWindow.mEnd);
@@ -108,33 +108,35 @@
     return;
   }
   mExcess = mModel.ExcessOf(aWindow);
-  const double bearable = Bearable();
+  const double bearable = AllowedExcess();
   mBad = mExcess > bearable ? mBad + 1 : 0;
-  const double well = bearable * mSettings.mWell / mSettings.mTooMuch;
+  const double well =
+    bearable * mSettings.mRecoveredExcess / mSettings.mMaxExcess;
   mGood = mExcess < well ? mGood + 1 : 0;
 }
 
 /// How much more excess, and for how much longer, is borne to spare an
 /// eviction of that weight.
-double ColocationGuard::Patience(double aEvictionWeight) const
+double ColocationGuard::ToleranceFactor(double aEvictionWeight) const
 {
-  const double ratio = std::max(kLeastWeight, aEvictionWeight) /
-                       std::max(kLeastWeight, mLatencyWeight);
-  return std::clamp(std::sqrt(ratio), kLeastPatience, kMostPatience);
+  const double ratio = std::max(kMinWeight, aEvictionWeight) /
+                       std::max(kMinWeight, mLatencyWeight);
+  return std::clamp(std::sqrt(ratio), kMinTolerance, kMaxTolerance);
 }
 
-double ColocationGuard::Bearable() const
+double ColocationGuard::AllowedExcess() const
 {
   double weight = 0.0;
   for (const ColocatedTask& task : mTasks) {
     weight = std::max(weight, task.mEvictionWeight);
   }
-  return mSettings.mTooMuch * (mTasks.empty() ? 1.0 : Patience(weight));
+  return mSettings.mMaxExcess *
+         (mTasks.empty() ? 1.0 : ToleranceFactor(weight));
 }
 
-double ColocationGuard::HarmOf(const ColocatedTask& aTask) const
+double ColocationGuard::InterferenceOf(const ColocatedTask& aTask) const
 {
-  return mModel.HarmOf(aTask, mLevel);
+  return mModel.InterferenceOf(aTask, mLevel);
 }
 
 bool ColocationGuard::MayAct(const ColocatedTask& aTask) const
@@ -144,17 +146,17 @@
 
 bool ColocationGuard::MayThrottle(const ColocatedTask& aTask) const
 {
-  return MayAct(aTask) && aTask.mFraction > mSettings.mLeastFraction;
+  return MayAct(aTask) && aTask.mFraction > mSettings.mMinFraction;
 }
 
-ColocatedTask* ColocationGuard::MostHarmful(bool aToThrottle)
+ColocatedTask* ColocationGuard::MostInterfering(bool aToThrottle)
 {
   ColocatedTask* worst = nullptr;
   for (ColocatedTask& task : mTasks) {
     const bool isOpen =
       MayThrottle(task) || (!aToThrottle && task.mEvictable && MayAct(task));
-    if (isOpen && HarmOf(task) > 0.0 &&
-        (worst == nullptr || HarmOf(task) > HarmOf(*worst))) {
+    if (isOpen && InterferenceOf(task) > 0.0 &&
+        (worst == nullptr || InterferenceOf(task) > InterferenceOf(*worst))) {
       worst = &task;
     }
   }
@@ -162,74 +164,75 @@
 }
 
 void ColocationGuard::Halve(ColocatedTask& aTask,
-                            std::vector<ColocationAct>& aActs)
+                            std::vector<ColocationAction>& aActions)
 {
   SetFraction(
-    aTask, std::max(mSettings.mLeastFraction, aTask.mFraction / 2), aActs);
+    aTask, std::max(mSettings.mMinFraction, aTask.mFraction / 2), aActions);
 }
 
 void ColocationGuard::SetFraction(ColocatedTask& aTask,
                                   double aFraction,
-                                  std::vector<ColocationAct>& aActs)
+                                  std::vector<ColocationAction>& aActions)
 {
   State& state = mStates[aTask.mKey];
   aTask.mFraction = state.mFraction = aFraction;
   aTask.mUsed = UsedAt(state.mFullUse, aFraction);
-  aActs.emplace_back(ThrottleBatch{ aTask.mKey, aFraction });
+  aActions.emplace_back(ThrottleBatch{ aTask.mKey, aFraction });
 }
 
-void ColocationGuard::Stepped(Instant aNow)
+void ColocationGuard::OnStepTaken(Instant aNow)
 {
   mBad = mGood = 0;
   mSteppedAt = aNow;
   mHistory.Set(mTasks, aNow);
 }
 
-void ColocationGuard::Foresee(Instant aNow, std::vector<ColocationAct>& aActs)
+void ColocationGuard::ThrottleAhead(Instant aNow,
+                                    std::vector<ColocationAction>& aActions)
 {
-  while (mModel.ExpectedExcess(mTasks, mLevel) > Bearable()) {
-    ColocatedTask* const worst = MostHarmful(true);
+  while (mModel.ExpectedExcess(mTasks, mLevel) > AllowedExcess()) {
+    ColocatedTask* const worst = MostInterfering(true);
     if (worst == nullptr) {
       break;
     }
-    Halve(*worst, aActs);
+    Halve(*worst, aActions);
   }
-  if (!aActs.empty()) {
-    Stepped(aNow);
+  if (!aActions.empty()) {
+    OnStepTaken(aNow);
   }
 }
 
-void ColocationGuard::StepAgainst(Instant aNow,
-                                  std::vector<ColocationAct>& aActs)
+void ColocationGuard::ThrottleOrEvict(Instant aNow,
+                                      std::vector<ColocationAction>& aActions)
 {
-  ColocatedTask* const worst = MostHarmful(false);
+  ColocatedTask* const worst = MostInterfering(false);
   if (worst == nullptr) {
     return;
   }
   if (MayThrottle(*worst)) {
-    PunishRaise(*worst, aNow);
-    Halve(*worst, aActs);
-    Stepped(aNow);
+    ExtendBackOff(*worst, aNow);
+    Halve(*worst, aActions);
+    OnStepTaken(aNow);
     return;
   }
   // An eviction wastes more than a throttle, so that the case must be clearer.
   const double needed =
-    2.0 * mSettings.mBadWindows * Patience(worst->mEvictionWeight);
+    2.0 * mSettings.mBadWindows * ToleranceFactor(worst->mEvictionWeight);
   if (mBad >= needed) {
     mStates[worst->mKey].mEvicting = true;
-    aActs.emplace_back(EvictBatch{ worst->mKey });
-    Stepped(aNow);
+    aActions.emplace_back(EvictBatch{ worst->mKey });
+    OnStepTaken(aNow);
   }
 }
 
-void ColocationGuard::PunishRaise(const ColocatedTask& aTask, Instant aNow)
+void ColocationGuard::ExtendBackOff(const ColocatedTask& aTask, Instant aNow)
 {
   const Instant raisedAt = mStates[aTask.mKey].mRaisedAt;
   if (raisedAt == Instant{} || raisedAt + kRaiseTrial < aNow) {
     return;
   }
   BackOff& backOff = mBackOffs[aTask.mClass];
-  backOff.mLength = std::min(mSettings.mLongestBackOff,
+  backOff.mLength = std::min(mSettings.mMaxBackOff,
                              std::max(mSettings.mBackOff, 2 * backOff.mLength));
   backOff.mUntil = aNow + backOff.mLength;
 }
@@ -243,16 +246,18 @@
   const bool isHeld =
     backOff != mBackOffs.end() && backOff->second.mUntil > aNow;
   // The raise doubles the task's own part of what is expected.
-  const double raised = mModel.ExpectedExcess(mTasks, mLevel) + HarmOf(aTask);
-  return !isHeld && raised <= Bearable();
+  const double raised =
+    mModel.ExpectedExcess(mTasks, mLevel) + InterferenceOf(aTask);
+  return !isHeld && raised <= AllowedExcess();
 }
 
-void ColocationGuard::StepBack(Instant aNow, std::vector<ColocationAct>& aActs)
+void ColocationGuard::RelaxThrottle(Instant aNow,
+                                    std::vector<ColocationAction>& aActions)
 {
   ColocatedTask* best = nullptr;
   for (ColocatedTask& task : mTasks) {
     if (MayRaise(task, aNow) &&
-        (best == nullptr || HarmOf(task) < HarmOf(*best))) {
+        (best == nullptr || InterferenceOf(task) < InterferenceOf(*best))) {
       best = &task;
     }
   }
@@ -260,8 +265,8 @@
     return;
   }
   mStates[best->mKey].mRaisedAt = aNow;
-  SetFraction(*best, std::min(1.0, best->mFraction * 2), aActs);
-  Stepped(aNow);
+  SetFraction(*best, std::min(1.0, best->mFraction * 2), aActions);
+  OnStepTaken(aNow);
 }
 
 } // namespace foxtailbarrow
--- a/src/core/colocation/ColocationGuard.h
+++ b/src/core/colocation/ColocationGuard.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "foxtailbarrow/Time.h"
-#include "src/core/colocation/ColocationAct.h"
+#include "src/core/colocation/ColocationAction.h"
 #include "src/core/colocation/InterferenceModel.h"
 #include "src/core/colocation/LatencyRecorder.h"
 #include "src/core/colocation/PlacementHistory.h"
@@ -19,14 +19,14 @@
 {
   /// Excess of the service's tail over its calm one that is too much, and that
   /// is well again, where tail latency and evictions weigh the same.
-  double mTooMuch = 0.5;
-  double mWell = 0.15;
+  double mMaxExcess = 0.5;
+  double mRecoveredExcess = 0.15;
   int mBadWindows = 3;   ///< In a row, before a step against a task.
   int mGoodWindows = 10; ///< In a row, before a step back.
   Duration mCoolDown = std::chrono::seconds(3); ///< Between two steps.
   Duration mBackOff = std::chrono::seconds(20); ///< After a step back failed.
-  Duration mLongestBackOff = std::chrono::minutes(10);
-  double mLeastFraction = 0.25; ///< Below it, batch tasks are evicted.
+  Duration mMaxBackOff = std::chrono::minutes(10);
+  double mMinFraction = 0.25; ///< Below it, batch tasks are evicted.
   /// A window is judged this long after its end, when usage has come in.
   Duration mUsageWait = std::chrono::seconds(3);
 };
@@ -55,12 +55,12 @@
   void SetTasks(std::vector<ColocatedTask> aTasks, Instant aNow);
 
   /// `aUsed`: part of the worker's processors.
-  void UsageSeen(const TaskKey& aKey, double aUsed, Instant aTakenAt);
+  void OnUsage(const TaskKey& aKey, double aUsed, Instant aTakenAt);
 
-  void LatenciesSeen(const LatencyWindow& aWindow);
+  void OnLatencies(const LatencyWindow& aWindow);
 
   /// The steps to take now.
-  std::vector<ColocationAct> Advance(Instant aNow);
+  std::vector<ColocationAction> Advance(Instant aNow);
 
   /// Of the window judged last.
   double Excess() const { return mExcess; }
@@ -81,23 +81,23 @@
     Instant mUntil{};
   };
 
-  void Judge(const LatencyWindow& aWindow);
-  void StepAgainst(Instant aNow, std::vector<ColocationAct>& aActs);
-  void StepBack(Instant aNow, std::vector<ColocationAct>& aActs);
-  void Foresee(Instant aNow, std::vector<ColocationAct>& aActs);
-  void Halve(ColocatedTask& aTask, std::vector<ColocationAct>& aActs);
+  void EvaluateWindow(const LatencyWindow& aWindow);
+  void ThrottleOrEvict(Instant aNow, std::vector<ColocationAction>& aActions);
+  void RelaxThrottle(Instant aNow, std::vector<ColocationAction>& aActions);
+  void ThrottleAhead(Instant aNow, std::vector<ColocationAction>& aActions);
+  void Halve(ColocatedTask& aTask, std::vector<ColocationAction>& aActions);
   void SetFraction(ColocatedTask& aTask,
                    double aFraction,
-                   std::vector<ColocationAct>& aActs);
-  void PunishRaise(const ColocatedTask& aTask, Instant aNow);
+                   std::vector<ColocationAction>& aActions);
+  void ExtendBackOff(const ColocatedTask& aTask, Instant aNow);
   bool MayRaise(const ColocatedTask& aTask, Instant aNow) const;
   bool MayAct(const ColocatedTask& aTask) const;
   bool MayThrottle(const ColocatedTask& aTask) const;
-  ColocatedTask* MostHarmful(bool aToThrottle);
-  double HarmOf(const ColocatedTask& aTask) const;
-  double Patience(double aEvictionWeight) const;
-  double Bearable() const;
-  void Stepped(Instant aNow);
+  ColocatedTask* MostInterfering(bool aToThrottle);
+  double InterferenceOf(const ColocatedTask& aTask) const;
+  double ToleranceFactor(double aEvictionWeight) const;
+  double AllowedExcess() const;
+  void OnStepTaken(Instant aNow);
 
   const ColocationSettings mSettings;
   double mLatencyWeight = 1.0;
--- a/src/core/colocation/ColocationPolicy.cpp
+++ b/src/core/colocation/ColocationPolicy.cpp
@@ -79,28 +79,28 @@
   }
 }
 
-void UsageSeen(ColocationPolicy& aPolicy,
-               const TaskKey& aKey,
-               double aUsed,
-               Instant aTakenAt)
+void OnUsage(ColocationPolicy& aPolicy,
+             const TaskKey& aKey,
+             double aUsed,
+             Instant aTakenAt)
 {
   if (auto* const guard = std::get_if<ColocationGuard>(&aPolicy)) {
-    guard->UsageSeen(aKey, aUsed, aTakenAt);
+    guard->OnUsage(aKey, aUsed, aTakenAt);
   }
 }
 
-void LatenciesSeen(ColocationPolicy& aPolicy, const LatencyWindow& aWindow)
+void OnLatencies(ColocationPolicy& aPolicy, const LatencyWindow& aWindow)
 {
   if (auto* const guard = std::get_if<ColocationGuard>(&aPolicy)) {
-    guard->LatenciesSeen(aWindow);
+    guard->OnLatencies(aWindow);
   } else if (auto* const fixed = std::get_if<StaticThreshold>(&aPolicy)) {
     See(*fixed, aWindow);
   }
 }
 
-std::vector<ColocationAct> Advance(ColocationPolicy& aPolicy, Instant aNow)
+std::vector<ColocationAction> Advance(ColocationPolicy& aPolicy, Instant aNow)
 {
-  std::vector<ColocationAct> acts;
+  std::vector<ColocationAction> acts;
   if (auto* const guard = std::get_if<ColocationGuard>(&aPolicy)) {
     acts = guard->Advance(aNow);
   } else if (auto* const fixed = std::get_if<StaticThreshold>(&aPolicy)) {
--- a/src/core/colocation/ColocationPolicy.h
+++ b/src/core/colocation/ColocationPolicy.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "foxtailbarrow/Time.h"
-#include "src/core/colocation/ColocationAct.h"
+#include "src/core/colocation/ColocationAction.h"
 #include "src/core/colocation/ColocationGuard.h"
 #include "src/core/colocation/LatencyRecorder.h"
 #include "src/core/colocation/PlacementHistory.h"
@@ -29,7 +29,7 @@
   int mBad = 0;
   bool mThrottled = false;
   std::vector<ColocatedTask> mTasks;
-  std::vector<ColocationAct> mPending;
+  std::vector<ColocationAction> mPending;
 };
 
 /// The policies, behind one set of functions.
@@ -43,14 +43,14 @@
               std::vector<ColocatedTask> aTasks,
               Instant aNow);
 
-void UsageSeen(ColocationPolicy& aPolicy,
-               const TaskKey& aKey,
-               double aUsed,
-               Instant aTakenAt);
+void OnUsage(ColocationPolicy& aPolicy,
+             const TaskKey& aKey,
+             double aUsed,
+             Instant aTakenAt);
 
-void LatenciesSeen(ColocationPolicy& aPolicy, const LatencyWindow& aWindow);
+void OnLatencies(ColocationPolicy& aPolicy, const LatencyWindow& aWindow);
 
 /// The steps due now.
-std::vector<ColocationAct> Advance(ColocationPolicy& aPolicy, Instant aNow);
+std::vector<ColocationAction> Advance(ColocationPolicy& aPolicy, Instant aNow);
 
 } // namespace foxtailbarrow
--- a/src/core/colocation/InterferenceModel.cpp
+++ b/src/core/colocation/InterferenceModel.cpp
@@ -11,16 +11,16 @@
 constexpr double kQuantile = 0.95;
 
 /// Fewer requests of a level say nothing about its tail.
-constexpr std::uint64_t kLeastRequests = 20;
+constexpr std::uint64_t kMinRequests = 20;
 
-constexpr double kCalmStep = 0.2;   ///< Towards a window without tasks.
-constexpr double kCalmDrift = 0.01; ///< Upwards, under tasks only.
+constexpr double kBaselineStep = 0.2;   ///< Towards a window without tasks.
+constexpr double kBaselineDrift = 0.01; ///< Upwards, under tasks only.
 
 /// Growth of the calm latency from one level to the next, until measured.
-constexpr double kCalmGrowth = 1.25;
+constexpr double kBaselineGrowth = 1.25;
 
 /// Windows of a level after which a class's harm is believed.
-constexpr std::uint32_t kLeastWindows = 10;
+constexpr std::uint32_t kMinWindows = 10;
 /// Of the filter: variance of a class not seen yet, growth of a variance by
 /// window, and variance of a window's excess (a deviation of 0.1).
 constexpr double kFirstVariance = 400.0;
@@ -35,8 +35,8 @@
 double InterferenceModel::ExcessAt(const ServiceHistogram& aLatencies,
                                    std::size_t aLevel) const
 {
-  const double calm = mCalmMicros[aLevel];
-  if (aLatencies.Count() < kLeastRequests || calm <= 0.0) {
+  const double calm = mBaselineMicros[aLevel];
+  if (aLatencies.Count() < kMinRequests || calm <= 0.0) {
     return 0.0;
   }
   const auto micros =
@@ -50,7 +50,7 @@
   double count = 0.0;
   for (std::size_t level = 0; level < kLoadLevels; ++level) {
     const ServiceHistogram& latencies = aWindow.mLevels[level];
-    if (latencies.Count() < kLeastRequests || mCalmMicros[level] <= 0.0) {
+    if (latencies.Count() < kMinRequests || mBaselineMicros[level] <= 0.0) {
       continue;
     }
     const auto weight = static_cast<double>(latencies.Count());
@@ -76,89 +76,90 @@
 {
   for (std::size_t level = 0; level < kLoadLevels; ++level) {
     const ServiceHistogram& latencies = aWindow.mLevels[level];
-    if (latencies.Count() < kLeastRequests) {
+    if (latencies.Count() < kMinRequests) {
       continue;
     }
-    LearnCalm(latencies, level, aPlacement);
-    LearnHarm(ExcessAt(latencies, level), level, aPlacement);
+    UpdateBaseline(latencies, level, aPlacement);
+    UpdateInterference(ExcessAt(latencies, level), level, aPlacement);
   }
 }
 
-void InterferenceModel::LearnCalm(const ServiceHistogram& aLatencies,
-                                  std::size_t aLevel,
-                                  const Placement& aPlacement)
+void InterferenceModel::UpdateBaseline(const ServiceHistogram& aLatencies,
+                                       std::size_t aLevel,
+                                       const Placement& aPlacement)
 {
-  double& calm = mCalmMicros[aLevel];
+  double& calm = mBaselineMicros[aLevel];
   const bool isAlone = aPlacement.mTasks.empty();
   const auto micros =
     static_cast<double>(aLatencies.Quantile(kQuantile).count());
   double expected = 0.0;
   for (const ColocatedTask& task : aPlacement.mTasks) {
-    expected += HarmOf(task, aLevel);
+    expected += InterferenceOf(task, aLevel);
   }
   const double target = micros / (1.0 + expected);
   if (calm <= 0.0) {
-    calm = isAlone ? micros : FirstCalm(aLevel, micros);
+    calm = isAlone ? micros : InitialBaseline(aLevel, micros);
   } else if (isAlone || micros < calm) {
-    calm += kCalmStep * (micros - calm);
+    calm += kBaselineStep * (micros - calm);
   } else if (target > calm) {
-    calm += kCalmDrift * (target - calm);
+    calm += kBaselineDrift * (target - calm);
   }
 }
 
-double InterferenceModel::FirstCalm(std::size_t aLevel, double aMicros) const
+double InterferenceModel::InitialBaseline(std::size_t aLevel,
+                                          double aMicros) const
 {
   double growth = 1.0;
   for (std::size_t below = aLevel; below-- > 0;) {
-    growth *= kCalmGrowth;
-    if (mCalmMicros[below] > 0.0) {
-      return std::min(aMicros, mCalmMicros[below] * growth);
+    growth *= kBaselineGrowth;
+    if (mBaselineMicros[below] > 0.0) {
+      return std::min(aMicros, mBaselineMicros[below] * growth);
     }
   }
   return aMicros;
 }
 
-void InterferenceModel::LearnHarm(double aExcess,
-                                  std::size_t aLevel,
-                                  const Placement& aPlacement)
+void InterferenceModel::UpdateInterference(double aExcess,
+                                           std::size_t aLevel,
+                                           const Placement& aPlacement)
 {
   absl::flat_hash_map<std::string, double> pressures;
   for (const ColocatedTask& task : aPlacement.mTasks) {
-    pressures[task.mClass] += task.Pressure();
+    pressures[task.mClass] += task.ProcessorShare();
   }
   double expected = 0.0;
   double variance = kExcessVariance;
   for (const auto& [name, pressure] : pressures) {
-    if (!mHarm.contains(name)) {
-      MakeRoom();
-      mHarm[name].mVariance.fill(kFirstVariance);
+    if (!mClasses.contains(name)) {
+      ForgetOneClass();
+      mClasses[name].mVariance.fill(kFirstVariance);
     }
-    Harm& harm = mHarm.at(name);
+    ClassInterference& harm = mClasses.at(name);
     harm.mVariance[aLevel] += kVarianceGrowth;
-    expected += harm.mPerPressure[aLevel] * pressure;
+    expected += harm.mExcessPerShare[aLevel] * pressure;
     variance += harm.mVariance[aLevel] * pressure * pressure;
   }
   for (const auto& [name, pressure] : pressures) {
-    const auto found = mHarm.find(name);
-    if (found == mHarm.end()) {
+    const auto found = mClasses.find(name);
+    if (found == mClasses.end()) {
       continue; // Gave its room to another class just now.
     }
-    Harm& harm = found->second;
+    ClassInterference& harm = found->second;
     const double gain = harm.mVariance[aLevel] * pressure / variance;
-    double& perPressure = harm.mPerPressure[aLevel];
+    double& perPressure = harm.mExcessPerShare[aLevel];
     perPressure = std::max(0.0, perPressure + gain * (aExcess - expected));
     harm.mVariance[aLevel] *= 1.0 - gain * pressure;
     ++harm.mWindows[aLevel];
   }
 }
 
-double InterferenceModel::HarmOf(const ColocatedTask& aTask,
-                                 std::size_t aLevel) const
+double InterferenceModel::InterferenceOf(const ColocatedTask& aTask,
+                                         std::size_t aLevel) const
 {
-  const auto harm = mHarm.find(aTask.mClass);
-  return harm == mHarm.end()
+  const auto harm = mClasses.find(aTask.mClass);
+  return harm == mClasses.end()
            ? 0.0
-           : harm->second.mPerPressure[aLevel] * aTask.Pressure();
+           : harm->second.mExcessPerShare[aLevel] * aTask.ProcessorShare();
 }
 
 double InterferenceModel::ExpectedExcess(std::span<const ColocatedTask> aTasks,
@@ -166,27 +167,30 @@
 {
   double sum = 0.0;
   for (const ColocatedTask& task : aTasks) {
-    const auto harm = mHarm.find(task.mClass);
-    if (harm != mHarm.end() && harm->second.mWindows[aLevel] >= kLeastWindows) {
-      sum += HarmOf(task, aLevel);
+    const auto harm = mClasses.find(task.mClass);
+    if (harm != mClasses.end() &&
+        harm->second.mWindows[aLevel] >= kMinWindows) {
+      sum += InterferenceOf(task, aLevel);
     }
   }
   return sum;
 }
 
-void InterferenceModel::MakeRoom()
+void InterferenceModel::ForgetOneClass()
 {
-  if (mHarm.size() < kMaxClasses) {
+  if (mClasses.size() < kMaxClasses) {
     return;
   }
-  const auto sum = [](const Harm& aHarm) {
+  const auto sum = [](const ClassInterference& aHarm) {
     return std::accumulate(
-      aHarm.mPerPressure.begin(), aHarm.mPerPressure.end(), 0.0);
+      aHarm.mExcessPerShare.begin(), aHarm.mExcessPerShare.end(), 0.0);
   };
-  mHarm.erase(std::min_element(
-    mHarm.begin(), mHarm.end(), [&sum](const auto& aLeft, const auto& aRight) {
-      return sum(aLeft.second) < sum(aRight.second);
-    }));
+  mClasses.erase(
+    std::min_element(mClasses.begin(),
+                     mClasses.end(),
+                     [&sum](const auto& aLeft, const auto& aRight) {
+                       return sum(aLeft.second) < sum(aRight.second);
+                     }));
 }
 
 } // namespace foxtailbarrow
--- a/src/core/colocation/InterferenceModel.h
+++ b/src/core/colocation/InterferenceModel.h
@@ -37,40 +37,40 @@
   double ExcessOf(const LatencyWindow& aWindow) const;
 
   /// Part of the excess that the task is expected to cause at the level.
-  double HarmOf(const ColocatedTask& aTask, std::size_t aLevel) const;
+  double InterferenceOf(const ColocatedTask& aTask, std::size_t aLevel) const;
 
-  /// Sum of HarmOf() over the tasks, of those classes alone that were seen in
-  /// enough windows of the level to be believed.
+  /// Sum of InterferenceOf() over the tasks, of those classes alone that were
+  /// seen in enough windows of the level to be believed.
   double ExpectedExcess(std::span<const ColocatedTask> aTasks,
                         std::size_t aLevel) const;
 
   /// The level at which most of the window's requests ran.
   static std::size_t LevelOf(const LatencyWindow& aWindow);
 
-  std::size_t Classes() const { return mHarm.size(); }
+  std::size_t Classes() const { return mClasses.size(); }
 
 private:
   using Levels = std::array<double, kLoadLevels>;
 
-  struct Harm
+  struct ClassInterference
   {
-    Levels mPerPressure{};
+    Levels mExcessPerShare{};
     Levels mVariance{};
     std::array<std::uint32_t, kLoadLevels> mWindows{};
   };
 
   double ExcessAt(const ServiceHistogram& aLatencies, std::size_t aLevel) const;
-  double FirstCalm(std::size_t aLevel, double aMicros) const;
-  void LearnCalm(const ServiceHistogram& aLatencies,
-                 std::size_t aLevel,
-                 const Placement& aPlacement);
-  void LearnHarm(double aExcess,
-                 std::size_t aLevel,
-                 const Placement& aPlacement);
-  void MakeRoom();
+  double InitialBaseline(std::size_t aLevel, double aMicros) const;
+  void UpdateBaseline(const ServiceHistogram& aLatencies,
+                      std::size_t aLevel,
+                      const Placement& aPlacement);
+  void UpdateInterference(double aExcess,
+                          std::size_t aLevel,
+                          const Placement& aPlacement);
+  void ForgetOneClass();
 
-  Levels mCalmMicros{}; ///< 0 = not known.
-  absl::flat_hash_map<std::string, Harm> mHarm;
+  Levels mBaselineMicros{}; ///< 0 = not known.
+  absl::flat_hash_map<std::string, ClassInterference> mClasses;
 };
 
 } // namespace foxtailbarrow
--- a/src/core/colocation/PlacementHistory.cpp
+++ b/src/core/colocation/PlacementHistory.cpp
@@ -41,9 +41,9 @@
   }
 }
 
-std::optional<double> PlacementHistory::Measured(const TaskKey& aKey,
-                                                 double aUsed,
-                                                 Instant aTakenAt)
+std::optional<double> PlacementHistory::AttributeUsage(const TaskKey& aKey,
+                                                       double aUsed,
+                                                       Instant aTakenAt)
 {
   const auto after =
     std::upper_bound(mPlacements.begin(),
--- a/src/core/colocation/PlacementHistory.h
+++ b/src/core/colocation/PlacementHistory.h
@@ -22,8 +22,8 @@
   double mFraction = 1.0; ///< Of its processors, as throttled.
   double mUsed = -1.0;    ///< Part of the worker's processors; < 0 = unknown.
 
-  /// Pressure on the service: what it used, else what it could.
-  double Pressure() const
+  /// ProcessorShare on the service: what it used, else what it could.
+  double ProcessorShare() const
   {
     return mUsed >= 0.0 ? mUsed : mReserved * mFraction;
   }
@@ -48,9 +48,9 @@
 
   /// Notes the task's usage measured at `aTakenAt`. Returns the fraction of its
   /// processors that it had then; nullopt when it is not known.
-  std::optional<double> Measured(const TaskKey& aKey,
-                                 double aUsed,
-                                 Instant aTakenAt);
+  std::optional<double> AttributeUsage(const TaskKey& aKey,
+                                       double aUsed,
+                                       Instant aTakenAt);
 
   /// The placement in force over the whole span; nullptr when it changed within
   /// it or is no longer known.
--- a/src/core/contract/ConfigurationDelta.cpp
+++ b/src/core/contract/ConfigurationDelta.cpp
@@ -4,7 +4,7 @@
 
 namespace foxtailbarrow {
 
-void PutDelta(ConfigurationDelta aDelta, HeartbeatReply& aReply)
+void WriteDelta(ConfigurationDelta aDelta, HeartbeatReply& aReply)
 {
   aReply.mConfiguration = aDelta.mNewest;
   aReply.mConfigurationFrom = aDelta.mFrom;
@@ -15,7 +15,7 @@
   aReply.mRemoved = std::move(aDelta.mRemoved);
 }
 
-ConfigurationDelta TakeDelta(const HeartbeatReply& aReply)
+ConfigurationDelta ReadDelta(const HeartbeatReply& aReply)
 {
   return {
     aReply.mConfigurationFrom,
--- a/src/core/contract/ConfigurationDelta.h
+++ b/src/core/contract/ConfigurationDelta.h
@@ -25,7 +25,7 @@
 };
 
 /// Puts a delta into the reply that carries it, and takes it out again.
-void PutDelta(ConfigurationDelta aDelta, HeartbeatReply& aReply);
-ConfigurationDelta TakeDelta(const HeartbeatReply& aReply);
+void WriteDelta(ConfigurationDelta aDelta, HeartbeatReply& aReply);
+ConfigurationDelta ReadDelta(const HeartbeatReply& aReply);
 
 } // namespace foxtailbarrow
--- a/src/core/contract/ConfigurationFollower.cpp
+++ b/src/core/contract/ConfigurationFollower.cpp
@@ -26,7 +26,7 @@
     mThrough = std::max(mThrough, aDelta.mThrough);
   }
   if (IsStep(aEntry, aDelta)) {
-    Step(aDelta, aFilter, changed);
+    ApplyStep(aDelta, aFilter, changed);
   } else if (IsComparable(aDelta)) {
     Compare(aEntry, aDelta, aFilter);
   }
@@ -67,8 +67,8 @@
   }
 }
 
-void ConfigurationFollower::Begin(const EntryId& aEntry,
-                                  const ContractFilter& aFilter)
+void ConfigurationFollower::BeginResync(const EntryId& aEntry,
+                                        const ContractFilter& aFilter)
 {
   mResync = Resync{ aEntry, 0, aFilter, {}, {} };
 }
@@ -78,8 +78,8 @@
 {
   // An entry that answers twice between two steps is faster than the source,
   // which may have died.
-  if (!mResync || !mResync->mOthers.insert(aEntry).second) {
-    Begin(aEntry, aFilter);
+  if (!mResync || !mResync->mDisagreeing.insert(aEntry).second) {
+    BeginResync(aEntry, aFilter);
   }
 }
 
@@ -90,12 +90,12 @@
          mResync->mCursor == aDelta.mFrom;
 }
 
-void ConfigurationFollower::Step(const ConfigurationDelta& aDelta,
-                                 const ContractFilter& aFilter,
-                                 std::vector<CustomerId>& aChanged)
+void ConfigurationFollower::ApplyStep(const ConfigurationDelta& aDelta,
+                                      const ContractFilter& aFilter,
+                                      std::vector<CustomerId>& aChanged)
 {
   mResync->mCursor = aDelta.mThrough;
-  mResync->mOthers.clear();
+  mResync->mDisagreeing.clear();
   absl::erase_if(mResync->mFilter.mTaskCustomers,
                  [&](const CustomerId& aCustomer) {
                    return !aFilter.mTaskCustomers.contains(aCustomer);
--- a/src/core/contract/ConfigurationFollower.h
+++ b/src/core/contract/ConfigurationFollower.h
@@ -55,7 +55,7 @@
     ContractFilter mFilter;
     absl::flat_hash_set<CustomerId> mSeen;
     /// Entries that disagreed since the last step.
-    absl::flat_hash_set<EntryId> mOthers;
+    absl::flat_hash_set<EntryId> mDisagreeing;
   };
 
   void Merge(const ConfigurationDelta& aDelta,
@@ -64,11 +64,11 @@
   void Compare(const EntryId& aEntry,
                const ConfigurationDelta& aDelta,
                const ContractFilter& aFilter);
-  void Begin(const EntryId& aEntry, const ContractFilter& aFilter);
+  void BeginResync(const EntryId& aEntry, const ContractFilter& aFilter);
   bool IsStep(const EntryId& aEntry, const ConfigurationDelta& aDelta) const;
-  void Step(const ConfigurationDelta& aDelta,
-            const ContractFilter& aFilter,
-            std::vector<CustomerId>& aChanged);
+  void ApplyStep(const ConfigurationDelta& aDelta,
+                 const ContractFilter& aFilter,
+                 std::vector<CustomerId>& aChanged);
   void DropUnseen(Revision aAsOf, std::vector<CustomerId>& aChanged);
   void ChooseSource(const EntryId& aEntry, const ContractFilter& aFilter);
 
--- a/src/core/contract/ConfigurationSource.cpp
+++ b/src/core/contract/ConfigurationSource.cpp
@@ -149,8 +149,9 @@
                                                std::size_t aMaxBytes)
 {
   const Revision since = aHeartbeat.mConfiguration;
-  Revision stated = mStated;
-  while (stated < since && !mStated.compare_exchange_weak(stated, since)) {
+  Revision stated = mNewestStated;
+  while (stated < since &&
+         !mNewestStated.compare_exchange_weak(stated, since)) {
   }
   if (NeedsListing()) {
     ConfigurationDelta nothing;
--- a/src/core/contract/ConfigurationSource.h
+++ b/src/core/contract/ConfigurationSource.h
@@ -58,7 +58,7 @@
 
   /// True from the moment at which an agent stated a newer change than this
   /// entry has looked for, until a listing or event from then on: list again.
-  bool NeedsListing() const { return mStated > mAsOf; }
+  bool NeedsListing() const { return mNewestStated > mAsOf; }
 
   /// Revision of the store at which the view was complete.
   Revision AsOf() const { return mAsOf; }
@@ -70,7 +70,7 @@
 
   Snapshot<ConfigurationView> mView;
   std::atomic<Revision> mAsOf{ 0 };
-  std::atomic<Revision> mStated{ 0 }; ///< Newest that any agent stated.
+  std::atomic<Revision> mNewestStated{ 0 }; ///< Newest that any agent stated.
 };
 
 } // namespace foxtailbarrow
--- a/src/core/job/DecisionLog.cpp
+++ b/src/core/job/DecisionLog.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void DecisionLog::Note(const Decision& aDecision)
+void DecisionLog::RecordDecision(const Decision& aDecision)
 {
   if (!mEntries.empty() && Repeats(mEntries.back(), aDecision)) {
     mEntries.back().mAt = aDecision.mAt;
--- a/src/core/job/DecisionLog.h
+++ b/src/core/job/DecisionLog.h
@@ -31,7 +31,7 @@
 public:
   static constexpr std::size_t kLimit = 8;
 
-  void Note(const Decision& aDecision);
+  void RecordDecision(const Decision& aDecision);
   std::span<const Decision> Entries() const { return mEntries; }
 
 private:
--- a/src/core/job/EndedRecords.cpp
+++ b/src/core/job/EndedRecords.cpp
@@ -2,10 +2,10 @@
 
 namespace foxtailbarrow {
 
-bool EndedRecords::Seen(ShardId aShard,
-                        const JobId& aJob,
-                        Revision aRevision,
-                        Instant aNow)
+bool EndedRecords::OnFinalRecord(ShardId aShard,
+                                 const JobId& aJob,
+                                 Revision aRevision,
+                                 Instant aNow)
 {
   Ended& ended = mShards[aShard][aJob];
   if (ended.mRevision != aRevision) {
--- a/src/core/job/EndedRecords.h
+++ b/src/core/job/EndedRecords.h
@@ -25,10 +25,10 @@
   }
 
   /// The record is final in the store. True when it may be deleted.
-  bool Seen(ShardId aShard,
-            const JobId& aJob,
-            Revision aRevision,
-            Instant aNow);
+  bool OnFinalRecord(ShardId aShard,
+                     const JobId& aJob,
+                     Revision aRevision,
+                     Instant aNow);
 
   /// The record was deleted, or is final no longer.
   void Forget(ShardId aShard, const JobId& aJob);
--- a/src/core/job/JobBooks.cpp
+++ b/src/core/job/JobAllocations.cpp
@@ -1,28 +1,28 @@
-#include "src/core/job/JobBooks.h"
+#include "src/core/job/JobAllocations.h"
 
 #include <algorithm>
 
 namespace foxtailbarrow {
 
-void JobBooks::Reserve(JobEntry& aEntry,
-                       WorkerSlot aWorker,
-                       const Resources& aSize)
+void JobAllocations::Reserve(JobEntry& aEntry,
+                             WorkerSlot aWorker,
+                             const Resources& aSize)
 {
   Book(aEntry, { aSize, aWorker, true });
 }
 
-void JobBooks::Adopt(JobEntry& aEntry,
-                     std::optional<WorkerSlot> aWorker,
-                     const Resources& aSize)
+void JobAllocations::Adopt(JobEntry& aEntry,
+                           std::optional<WorkerSlot> aWorker,
+                           const Resources& aSize)
 {
   Book(aEntry, { aSize, aWorker, false });
 }
 
-void JobBooks::Confirm(JobEntry& aEntry,
-                       WorkerSlot aWorker,
-                       const Resources& aSize)
+void JobAllocations::Confirm(JobEntry& aEntry,
+                             WorkerSlot aWorker,
+                             const Resources& aSize)
 {
-  const auto& held = aEntry.mBooking;
+  const auto& held = aEntry.mAllocation;
   if (held && !held->mPending && held->mWorker == aWorker &&
       held->mSize == aSize) {
     return;
@@ -30,18 +30,18 @@
   Book(aEntry, { aSize, aWorker, false });
 }
 
-std::vector<JobEntry*> JobBooks::HoldersOf(WorkerSlot aWorker) const
+std::vector<JobEntry*> JobAllocations::JobsOn(WorkerSlot aWorker) const
 {
-  if (aWorker >= mHolders.size()) {
+  if (aWorker >= mJobsByWorker.size()) {
     return {};
   }
-  const auto& holders = mHolders[aWorker];
+  const auto& holders = mJobsByWorker[aWorker];
   std::vector<JobEntry*> sorted(holders.begin(), holders.end());
   std::ranges::sort(sorted, {}, &JobEntry::mSerial);
   return sorted;
 }
 
-void JobBooks::Book(JobEntry& aEntry, const Booking& aBooking)
+void JobAllocations::Book(JobEntry& aEntry, const Allocation& aBooking)
 {
   Release(aEntry);
   const CustomerId& customer = aEntry.Spec().mCustomer;
@@ -49,28 +49,28 @@
   if (aBooking.mWorker) {
     const WorkerSlot slot = *aBooking.mWorker;
     mLoad.Add(customer, slot, mWorkers.At(slot), aBooking.mSize);
-    mHolders.resize(std::max<std::size_t>(mHolders.size(), slot + 1));
-    mHolders[slot].insert(&aEntry);
+    mJobsByWorker.resize(std::max<std::size_t>(mJobsByWorker.size(), slot + 1));
+    mJobsByWorker[slot].insert(&aEntry);
     if (aBooking.mPending) {
       mWorkers.AddPending(slot, aBooking.mSize);
     }
   }
-  aEntry.mBooking = aBooking;
+  aEntry.mAllocation = aBooking;
 }
 
-void JobBooks::Release(JobEntry& aEntry)
+void JobAllocations::Release(JobEntry& aEntry)
 {
-  if (!aEntry.mBooking) {
+  if (!aEntry.mAllocation) {
     return;
   }
-  const Booking booking = *aEntry.mBooking;
-  aEntry.mBooking.reset();
+  const Allocation booking = *aEntry.mAllocation;
+  aEntry.mAllocation.reset();
   const CustomerId& customer = aEntry.Spec().mCustomer;
   mQuotas.Subtract(customer, booking.mSize);
   if (booking.mWorker) {
     const WorkerSlot slot = *booking.mWorker;
     mLoad.Remove(customer, slot, mWorkers.At(slot), booking.mSize);
-    mHolders[slot].erase(&aEntry);
+    mJobsByWorker[slot].erase(&aEntry);
     if (booking.mPending) {
       mWorkers.RemovePending(slot, booking.mSize);
     }
--- a/src/core/job/JobBooks.h
+++ b/src/core/job/JobAllocations.h
@@ -7,14 +7,14 @@
 #include "foxtailbarrow/Resources.h"
 #include "src/core/job/JobEntry.h"
 #include "src/core/placement/PlacementLoad.h"
-#include "src/core/placement/QuotaBook.h"
+#include "src/core/placement/QuotaTracker.h"
 #include "src/core/placement/WorkerIndex.h"
 
 namespace foxtailbarrow {
 
 /// What every job holds: of its customer's contract, of its worker, and of the
 /// room that agents have not counted yet. One booking a job.
-class JobBooks
+class JobAllocations
 {
 public:
   /// Books room that the agent does not know of yet.
@@ -32,21 +32,21 @@
   void Release(JobEntry& aEntry);
 
   /// Jobs booked on the worker, in order of arrival.
-  std::vector<JobEntry*> HoldersOf(WorkerSlot aWorker) const;
+  std::vector<JobEntry*> JobsOn(WorkerSlot aWorker) const;
 
   WorkerIndex& Workers() { return mWorkers; }
   const WorkerIndex& Workers() const { return mWorkers; }
-  QuotaBook& Quotas() { return mQuotas; }
-  const QuotaBook& Quotas() const { return mQuotas; }
+  QuotaTracker& Quotas() { return mQuotas; }
+  const QuotaTracker& Quotas() const { return mQuotas; }
   const PlacementLoad& Load() const { return mLoad; }
 
 private:
-  void Book(JobEntry& aEntry, const Booking& aBooking);
+  void Book(JobEntry& aEntry, const Allocation& aBooking);
 
   WorkerIndex mWorkers;
-  QuotaBook mQuotas;
+  QuotaTracker mQuotas;
   PlacementLoad mLoad;
-  std::vector<absl::flat_hash_set<JobEntry*>> mHolders; ///< By worker.
+  std::vector<absl::flat_hash_set<JobEntry*>> mJobsByWorker; ///< By worker.
 };
 
 } // namespace foxtailbarrow
--- a/src/core/job/JobEntry.h
+++ b/src/core/job/JobEntry.h
@@ -18,7 +18,7 @@
 namespace foxtailbarrow {
 
 /// What is known of the latest assignment while the record says Assigned.
-enum class Whereabouts : std::uint8_t
+enum class AssignmentState : std::uint8_t
 {
   Unsent,      ///< Committed, not yet sent: certainly does not run.
   Unconfirmed, ///< Sent, or taken over from another owner: may run.
@@ -33,12 +33,12 @@
   JobRecord mNext;
   /// Task whose end it records; acknowledged once applied.
   std::optional<TaskKey> mEnded;
-  bool mPlaces = false; ///< Assigns; its booking was made for it.
-  bool mLost = false;   ///< The reply was lost; a read will tell.
+  bool mIsAssignment = false; ///< Assigns; its booking was made for it.
+  bool mReplyLost = false;    ///< The reply was lost; a read will tell.
 };
 
 /// Resources that a job holds in this process's books.
-struct Booking
+struct Allocation
 {
   Resources mSize;
   std::optional<WorkerSlot> mWorker;
@@ -58,26 +58,26 @@
   bool mMustRead = false; ///< The store may hold something newer.
   bool mCancelWanted = false;
 
-  Whereabouts mWhereabouts = Whereabouts::Unconfirmed;
+  AssignmentState mAssignmentState = AssignmentState::Unconfirmed;
   bool mInherited = false; ///< Not assigned by this process since it took over.
   AssignmentLease mLease;
   std::unique_ptr<TaskStatus> mEnd; ///< Reported, not yet recorded.
-  bool mJudged = false;             ///< mEnd was counted for or against.
-  std::optional<Booking> mBooking;
+  bool mOutcomeRecorded = false;    ///< mEnd was counted for or against.
+  std::optional<Allocation> mAllocation;
   Resources mPeak;      ///< Greatest usage measured in this assignment.
   Instant mStartedAt{}; ///< When it was first seen to run.
-  Reason mEvictReason = Reason::None; ///< None: it may stay.
-  std::optional<WorkerSlot> mHeldFor; ///< Where tasks make room for it.
-  Instant mHeldUntil{};
+  Reason mEvictReason = Reason::None;    ///< None: it may stay.
+  std::optional<WorkerSlot> mReservedOn; ///< Where tasks make room for it.
+  Instant mReservedUntil{};
 
-  Incarnation mSentTo = 0;  ///< Of the agent when Assign was first sent.
-  bool mAnswerDue = false;  ///< An Assign is under way.
-  bool mAnswerLost = false; ///< Of an earlier Assign: it may have run.
+  Incarnation mSentTo = 0;       ///< Of the agent when Assign was first sent.
+  bool mAssignInFlight = false;  ///< An Assign is under way.
+  bool mAssignReplyLost = false; ///< Of an earlier Assign: it may have run.
 
   Instant mRetryAt{};      ///< After trouble with the store.
   Instant mNotBefore{};    ///< Of the next placement.
   Instant mResendAt{};     ///< Of an Assign or Control.
-  Instant mWakeAt{};       ///< Of its timer; the clock's epoch = none.
+  Instant mTimerAt{};      ///< Of its timer; the clock's epoch = none.
   Instant mWaitingSince{}; ///< The clock's epoch = does not wait.
   std::int32_t mRetries = 0;
   ReadyQueue::Ticket mTicket = 0; ///< 0 = not queued.
--- a/src/core/job/JobEvent.h
+++ b/src/core/job/JobEvent.h
@@ -70,7 +70,7 @@
   JobId mJob;
 };
 
-struct HeartbeatSeen
+struct HeartbeatReceived
 {
   Heartbeat mHeartbeat;
 };
@@ -125,7 +125,7 @@
 };
 
 /// Usage measured by an agent, in force for the tasks that it names.
-struct UsageSeen
+struct UsageReceived
 {
   std::vector<UsageSample> mSamples;
 };
@@ -141,13 +141,13 @@
                               JobMissing,
                               JobReadFailed,
                               CancelRequested,
-                              HeartbeatSeen,
+                              HeartbeatReceived,
                               HeartbeatReplySent,
                               CommitDone,
                               AssignDone,
                               ControlDone,
                               ContractsChanged,
-                              UsageSeen,
+                              UsageReceived,
                               Tick>;
 
 } // namespace foxtailbarrow
--- a/src/core/job/JobScheduler.cpp
+++ b/src/core/job/JobScheduler.cpp
@@ -33,7 +33,7 @@
                                            Instant aNow,
                                            absl::BitGenRef aRandom)
 {
-  Turn turn{ aNow, aRandom, {} };
+  CallContext turn{ aNow, aRandom, {} };
   std::visit([this, &turn](const auto& aKind) { On(aKind, turn); }, aEvent);
   return std::move(turn.mActions);
 }
@@ -51,18 +51,20 @@
                           : entry->mDecisions.Entries();
 }
 
-void JobScheduler::On(const ShardAcquired& aEvent, Turn& aTurn)
+void JobScheduler::On(const ShardAcquired& aEvent, CallContext& aContext)
 {
-  On(ShardLost{ aEvent.mShard }, aTurn);
-  mShards[aEvent.mShard] = { aEvent.mGeneration, aTurn.mNow, aEvent.mCleared };
+  On(ShardLost{ aEvent.mShard }, aContext);
+  mShards[aEvent.mShard] = { aEvent.mGeneration,
+                             aContext.mNow,
+                             aEvent.mCleared };
   for (const StoredJob& job : aEvent.mJobs) {
     if (!IsFinal(job.mRecord.mState)) {
-      Adopt(mTable.Insert(aEvent.mShard, job), aTurn);
+      Adopt(mTable.Insert(aEvent.mShard, job), aContext);
     }
   }
 }
 
-void JobScheduler::On(const ShardCleared& aEvent, Turn& aTurn)
+void JobScheduler::On(const ShardCleared& aEvent, CallContext& aContext)
 {
   const auto shard = mShards.find(aEvent.mShard);
   if (shard == mShards.end() || shard->second.mCleared) {
@@ -71,12 +73,12 @@
   shard->second.mCleared = true;
   for (const JobId& job : mTable.JobsOf(aEvent.mShard)) {
     if (JobEntry* entry = mTable.Find(job); entry->mInherited) {
-      Advance(*entry, aTurn);
+      Advance(*entry, aContext);
     }
   }
 }
 
-void JobScheduler::On(const ShardLost& aEvent, Turn&)
+void JobScheduler::On(const ShardLost& aEvent, CallContext&)
 {
   if (mShards.erase(aEvent.mShard) == 0) {
     return;
@@ -88,54 +90,55 @@
     return aAsked.second == aEvent.mShard;
   };
   absl::erase_if(mMissing, inShard);
-  absl::erase_if(mAsked, inShard);
+  absl::erase_if(mUnknownReads, inShard);
 }
 
-void JobScheduler::On(const CancelRequested& aEvent, Turn& aTurn)
+void JobScheduler::On(const CancelRequested& aEvent, CallContext& aContext)
 {
   JobEntry* entry = mTable.Find(aEvent.mJob);
   if (entry != nullptr && !IsFinal(entry->Record().mState)) {
     entry->mCancelWanted = true;
-    Note(*entry, Reason::CancelRequested, aTurn);
-    Advance(*entry, aTurn);
+    RecordDecision(*entry, Reason::CancelRequested, aContext);
+    Advance(*entry, aContext);
   }
 }
 
-void JobScheduler::On(const ContractsChanged& aEvent, Turn&)
+void JobScheduler::On(const ContractsChanged& aEvent, CallContext&)
 {
   for (const Contract& contract : aEvent.mChanged) {
-    mBooks.Quotas().Apply(contract);
+    mAllocations.Quotas().Apply(contract);
   }
   for (const CustomerId& customer : aEvent.mRemoved) {
-    mBooks.Quotas().Remove(customer);
+    mAllocations.Quotas().Remove(customer);
   }
 }
 
-void JobScheduler::On(const UsageSeen& aEvent, Turn&)
+void JobScheduler::On(const UsageReceived& aEvent, CallContext&)
 {
-  TakeUsage(aEvent.mSamples);
+  OnUsage(aEvent.mSamples);
 }
 
-void JobScheduler::On(const Tick&, Turn& aTurn)
+void JobScheduler::On(const Tick&, CallContext& aContext)
 {
-  mBooks.Workers().Sweep(aTurn.mNow, mSuspectAfter);
-  for (const WorkerSlot slot : mJudge.Readmitted(aTurn.mNow)) {
-    mBooks.Workers().SetQuarantined(slot, false);
+  mAllocations.Workers().MarkSuspects(aContext.mNow, mSuspectAfter);
+  for (const WorkerSlot slot :
+       mQuarantinePolicy.EndQuarantines(aContext.mNow)) {
+    mAllocations.Workers().SetQuarantined(slot, false);
   }
-  while (JobEntry* due = mTable.PopDue(aTurn.mNow)) {
+  while (JobEntry* due = mTable.PopDue(aContext.mNow)) {
     if (IsFinal(due->Record().mState)) {
       Drop(JobId(due->Spec().mId));
     } else {
-      Advance(*due, aTurn);
+      Advance(*due, aContext);
     }
   }
-  PlaceWaiting(aTurn);
+  PlaceWaiting(aContext);
 }
 
 void JobScheduler::Drop(const JobId& aJob)
 {
   if (JobEntry* entry = mTable.Find(aJob)) {
-    mBooks.Release(*entry);
+    mAllocations.Release(*entry);
     if (entry->mCommit) {
       mCommits.erase(entry->mCommit->mToken);
     }
@@ -143,31 +146,31 @@
   }
 }
 
-void JobScheduler::Note(JobEntry& aEntry,
-                        Reason aReason,
-                        const Turn& aTurn,
-                        WorkerSlot aWorker)
+void JobScheduler::RecordDecision(JobEntry& aEntry,
+                                  Reason aReason,
+                                  const CallContext& aContext,
+                                  WorkerSlot aWorker)
 {
   Decision decision;
-  decision.mAt = aTurn.mNow;
+  decision.mAt = aContext.mNow;
   decision.mEpoch = aEntry.Record().mEpoch;
   decision.mWorker = aWorker;
   decision.mState = aEntry.Record().mState;
   decision.mReason = aReason;
-  aEntry.mDecisions.Note(decision);
+  aEntry.mDecisions.RecordDecision(decision);
 }
 
 Duration JobScheduler::Backoff(Duration aFirst,
                                Duration aMax,
                                std::int32_t aTimes,
-                               Turn& aTurn) const
+                               CallContext& aContext) const
 {
   constexpr std::int32_t kMaxDoublings = 20;
   const std::int32_t doublings = std::clamp(aTimes - 1, 0, kMaxDoublings);
   const Duration full = std::min<Duration>(aMax, aFirst * (1LL << doublings));
   // Half fixed, half random, so that jobs which failed together part.
   absl::uniform_real_distribution<double> jitter(0.5, 1.0);
-  return std::chrono::duration_cast<Duration>(full * jitter(aTurn.mRandom));
+  return std::chrono::duration_cast<Duration>(full * jitter(aContext.mRandom));
 }
 
 } // namespace foxtailbarrow
