--- a/src/core/job/JobScheduler.h
+++ b/src/core/job/JobScheduler.h
@@ -12,16 +12,16 @@
 #include "foxtailbarrow/Messages.h"
 #include "foxtailbarrow/Time.h"
 #include "src/core/job/JobAction.h"
-#include "src/core/job/JobBooks.h"
+#include "src/core/job/JobAllocations.h"
 #include "src/core/job/JobCounters.h"
 #include "src/core/job/JobEvent.h"
 #include "src/core/job/JobSchedulerSettings.h"
 #include "src/core/job/JobTable.h"
 #include "src/core/job/LeaseBounds.h"
 #include "src/core/job/ReadyQueue.h"
-#include "src/core/placement/FailureJudge.h"
 #include "src/core/placement/Placer.h"
 #include "src/core/placement/Preemption.h"
+#include "src/core/placement/QuarantinePolicy.h"
 #include "src/core/placement/SizeLearner.h"
 
 namespace foxtailbarrow {
@@ -65,13 +65,13 @@
   bool Owns(ShardId aShard) const { return mShards.contains(aShard); }
   std::size_t JobCount() const { return mTable.Size(); }
   const JobTable& Jobs() const { return mTable; }
-  const WorkerIndex& Workers() const { return mBooks.Workers(); }
-  const QuotaBook& Quotas() const { return mBooks.Quotas(); }
+  const WorkerIndex& Workers() const { return mAllocations.Workers(); }
+  const QuotaTracker& Quotas() const { return mAllocations.Quotas(); }
   const JobCounters& Counters() const { return mCounters; }
 
 private:
   /// One call of Handle().
-  struct Turn
+  struct CallContext
   {
     Instant mNow;
     absl::BitGenRef mRandom;
@@ -89,116 +89,131 @@
   {
     Placed,
     NoQuota,
-    NoRoom,
-    Held, ///< Waits for evicted tasks to make room.
+    NoFreeCapacity,
+    AwaitsEvictions, ///< Waits for evicted tasks to make room.
   };
 
   // Events.
-  void On(const ShardAcquired& aEvent, Turn& aTurn);
-  void On(const ShardCleared& aEvent, Turn& aTurn);
-  void On(const ShardLost& aEvent, Turn& aTurn);
-  void On(const JobRead& aEvent, Turn& aTurn);
-  void On(const JobMissing& aEvent, Turn& aTurn);
-  void On(const JobReadFailed& aEvent, Turn& aTurn);
-  void On(const CancelRequested& aEvent, Turn& aTurn);
-  void On(const HeartbeatSeen& aEvent, Turn& aTurn);
-  void On(const HeartbeatReplySent& aEvent, Turn& aTurn);
-  void On(const CommitDone& aEvent, Turn& aTurn);
-  void On(const AssignDone& aEvent, Turn& aTurn);
-  void On(const ControlDone& aEvent, Turn& aTurn);
-  void On(const ContractsChanged& aEvent, Turn& aTurn);
-  void On(const UsageSeen& aEvent, Turn& aTurn);
-  void On(const Tick& aEvent, Turn& aTurn);
+  void On(const ShardAcquired& aEvent, CallContext& aContext);
+  void On(const ShardCleared& aEvent, CallContext& aContext);
+  void On(const ShardLost& aEvent, CallContext& aContext);
+  void On(const JobRead& aEvent, CallContext& aContext);
+  void On(const JobMissing& aEvent, CallContext& aContext);
+  void On(const JobReadFailed& aEvent, CallContext& aContext);
+  void On(const CancelRequested& aEvent, CallContext& aContext);
+  void On(const HeartbeatReceived& aEvent, CallContext& aContext);
+  void On(const HeartbeatReplySent& aEvent, CallContext& aContext);
+  void On(const CommitDone& aEvent, CallContext& aContext);
+  void On(const AssignDone& aEvent, CallContext& aContext);
+  void On(const ControlDone& aEvent, CallContext& aContext);
+  void On(const ContractsChanged& aEvent, CallContext& aContext);
+  void On(const UsageReceived& aEvent, CallContext& aContext);
+  void On(const Tick& aEvent, CallContext& aContext);
 
   // Records and commits.
-  void Adopt(JobEntry& aEntry, Turn& aTurn);
-  void TakeRead(JobEntry& aEntry, const StoredJob& aRead, Turn& aTurn);
-  void ResolveLost(JobEntry& aEntry, const StoredJob& aRead, Turn& aTurn);
-  void Commit(JobEntry& aEntry, JobRecord aNext, Turn& aTurn);
-  void Applied(JobEntry& aEntry, Revision aRevision, Turn& aTurn);
+  void Adopt(JobEntry& aEntry, CallContext& aContext);
+  void OnRecordRead(JobEntry& aEntry,
+                    const StoredJob& aRead,
+                    CallContext& aContext);
+  void ResolveLost(JobEntry& aEntry,
+                   const StoredJob& aRead,
+                   CallContext& aContext);
+  void Commit(JobEntry& aEntry, JobRecord aNext, CallContext& aContext);
+  void Applied(JobEntry& aEntry, Revision aRevision, CallContext& aContext);
   void NotApplied(JobEntry& aEntry);
   void CountEnd(const JobRecord& aRecord);
-  void RequestRead(ShardId aShard, const JobId& aJob, Turn& aTurn);
+  void RequestRead(ShardId aShard, const JobId& aJob, CallContext& aContext);
   void Drop(const JobId& aJob);
 
   // One job: does the next step that its state asks for.
-  void Advance(JobEntry& aEntry, Turn& aTurn);
-  bool WaitsForStore(JobEntry& aEntry, Turn& aTurn);
-  void AdvanceEnd(JobEntry& aEntry, Turn& aTurn);
-  bool AdvanceAssigned(JobEntry& aEntry, Turn& aTurn);
-  void AdvanceIdle(JobEntry& aEntry, ReadyQueue::Ticket aTicket, Turn& aTurn);
-  void AdvanceParked(JobEntry& aEntry, Turn& aTurn);
+  void Advance(JobEntry& aEntry, CallContext& aContext);
+  bool WaitsForStore(JobEntry& aEntry, CallContext& aContext);
+  void AdvanceEnd(JobEntry& aEntry, CallContext& aContext);
+  bool AdvanceAssigned(JobEntry& aEntry, CallContext& aContext);
+  void AdvanceIdle(JobEntry& aEntry,
+                   ReadyQueue::Ticket aTicket,
+                   CallContext& aContext);
+  void AdvanceParked(JobEntry& aEntry, CallContext& aContext);
   Instant LapsedAt(const JobEntry& aEntry) const;
-  void Release(JobEntry& aEntry, Reason aReason, Turn& aTurn);
+  void Release(JobEntry& aEntry, Reason aReason, CallContext& aContext);
 
   // Agents.
-  void TakeReport(const AgentId& aAgent,
-                  WorkerSlot aSlot,
-                  const TaskReport& aReport,
-                  Turn& aTurn);
-  void TakeCurrent(JobEntry& aEntry,
-                   WorkerSlot aSlot,
-                   const TaskStatus& aStatus,
-                   Turn& aTurn);
-  void TakeSuperseded(const AgentId& aAgent,
-                      const TaskStatus& aStatus,
-                      Turn& aTurn);
-  void SendOwedAssign(JobEntry& aEntry, Turn& aTurn);
-  void SendOwedControl(JobEntry& aEntry,
-                       TaskAction aAction,
-                       Reason aReason,
-                       Turn& aTurn);
+  void OnReport(const AgentId& aAgent,
+                WorkerSlot aSlot,
+                const TaskReport& aReport,
+                CallContext& aContext);
+  void OnCurrentReport(JobEntry& aEntry,
+                       WorkerSlot aSlot,
+                       const TaskStatus& aStatus,
+                       CallContext& aContext);
+  void OnSupersededReport(const AgentId& aAgent,
+                          const TaskStatus& aStatus,
+                          CallContext& aContext);
+  void SendAssignIfDue(JobEntry& aEntry, CallContext& aContext);
+  void SendControlIfDue(JobEntry& aEntry,
+                        TaskAction aAction,
+                        Reason aReason,
+                        CallContext& aContext);
   void Avoid(JobEntry& aEntry, WorkerSlot aSlot);
-  void TakeRefusal(JobEntry& aEntry, const AssignReply& aReply, Turn& aTurn);
+  void OnRefusal(JobEntry& aEntry,
+                 const AssignReply& aReply,
+                 CallContext& aContext);
 
   // Placement.
-  void PlaceWaiting(Turn& aTurn);
-  void PlaceWaiting(JobPriority aPriority, int& aPlacements, Turn& aTurn);
+  void PlaceWaiting(CallContext& aContext);
+  void PlaceWaiting(JobPriority aPriority,
+                    int& aPlacements,
+                    CallContext& aContext);
   JobEntry* NextWaiting(const CustomerId& aCustomer, JobPriority aPriority);
-  Placement Place(JobEntry& aEntry, Turn& aTurn);
-  Placement PlaceHeld(JobEntry& aEntry, Turn& aTurn);
-  void CommitPlacement(JobEntry& aEntry, WorkerSlot aSlot, Turn& aTurn);
+  Placement Place(JobEntry& aEntry, CallContext& aContext);
+  Placement PlaceReserved(JobEntry& aEntry, CallContext& aContext);
+  void CommitPlacement(JobEntry& aEntry,
+                       WorkerSlot aSlot,
+                       CallContext& aContext);
   PlacementRequest RequestFor(const JobEntry& aEntry,
                               const Resources& aSize) const;
-  bool MakeRoom(JobEntry& aEntry,
+  bool EvictFor(JobEntry& aEntry,
                 const PlacementRequest& aRequest,
-                Turn& aTurn);
+                CallContext& aContext);
   bool RespectsShare(const EvictionPlan& aPlan,
                      const PlacementRequest& aRequest,
                      WorkerSlot aSlot) const;
   std::vector<EvictionCandidate> EvictableOn(WorkerSlot aSlot,
-                                             const Turn& aTurn) const;
-  void Miss(JobEntry& aEntry, Reason aReason, Turn& aTurn);
+                                             const CallContext& aContext) const;
+  void OnNotPlaced(JobEntry& aEntry, Reason aReason, CallContext& aContext);
   void Requeue(JobEntry& aEntry);
 
   // Learning.
   ProgramKey ProgramOf(const JobEntry& aEntry) const;
   Resources SizeOf(const JobEntry& aEntry) const;
-  void TakeUsage(std::span<const UsageSample> aSamples);
-  void Judge(JobEntry& aEntry, Turn& aTurn);
-  void JudgeWorker(JobEntry& aEntry, WorkerSlot aSlot, Turn& aTurn);
-
-  void Note(JobEntry& aEntry,
-            Reason aReason,
-            const Turn& aTurn,
-            WorkerSlot aWorker = Decision::kNoWorker);
+  void OnUsage(std::span<const UsageSample> aSamples);
+  void RecordOutcome(JobEntry& aEntry, CallContext& aContext);
+  void RecordWorkerFailure(JobEntry& aEntry,
+                           WorkerSlot aSlot,
+                           CallContext& aContext);
+
+  void RecordDecision(JobEntry& aEntry,
+                      Reason aReason,
+                      const CallContext& aContext,
+                      WorkerSlot aWorker = Decision::kNoWorker);
   Duration Backoff(Duration aFirst,
                    Duration aMax,
                    std::int32_t aTimes,
-                   Turn& aTurn) const;
+                   CallContext& aContext) const;
 
   JobSchedulerSettings mSettings;
   Duration mSuspectAfter;
   absl::flat_hash_map<ShardId, OwnedShard> mShards;
   JobTable mTable;
-  JobBooks mBooks;
+  JobAllocations mAllocations;
   LeaseBounds mBounds;
   ReadyQueue mReady;
   SizeLearner mSizes;
-  FailureJudge mJudge;
+  QuarantinePolicy mQuarantinePolicy;
   absl::flat_hash_map<CommitToken, JobId> mCommits;
   absl::flat_hash_map<JobId, ShardId> mMissing; ///< Reported, not stored.
-  absl::flat_hash_map<JobId, ShardId> mAsked;   ///< Unknown; read under way.
+  absl::flat_hash_map<JobId, ShardId>
+    mUnknownReads; ///< Unknown; read under way.
   CommitToken mLastToken = 0;
   JobCounters mCounters;
 };
--- a/src/core/job/JobSchedulerAdvance.cpp
+++ b/src/core/job/JobSchedulerAdvance.cpp
@@ -7,83 +7,83 @@
 /// The part of JobScheduler that takes one job a step further.
 namespace foxtailbarrow {
 
-void JobScheduler::Advance(JobEntry& aEntry, Turn& aTurn)
+void JobScheduler::Advance(JobEntry& aEntry, CallContext& aContext)
 {
   // Whatever else is due takes the job off the queue.
   const ReadyQueue::Ticket ticket = std::exchange(aEntry.mTicket, 0);
-  if (WaitsForStore(aEntry, aTurn)) {
+  if (WaitsForStore(aEntry, aContext)) {
     return;
   }
   if (IsFinal(aEntry.Record().mState)) {
-    mBooks.Release(aEntry);
-    mTable.Wake(aEntry, aTurn.mNow + mSettings.mForgetAfter);
+    mAllocations.Release(aEntry);
+    mTable.SetTimer(aEntry, aContext.mNow + mSettings.mForgetAfter);
     return;
   }
   if (aEntry.mEnd) {
-    AdvanceEnd(aEntry, aTurn);
+    AdvanceEnd(aEntry, aContext);
     return;
   }
-  if (aEntry.IsAssigned() && AdvanceAssigned(aEntry, aTurn)) {
+  if (aEntry.IsAssigned() && AdvanceAssigned(aEntry, aContext)) {
     return;
   }
-  AdvanceIdle(aEntry, ticket, aTurn);
+  AdvanceIdle(aEntry, ticket, aContext);
 }
 
-bool JobScheduler::WaitsForStore(JobEntry& aEntry, Turn& aTurn)
+bool JobScheduler::WaitsForStore(JobEntry& aEntry, CallContext& aContext)
 {
-  const bool unanswered = aEntry.mCommit && !aEntry.mCommit->mLost;
+  const bool unanswered = aEntry.mCommit && !aEntry.mCommit->mReplyLost;
   if (aEntry.mReading || unanswered) {
     return true;
   }
-  if (aTurn.mNow < aEntry.mRetryAt) {
-    mTable.Wake(aEntry, aEntry.mRetryAt);
+  if (aContext.mNow < aEntry.mRetryAt) {
+    mTable.SetTimer(aEntry, aEntry.mRetryAt);
     return true;
   }
   if (aEntry.mMustRead) {
-    RequestRead(aEntry.mShard, aEntry.Spec().mId, aTurn);
+    RequestRead(aEntry.mShard, aEntry.Spec().mId, aContext);
     return true;
   }
   return false;
 }
 
-void JobScheduler::AdvanceEnd(JobEntry& aEntry, Turn& aTurn)
+void JobScheduler::AdvanceEnd(JobEntry& aEntry, CallContext& aContext)
 {
-  if (!aEntry.mJudged) {
-    Judge(aEntry, aTurn);
-    aEntry.mJudged = true;
+  if (!aEntry.mOutcomeRecorded) {
+    RecordOutcome(aEntry, aContext);
+    aEntry.mOutcomeRecorded = true;
   }
   JobRecord record = aEntry.Record();
   record.mCancelRequested = aEntry.CancelPending();
   if (aEntry.mEnd->mState == TaskState::Failed) {
     ++mCounters.mFailedAttempts;
-    aEntry.mNotBefore = aTurn.mNow + Backoff(mSettings.mFirstBackoff,
-                                             mSettings.mMaxBackoff,
-                                             record.mAttempts + 1,
-                                             aTurn);
+    aEntry.mNotBefore = aContext.mNow + Backoff(mSettings.mFirstBackoff,
+                                                mSettings.mMaxBackoff,
+                                                record.mAttempts + 1,
+                                                aContext);
   }
   Commit(aEntry,
          AfterEnd(std::move(record), *aEntry.mEnd, mSettings.mAttemptsLimit),
-         aTurn);
+         aContext);
 }
 
 /// True while the assignment may run, so that nothing else may be done.
-bool JobScheduler::AdvanceAssigned(JobEntry& aEntry, Turn& aTurn)
+bool JobScheduler::AdvanceAssigned(JobEntry& aEntry, CallContext& aContext)
 {
-  if (aEntry.mWhereabouts == Whereabouts::Released) {
+  if (aEntry.mAssignmentState == AssignmentState::Released) {
     return false;
   }
-  if (aEntry.mWhereabouts == Whereabouts::Unsent) {
+  if (aEntry.mAssignmentState == AssignmentState::Unsent) {
     if (aEntry.CancelPending()) {
-      Release(aEntry, Reason::CancelRequested, aTurn);
+      Release(aEntry, Reason::CancelRequested, aContext);
       return false;
     }
-    SendOwedAssign(aEntry, aTurn);
-    return aEntry.mWhereabouts != Whereabouts::Released;
+    SendAssignIfDue(aEntry, aContext);
+    return aEntry.mAssignmentState != AssignmentState::Released;
   }
   const Instant lapsed = LapsedAt(aEntry);
-  if (aTurn.mNow >= lapsed) {
+  if (aContext.mNow >= lapsed) {
     ++mCounters.mLapsed;
-    Release(aEntry, Reason::LeaseLapsed, aTurn);
+    Release(aEntry, Reason::LeaseLapsed, aContext);
     return false;
   }
   Instant wake = lapsed;
@@ -91,19 +91,20 @@
     if (!aEntry.Record().mCancelRequested) {
       JobRecord marked = aEntry.Record();
       marked.mCancelRequested = true;
-      Commit(aEntry, std::move(marked), aTurn);
+      Commit(aEntry, std::move(marked), aContext);
       return true;
     }
-    SendOwedControl(aEntry, TaskAction::Stop, Reason::CancelRequested, aTurn);
+    SendControlIfDue(
+      aEntry, TaskAction::Stop, Reason::CancelRequested, aContext);
     wake = std::min(wake, aEntry.mResendAt);
   } else if (aEntry.mEvictReason != Reason::None) {
-    SendOwedControl(aEntry, TaskAction::Evict, aEntry.mEvictReason, aTurn);
+    SendControlIfDue(aEntry, TaskAction::Evict, aEntry.mEvictReason, aContext);
     wake = std::min(wake, aEntry.mResendAt);
-  } else if (aEntry.mAnswerLost) {
-    SendOwedAssign(aEntry, aTurn);
+  } else if (aEntry.mAssignReplyLost) {
+    SendAssignIfDue(aEntry, aContext);
     wake = std::min(wake, aEntry.mResendAt);
   }
-  mTable.Wake(aEntry, std::max(wake, aTurn.mNow + Duration(1)));
+  mTable.SetTimer(aEntry, std::max(wake, aContext.mNow + Duration(1)));
   return true;
 }
 
@@ -112,39 +113,41 @@
   if (aEntry.mInherited && !mShards.at(aEntry.mShard).mCleared) {
     return Instant::max();
   }
-  const auto slot = mBooks.Workers().SlotOf(*aEntry.Record().mAgent);
+  const auto slot = mAllocations.Workers().SlotOf(*aEntry.Record().mAgent);
   return slot ? mBounds.LapsedAt(*slot, aEntry.mLease)
-              : mBounds.LapsedUnheard(aEntry.mLease);
+              : mBounds.LapsedWithoutHeartbeat(aEntry.mLease);
 }
 
-void JobScheduler::Release(JobEntry& aEntry, Reason aReason, Turn& aTurn)
+void JobScheduler::Release(JobEntry& aEntry,
+                           Reason aReason,
+                           CallContext& aContext)
 {
-  aEntry.mWhereabouts = Whereabouts::Released;
-  aEntry.mAnswerDue = false;
-  aEntry.mAnswerLost = false;
-  mBooks.Release(aEntry);
-  Note(aEntry, aReason, aTurn);
+  aEntry.mAssignmentState = AssignmentState::Released;
+  aEntry.mAssignInFlight = false;
+  aEntry.mAssignReplyLost = false;
+  mAllocations.Release(aEntry);
+  RecordDecision(aEntry, aReason, aContext);
 }
 
 /// The job runs nowhere. It keeps the place in the queue that it had.
 void JobScheduler::AdvanceIdle(JobEntry& aEntry,
                                ReadyQueue::Ticket aTicket,
-                               Turn& aTurn)
+                               CallContext& aContext)
 {
   if (aEntry.CancelPending()) {
-    Commit(aEntry, Cancelled(aEntry.Record()), aTurn);
+    Commit(aEntry, Cancelled(aEntry.Record()), aContext);
     return;
   }
   if (aEntry.Record().mState == JobState::Parked) {
-    AdvanceParked(aEntry, aTurn);
+    AdvanceParked(aEntry, aContext);
     return;
   }
-  if (aTurn.mNow < aEntry.mNotBefore) {
-    mTable.Wake(aEntry, aEntry.mNotBefore);
+  if (aContext.mNow < aEntry.mNotBefore) {
+    mTable.SetTimer(aEntry, aEntry.mNotBefore);
     return;
   }
   if (aEntry.mWaitingSince == Instant{}) {
-    aEntry.mWaitingSince = aTurn.mNow;
+    aEntry.mWaitingSince = aContext.mNow;
   }
   aEntry.mTicket = aTicket;
   if (aTicket == 0) {
@@ -153,16 +156,17 @@
   }
 }
 
-void JobScheduler::AdvanceParked(JobEntry& aEntry, Turn& aTurn)
+void JobScheduler::AdvanceParked(JobEntry& aEntry, CallContext& aContext)
 {
   const JobSpec& spec = aEntry.Spec();
-  const bool fits = mBooks.Workers().FitsSomewhereEmpty(SizeOf(aEntry)) &&
-                    mBooks.Quotas().CanEverRun(spec.mCustomer, SizeOf(aEntry));
+  const bool fits =
+    mAllocations.Workers().FitsSomewhereEmpty(SizeOf(aEntry)) &&
+    mAllocations.Quotas().CanEverRun(spec.mCustomer, SizeOf(aEntry));
   if (fits) {
-    Commit(aEntry, Requeued(aEntry.Record(), Reason::None), aTurn);
+    Commit(aEntry, Requeued(aEntry.Record(), Reason::None), aContext);
     return;
   }
-  mTable.Wake(aEntry, aTurn.mNow + mSettings.mParkedRecheck);
+  mTable.SetTimer(aEntry, aContext.mNow + mSettings.mParkedRecheck);
 }
 
 } // namespace foxtailbarrow
--- a/src/core/job/JobSchedulerAgents.cpp
+++ b/src/core/job/JobSchedulerAgents.cpp
@@ -5,18 +5,18 @@
 /// The part of JobScheduler that talks with agents.
 namespace foxtailbarrow {
 
-void JobScheduler::On(const HeartbeatSeen& aEvent, Turn& aTurn)
+void JobScheduler::On(const HeartbeatReceived& aEvent, CallContext& aContext)
 {
   const Heartbeat& heartbeat = aEvent.mHeartbeat;
-  const auto slot = mBooks.Workers().Update(heartbeat, aTurn.mNow);
+  const auto slot = mAllocations.Workers().Update(heartbeat, aContext.mNow);
   if (!slot) {
     ++mCounters.mStaleHeartbeats;
     return;
   }
-  mBounds.Received(*slot, heartbeat, aTurn.mNow);
-  TakeUsage(heartbeat.mUsage);
+  mBounds.OnHeartbeat(*slot, heartbeat, aContext.mNow);
+  OnUsage(heartbeat.mUsage);
   for (const TaskReport& report : heartbeat.mTasks) {
-    TakeReport(heartbeat.mAgent, *slot, report, aTurn);
+    OnReport(heartbeat.mAgent, *slot, report, aContext);
   }
   ExtendLeases extension;
   extension.mAgent = heartbeat.mAgent;
@@ -26,21 +26,21 @@
     extension.mLeases.push_back(
       { shard, owned.mGeneration, mSettings.mTaskLease });
   }
-  aTurn.mActions.push_back(std::move(extension));
+  aContext.mActions.push_back(std::move(extension));
 }
 
-void JobScheduler::On(const HeartbeatReplySent& aEvent, Turn&)
+void JobScheduler::On(const HeartbeatReplySent& aEvent, CallContext&)
 {
-  if (const auto slot = mBooks.Workers().SlotOf(aEvent.mAgent)) {
-    mBounds.Extended(
+  if (const auto slot = mAllocations.Workers().SlotOf(aEvent.mAgent)) {
+    mBounds.OnLeasesExtended(
       *slot, aEvent.mIncarnation, aEvent.mSequence, aEvent.mUntil);
   }
 }
 
-void JobScheduler::TakeReport(const AgentId& aAgent,
-                              WorkerSlot aSlot,
-                              const TaskReport& aReport,
-                              Turn& aTurn)
+void JobScheduler::OnReport(const AgentId& aAgent,
+                            WorkerSlot aSlot,
+                            const TaskReport& aReport,
+                            CallContext& aContext)
 {
   if (!Owns(aReport.mShard)) {
     return;
@@ -49,95 +49,95 @@
   JobEntry* entry = mTable.Find(key.mJob);
   if (entry == nullptr) {
     if (mMissing.contains(key.mJob)) {
-      TakeSuperseded(aAgent, aReport.mStatus, aTurn);
+      OnSupersededReport(aAgent, aReport.mStatus, aContext);
     } else {
-      RequestRead(aReport.mShard, key.mJob, aTurn);
+      RequestRead(aReport.mShard, key.mJob, aContext);
     }
     return;
   }
   if (key.mEpoch > entry->Record().mEpoch) {
     entry->mMustRead = true;
-    Advance(*entry, aTurn);
+    Advance(*entry, aContext);
     return;
   }
   const bool current = key.mEpoch == entry->Record().mEpoch &&
                        entry->IsAssigned() && entry->Record().mAgent == aAgent;
   if (current) {
-    TakeCurrent(*entry, aSlot, aReport.mStatus, aTurn);
+    OnCurrentReport(*entry, aSlot, aReport.mStatus, aContext);
   } else {
-    TakeSuperseded(aAgent, aReport.mStatus, aTurn);
+    OnSupersededReport(aAgent, aReport.mStatus, aContext);
   }
 }
 
-void JobScheduler::TakeCurrent(JobEntry& aEntry,
-                               WorkerSlot aSlot,
-                               const TaskStatus& aStatus,
-                               Turn& aTurn)
+void JobScheduler::OnCurrentReport(JobEntry& aEntry,
+                                   WorkerSlot aSlot,
+                                   const TaskStatus& aStatus,
+                                   CallContext& aContext)
 {
   const bool movesOn =
-    aEntry.mCommit && (aEntry.mCommit->mPlaces ||
+    aEntry.mCommit && (aEntry.mCommit->mIsAssignment ||
                        aEntry.mCommit->mNext.mState != JobState::Assigned);
   if (movesOn) {
     return;
   }
   if (aStatus.mState != TaskState::Running) {
     aEntry.mEnd = std::make_unique<TaskStatus>(aStatus);
-    Advance(aEntry, aTurn);
+    Advance(aEntry, aContext);
     return;
   }
-  aEntry.mLease.mListedUntil = aTurn.mNow + mSettings.mTaskLease;
-  mBooks.Confirm(aEntry, aSlot, aStatus.mReserved);
-  if (aEntry.mWhereabouts != Whereabouts::Running) {
-    aEntry.mWhereabouts = Whereabouts::Running;
-    aEntry.mStartedAt = aTurn.mNow;
-    aEntry.mAnswerLost = false;
+  aEntry.mLease.mListedUntil = aContext.mNow + mSettings.mTaskLease;
+  mAllocations.Confirm(aEntry, aSlot, aStatus.mReserved);
+  if (aEntry.mAssignmentState != AssignmentState::Running) {
+    aEntry.mAssignmentState = AssignmentState::Running;
+    aEntry.mStartedAt = aContext.mNow;
+    aEntry.mAssignReplyLost = false;
     aEntry.mTicket = 0;
-    Note(aEntry, Reason::None, aTurn, aSlot);
-    Advance(aEntry, aTurn);
+    RecordDecision(aEntry, Reason::None, aContext, aSlot);
+    Advance(aEntry, aContext);
   }
 }
 
-void JobScheduler::TakeSuperseded(const AgentId& aAgent,
-                                  const TaskStatus& aStatus,
-                                  Turn& aTurn)
+void JobScheduler::OnSupersededReport(const AgentId& aAgent,
+                                      const TaskStatus& aStatus,
+                                      CallContext& aContext)
 {
   if (aStatus.mState == TaskState::Running) {
     ++mCounters.mDisowned;
-    aTurn.mActions.push_back(DisownTasks{ aAgent, { aStatus.mKey } });
+    aContext.mActions.push_back(DisownTasks{ aAgent, { aStatus.mKey } });
   } else {
-    aTurn.mActions.push_back(AcknowledgeTasks{ aAgent, { aStatus.mKey } });
+    aContext.mActions.push_back(AcknowledgeTasks{ aAgent, { aStatus.mKey } });
   }
 }
 
-void JobScheduler::SendOwedAssign(JobEntry& aEntry, Turn& aTurn)
+void JobScheduler::SendAssignIfDue(JobEntry& aEntry, CallContext& aContext)
 {
   const AgentId& agent = *aEntry.Record().mAgent;
-  const WorkerIndex& workers = mBooks.Workers();
+  const WorkerIndex& workers = mAllocations.Workers();
   const auto slot = workers.SlotOf(agent);
-  const bool first = aEntry.mWhereabouts == Whereabouts::Unsent;
+  const bool first = aEntry.mAssignmentState == AssignmentState::Unsent;
   if (first && (!slot || !workers.Placeable(*slot))) {
-    Release(aEntry, Reason::WaitingForCapacity, aTurn);
+    Release(aEntry, Reason::WaitingForCapacity, aContext);
     return;
   }
-  if (aEntry.mAnswerDue || aTurn.mNow < aEntry.mResendAt) {
+  if (aEntry.mAssignInFlight || aContext.mNow < aEntry.mResendAt) {
     return;
   }
-  aEntry.mResendAt = aTurn.mNow + mSettings.mResendAfter;
+  aEntry.mResendAt = aContext.mNow + mSettings.mResendAfter;
   const LeaseBasis& basis = mBounds.Basis(*slot);
   const OwnedShard& shard = mShards.at(aEntry.mShard);
   // A start on another incarnation may find an empty worker, while the first
   // one runs on the machine that this one replaced.
   const bool sameAgent = first || basis.mIncarnation == aEntry.mSentTo;
   const bool fresh = basis.mValid && basis.mReceived >= shard.mAcquiredAt &&
-                     aTurn.mNow < basis.mReceived + mSuspectAfter;
+                     aContext.mNow < basis.mReceived + mSuspectAfter;
   if (!sameAgent || !fresh) {
-    aEntry.mResendAt = aTurn.mNow + mSettings.mResendAfter / 10;
-    mTable.Wake(aEntry, aEntry.mResendAt);
+    aEntry.mResendAt = aContext.mNow + mSettings.mResendAfter / 10;
+    mTable.SetTimer(aEntry, aEntry.mResendAt);
     return;
   }
-  aEntry.mWhereabouts = Whereabouts::Unconfirmed;
+  aEntry.mAssignmentState = AssignmentState::Unconfirmed;
   aEntry.mSentTo = basis.mIncarnation;
-  aEntry.mAnswerDue = true;
+  aEntry.mAssignInFlight = true;
   aEntry.mLease.mStartUntil = mBounds.StartUntil(basis);
   const JobSpec& spec = aEntry.Spec();
   Assign assign;
@@ -146,83 +146,85 @@
   assign.mTask.mKey = aEntry.Key();
   assign.mTask.mCustomer = spec.mCustomer;
   assign.mTask.mKind = spec.mKind;
-  assign.mTask.mResources = aEntry.mBooking->mSize;
+  assign.mTask.mResources = aEntry.mAllocation->mSize;
   assign.mTask.mProgram = spec.mProgram;
   assign.mTask.mArguments = spec.mArguments;
   assign.mTask.mCheckpoint = aEntry.Record().mCheckpoint;
   assign.mTask.mLease = mSettings.mTaskLease;
   assign.mUrgent = spec.mPriority == JobPriority::Urgent;
-  if (const Contract* contract = mBooks.Quotas().Find(spec.mCustomer)) {
+  if (const Contract* contract = mAllocations.Quotas().Find(spec.mCustomer)) {
     assign.mSharePerWorker = contract->mBatch.mSharePerWorker;
   }
   assign.mIncarnation = basis.mIncarnation;
   assign.mSequence = basis.mSequence;
-  aTurn.mActions.push_back(
+  aContext.mActions.push_back(
     SendAssign{ agent, workers.At(*slot).mEndpoint, std::move(assign) });
-  mTable.Wake(aEntry, aEntry.mResendAt);
+  mTable.SetTimer(aEntry, aEntry.mResendAt);
 }
 
-void JobScheduler::SendOwedControl(JobEntry& aEntry,
-                                   TaskAction aAction,
-                                   Reason aReason,
-                                   Turn& aTurn)
+void JobScheduler::SendControlIfDue(JobEntry& aEntry,
+                                    TaskAction aAction,
+                                    Reason aReason,
+                                    CallContext& aContext)
 {
   const AgentId& agent = *aEntry.Record().mAgent;
-  const auto slot = mBooks.Workers().SlotOf(agent);
-  if (!slot || aTurn.mNow < aEntry.mResendAt) {
+  const auto slot = mAllocations.Workers().SlotOf(agent);
+  if (!slot || aContext.mNow < aEntry.mResendAt) {
     aEntry.mResendAt =
-      std::max(aEntry.mResendAt, aTurn.mNow + mSettings.mResendAfter);
+      std::max(aEntry.mResendAt, aContext.mNow + mSettings.mResendAfter);
     return;
   }
-  aEntry.mResendAt = aTurn.mNow + mSettings.mResendAfter;
+  aEntry.mResendAt = aContext.mNow + mSettings.mResendAfter;
   Control control;
   control.mShard = aEntry.mShard;
   control.mGeneration = mShards.at(aEntry.mShard).mGeneration;
   control.mKey = aEntry.Key();
   control.mAction = aAction;
   control.mReason = aReason;
-  aTurn.mActions.push_back(SendControl{
-    agent, mBooks.Workers().At(*slot).mEndpoint, std::move(control) });
+  aContext.mActions.push_back(SendControl{
+    agent, mAllocations.Workers().At(*slot).mEndpoint, std::move(control) });
 }
 
-void JobScheduler::On(const AssignDone& aEvent, Turn& aTurn)
+void JobScheduler::On(const AssignDone& aEvent, CallContext& aContext)
 {
   JobEntry* entry = mTable.Find(aEvent.mKey.mJob);
   if (entry == nullptr || entry->Key() != aEvent.mKey || !entry->IsAssigned() ||
-      !entry->mAnswerDue) {
+      !entry->mAssignInFlight) {
     return;
   }
-  entry->mAnswerDue = false;
+  entry->mAssignInFlight = false;
   if (!aEvent.mReply.ok()) {
     const bool neverRan =
       VerdictOf(aEvent.mReply.status()) == Verdict::NotRun &&
-      !entry->mAnswerLost;
-    if (neverRan && entry->mWhereabouts == Whereabouts::Unconfirmed) {
-      TakeRefusal(*entry, AssignReply{}, aTurn);
+      !entry->mAssignReplyLost;
+    if (neverRan && entry->mAssignmentState == AssignmentState::Unconfirmed) {
+      OnRefusal(*entry, AssignReply{}, aContext);
     } else {
-      entry->mAnswerLost = entry->mWhereabouts == Whereabouts::Unconfirmed;
+      entry->mAssignReplyLost =
+        entry->mAssignmentState == AssignmentState::Unconfirmed;
     }
   } else if (aEvent.mReply->mGranted) {
     ++mCounters.mGranted;
-    entry->mAnswerLost = false;
+    entry->mAssignReplyLost = false;
   } else if (aEvent.mReply->mVerdict == Verdict::NotRun) {
-    TakeRefusal(*entry, *aEvent.mReply, aTurn);
+    OnRefusal(*entry, *aEvent.mReply, aContext);
   }
-  Advance(*entry, aTurn);
+  Advance(*entry, aContext);
 }
 
-void JobScheduler::TakeRefusal(JobEntry& aEntry,
-                               const AssignReply& aReply,
-                               Turn& aTurn)
+void JobScheduler::OnRefusal(JobEntry& aEntry,
+                             const AssignReply& aReply,
+                             CallContext& aContext)
 {
   ++mCounters.mRefused;
-  if (const auto slot = mBooks.Workers().SlotOf(*aEntry.Record().mAgent)) {
+  if (const auto slot =
+        mAllocations.Workers().SlotOf(*aEntry.Record().mAgent)) {
     if (aReply.mReason == Reason::CapacityTaken) {
-      mBooks.Workers().CorrectFree(*slot, aReply.mFree);
+      mAllocations.Workers().CorrectFree(*slot, aReply.mFree);
     }
     Avoid(aEntry, *slot);
   }
-  Release(aEntry, aReply.mReason, aTurn);
+  Release(aEntry, aReply.mReason, aContext);
 }
 
 /// Remembers, within limits, where the job did not do well.
@@ -235,7 +237,7 @@
   aEntry.mAvoid.push_back(aSlot);
 }
 
-void JobScheduler::On(const ControlDone& aEvent, Turn& aTurn)
+void JobScheduler::On(const ControlDone& aEvent, CallContext& aContext)
 {
   if (!aEvent.mReply.ok()) {
     return;
@@ -245,10 +247,10 @@
     return;
   }
   const TaskStatus& status = aEvent.mReply->mStatus;
-  const auto slot = mBooks.Workers().SlotOf(*entry->Record().mAgent);
+  const auto slot = mAllocations.Workers().SlotOf(*entry->Record().mAgent);
   if (slot && status.mKey == aEvent.mKey &&
       status.mState != TaskState::Running) {
-    TakeCurrent(*entry, *slot, status, aTurn);
+    OnCurrentReport(*entry, *slot, status, aContext);
   }
 }
 
--- a/src/core/job/JobSchedulerCommit.cpp
+++ b/src/core/job/JobSchedulerCommit.cpp
@@ -7,69 +7,69 @@
 /// The part of JobScheduler that reads and writes records.
 namespace foxtailbarrow {
 
-void JobScheduler::Adopt(JobEntry& aEntry, Turn& aTurn)
+void JobScheduler::Adopt(JobEntry& aEntry, CallContext& aContext)
 {
-  mBooks.Release(aEntry);
+  mAllocations.Release(aEntry);
   aEntry.mEnd.reset();
-  aEntry.mJudged = false;
+  aEntry.mOutcomeRecorded = false;
   aEntry.mEvictReason = Reason::None;
-  aEntry.mHeldFor.reset();
-  aEntry.mAnswerDue = false;
-  aEntry.mAnswerLost = false;
-  aEntry.mWhereabouts = Whereabouts::Unconfirmed;
+  aEntry.mReservedOn.reset();
+  aEntry.mAssignInFlight = false;
+  aEntry.mAssignReplyLost = false;
+  aEntry.mAssignmentState = AssignmentState::Unconfirmed;
   aEntry.mInherited = aEntry.IsAssigned();
   if (aEntry.IsAssigned()) {
     // Whoever assigned it did so before now, on a lease that it held.
-    aEntry.mLease = { aTurn.mNow + mSettings.mTaskLease, Instant{} };
-    const auto worker = mBooks.Workers().SlotOf(*aEntry.Record().mAgent);
-    mBooks.Adopt(aEntry, worker, aEntry.Spec().mDeclared);
-    Note(aEntry, Reason::WaitingForLease, aTurn);
+    aEntry.mLease = { aContext.mNow + mSettings.mTaskLease, Instant{} };
+    const auto worker = mAllocations.Workers().SlotOf(*aEntry.Record().mAgent);
+    mAllocations.Adopt(aEntry, worker, aEntry.Spec().mDeclared);
+    RecordDecision(aEntry, Reason::WaitingForLease, aContext);
   }
-  Advance(aEntry, aTurn);
+  Advance(aEntry, aContext);
 }
 
-void JobScheduler::On(const JobRead& aEvent, Turn& aTurn)
+void JobScheduler::On(const JobRead& aEvent, CallContext& aContext)
 {
   const JobId& job = aEvent.mJob.mRecord.mSpec.mId;
-  mAsked.erase(job);
+  mUnknownReads.erase(job);
   mMissing.erase(job);
   if (JobEntry* entry = mTable.Find(job)) {
     entry->mReading = false;
-    TakeRead(*entry, aEvent.mJob, aTurn);
+    OnRecordRead(*entry, aEvent.mJob, aContext);
     return;
   }
   if (Owns(aEvent.mShard)) {
-    Adopt(mTable.Insert(aEvent.mShard, aEvent.mJob), aTurn);
+    Adopt(mTable.Insert(aEvent.mShard, aEvent.mJob), aContext);
   }
 }
 
-void JobScheduler::TakeRead(JobEntry& aEntry,
-                            const StoredJob& aRead,
-                            Turn& aTurn)
+void JobScheduler::OnRecordRead(JobEntry& aEntry,
+                                const StoredJob& aRead,
+                                CallContext& aContext)
 {
   aEntry.mSeenRevision = std::max(aEntry.mSeenRevision, aRead.mRevision);
-  if (aEntry.mCommit && aEntry.mCommit->mLost) {
-    ResolveLost(aEntry, aRead, aTurn);
+  if (aEntry.mCommit && aEntry.mCommit->mReplyLost) {
+    ResolveLost(aEntry, aRead, aContext);
   } else if (!aEntry.mCommit && aRead.mRevision > aEntry.mStored.mRevision) {
     const JobRecord before = std::exchange(aEntry.mStored, aRead).mRecord;
     const bool sameRun = before.mEpoch == aRead.mRecord.mEpoch &&
                          before.mState == aRead.mRecord.mState;
     if (!sameRun) {
-      Adopt(aEntry, aTurn);
+      Adopt(aEntry, aContext);
       return;
     }
   }
   aEntry.mMustRead = false;
-  Advance(aEntry, aTurn);
+  Advance(aEntry, aContext);
 }
 
 void JobScheduler::ResolveLost(JobEntry& aEntry,
                                const StoredJob& aRead,
-                               Turn& aTurn)
+                               CallContext& aContext)
 {
-  aEntry.mCommit->mLost = false;
+  aEntry.mCommit->mReplyLost = false;
   if (aRead.mRevision < aEntry.mStored.mRevision) {
-    aEntry.mCommit->mLost = true;
+    aEntry.mCommit->mReplyLost = true;
     aEntry.mMustRead = true;
     return;
   }
@@ -79,17 +79,17 @@
     return;
   }
   if (SameProgress(aEntry.mCommit->mNext, aRead.mRecord)) {
-    Applied(aEntry, aRead.mRevision, aTurn);
+    Applied(aEntry, aRead.mRevision, aContext);
     return;
   }
   NotApplied(aEntry);
   aEntry.mStored = aRead;
-  Adopt(aEntry, aTurn);
+  Adopt(aEntry, aContext);
 }
 
-void JobScheduler::On(const JobMissing& aEvent, Turn&)
+void JobScheduler::On(const JobMissing& aEvent, CallContext&)
 {
-  mAsked.erase(aEvent.mJob);
+  mUnknownReads.erase(aEvent.mJob);
   if (!Owns(aEvent.mShard)) {
     return;
   }
@@ -102,70 +102,74 @@
   mMissing[aEvent.mJob] = aEvent.mShard;
 }
 
-void JobScheduler::On(const JobReadFailed& aEvent, Turn& aTurn)
+void JobScheduler::On(const JobReadFailed& aEvent, CallContext& aContext)
 {
-  mAsked.erase(aEvent.mJob);
+  mUnknownReads.erase(aEvent.mJob);
   if (JobEntry* entry = mTable.Find(aEvent.mJob); entry && entry->mReading) {
     entry->mReading = false;
     entry->mMustRead = true;
-    entry->mRetryAt = aTurn.mNow + Backoff(mSettings.mStoreBackoff,
-                                           mSettings.mMaxStoreBackoff,
-                                           ++entry->mRetries,
-                                           aTurn);
-    Advance(*entry, aTurn);
+    entry->mRetryAt = aContext.mNow + Backoff(mSettings.mStoreBackoff,
+                                              mSettings.mMaxStoreBackoff,
+                                              ++entry->mRetries,
+                                              aContext);
+    Advance(*entry, aContext);
   }
 }
 
-void JobScheduler::RequestRead(ShardId aShard, const JobId& aJob, Turn& aTurn)
+void JobScheduler::RequestRead(ShardId aShard,
+                               const JobId& aJob,
+                               CallContext& aContext)
 {
   if (JobEntry* entry = mTable.Find(aJob)) {
     entry->mReading = true;
     entry->mMustRead = false;
-  } else if (!mAsked.emplace(aJob, aShard).second) {
+  } else if (!mUnknownReads.emplace(aJob, aShard).second) {
     return;
   }
-  aTurn.mActions.push_back(ReadJob{ aShard, aJob });
+  aContext.mActions.push_back(ReadJob{ aShard, aJob });
 }
 
-void JobScheduler::Commit(JobEntry& aEntry, JobRecord aNext, Turn& aTurn)
+void JobScheduler::Commit(JobEntry& aEntry,
+                          JobRecord aNext,
+                          CallContext& aContext)
 {
   const CommitToken token = ++mLastToken;
   const Generation generation = mShards.at(aEntry.mShard).mGeneration;
   PendingCommit pending;
   pending.mToken = token;
   pending.mNext = std::move(aNext);
-  pending.mPlaces = pending.mNext.mEpoch > aEntry.Record().mEpoch;
+  pending.mIsAssignment = pending.mNext.mEpoch > aEntry.Record().mEpoch;
   if (aEntry.mEnd) {
     pending.mEnded = aEntry.mEnd->mKey;
   }
-  aTurn.mActions.push_back(CommitRecord{ token,
-                                         aEntry.mShard,
-                                         generation,
-                                         pending.mNext,
-                                         aEntry.mStored.mRevision });
+  aContext.mActions.push_back(CommitRecord{ token,
+                                            aEntry.mShard,
+                                            generation,
+                                            pending.mNext,
+                                            aEntry.mStored.mRevision });
   aEntry.mCommit = std::make_unique<PendingCommit>(std::move(pending));
   mCommits.emplace(token, aEntry.Spec().mId);
   ++mCounters.mCommits;
 }
 
-void JobScheduler::On(const CommitDone& aEvent, Turn& aTurn)
+void JobScheduler::On(const CommitDone& aEvent, CallContext& aContext)
 {
   const auto found = mCommits.find(aEvent.mToken);
   if (found == mCommits.end()) {
     return;
   }
   JobEntry& entry = *mTable.Find(found->second);
-  if (entry.mCommit->mLost) {
+  if (entry.mCommit->mReplyLost) {
     return;
   }
   if (aEvent.mOutcome == CommitOutcome::Applied) {
-    Applied(entry, aEvent.mRevision, aTurn);
-    Advance(entry, aTurn);
+    Applied(entry, aEvent.mRevision, aContext);
+    Advance(entry, aContext);
     return;
   }
   if (aEvent.mOutcome == CommitOutcome::Unknown) {
     ++mCounters.mLostCommits;
-    entry.mCommit->mLost = true;
+    entry.mCommit->mReplyLost = true;
     entry.mMustRead = true;
   } else {
     NotApplied(entry);
@@ -174,26 +178,28 @@
     ++mCounters.mConflicts;
     entry.mMustRead = true;
   } else {
-    Note(entry, Reason::WaitingForStore, aTurn);
-    entry.mRetryAt = aTurn.mNow + Backoff(mSettings.mStoreBackoff,
-                                          mSettings.mMaxStoreBackoff,
-                                          ++entry.mRetries,
-                                          aTurn);
+    RecordDecision(entry, Reason::WaitingForStore, aContext);
+    entry.mRetryAt = aContext.mNow + Backoff(mSettings.mStoreBackoff,
+                                             mSettings.mMaxStoreBackoff,
+                                             ++entry.mRetries,
+                                             aContext);
   }
-  Advance(entry, aTurn);
+  Advance(entry, aContext);
 }
 
 void JobScheduler::NotApplied(JobEntry& aEntry)
 {
   mCommits.erase(aEntry.mCommit->mToken);
-  if (aEntry.mCommit->mPlaces) {
-    mBooks.Release(aEntry);
-    aEntry.mHeldFor.reset();
+  if (aEntry.mCommit->mIsAssignment) {
+    mAllocations.Release(aEntry);
+    aEntry.mReservedOn.reset();
   }
   aEntry.mCommit.reset();
 }
 
-void JobScheduler::Applied(JobEntry& aEntry, Revision aRevision, Turn& aTurn)
+void JobScheduler::Applied(JobEntry& aEntry,
+                           Revision aRevision,
+                           CallContext& aContext)
 {
   PendingCommit done = std::move(*aEntry.mCommit);
   aEntry.mCommit.reset();
@@ -203,29 +209,29 @@
   aEntry.mSeenRevision = std::max(aEntry.mSeenRevision, aRevision);
   aEntry.mRetries = 0;
   aEntry.mRetryAt = Instant{};
-  if (done.mPlaces) {
+  if (done.mIsAssignment) {
     ++mCounters.mPlaced;
-    aEntry.mWhereabouts = Whereabouts::Unsent;
+    aEntry.mAssignmentState = AssignmentState::Unsent;
     aEntry.mInherited = false;
     aEntry.mLease = {};
     aEntry.mWaitingSince = Instant{};
     aEntry.mResendAt = Instant{};
-    aEntry.mAnswerDue = false;
-    aEntry.mAnswerLost = false;
+    aEntry.mAssignInFlight = false;
+    aEntry.mAssignReplyLost = false;
     aEntry.mPeak = {};
     aEntry.mStartedAt = Instant{};
     aEntry.mEvictReason = Reason::None;
-    aEntry.mHeldFor.reset();
+    aEntry.mReservedOn.reset();
   } else if (aEntry.IsAssigned()) {
     aEntry.mResendAt = Instant{}; // A stop is due now.
   } else {
-    mBooks.Release(aEntry);
+    mAllocations.Release(aEntry);
     CountEnd(aEntry.Record());
   }
   if (done.mEnded) {
     aEntry.mEnd.reset();
-    aEntry.mJudged = false;
-    aTurn.mActions.push_back(
+    aEntry.mOutcomeRecorded = false;
+    aContext.mActions.push_back(
       AcknowledgeTasks{ *aEntry.Record().mAgent, { *done.mEnded } });
   }
 }
--- a/src/core/job/JobSchedulerEviction.cpp
+++ b/src/core/job/JobSchedulerEviction.cpp
@@ -13,7 +13,7 @@
   const JobSpec& spec = aEntry.Spec();
   return spec.mKind == JobKind::Batch &&
          spec.mPriority == JobPriority::Normal && aEntry.IsAssigned() &&
-         !aEntry.mEnd && aEntry.mWhereabouts == Whereabouts::Running &&
+         !aEntry.mEnd && aEntry.mAssignmentState == AssignmentState::Running &&
          aEntry.mEvictReason == Reason::None;
 }
 
@@ -21,16 +21,16 @@
 
 /// Evicts batch tasks on the worker where that costs least among a sample, and
 /// holds the room.
-bool JobScheduler::MakeRoom(JobEntry& aEntry,
+bool JobScheduler::EvictFor(JobEntry& aEntry,
                             const PlacementRequest& aRequest,
-                            Turn& aTurn)
+                            CallContext& aContext)
 {
-  const WorkerIndex& workers = mBooks.Workers();
+  const WorkerIndex& workers = mAllocations.Workers();
   std::optional<EvictionPlan> best;
   WorkerSlot bestSlot = 0;
-  const auto sample = SampleWorkers(aRequest, workers, aTurn.mRandom);
+  const auto sample = SampleWorkers(aRequest, workers, aContext.mRandom);
   for (const WorkerSlot slot : sample) {
-    const auto candidates = EvictableOn(slot, aTurn);
+    const auto candidates = EvictableOn(slot, aContext);
     auto plan = PlanEviction(aRequest.mSize, workers.Free(slot), candidates);
     const bool allowed = plan && RespectsShare(*plan, aRequest, slot);
     if (allowed && (!best || plan->mCost < best->mCost)) {
@@ -41,16 +41,16 @@
   if (!best) {
     return false;
   }
-  mBooks.Reserve(aEntry, bestSlot, aRequest.mSize);
-  aEntry.mHeldFor = bestSlot;
-  aEntry.mHeldUntil = aTurn.mNow + mSettings.mHoldRoom;
-  Note(aEntry, Reason::WaitingForCapacity, aTurn, bestSlot);
+  mAllocations.Reserve(aEntry, bestSlot, aRequest.mSize);
+  aEntry.mReservedOn = bestSlot;
+  aEntry.mReservedUntil = aContext.mNow + mSettings.mReservationTime;
+  RecordDecision(aEntry, Reason::WaitingForCapacity, aContext, bestSlot);
   for (const TaskKey& victim : best->mVictims) {
     JobEntry& evicted = *mTable.Find(victim.mJob);
     evicted.mEvictReason = Reason::EvictedForUrgent;
     evicted.mResendAt = Instant{};
-    Note(evicted, Reason::EvictedForUrgent, aTurn, bestSlot);
-    Advance(evicted, aTurn);
+    RecordDecision(evicted, Reason::EvictedForUrgent, aContext, bestSlot);
+    Advance(evicted, aContext);
   }
   return true;
 }
@@ -61,30 +61,31 @@
                                  const PlacementRequest& aRequest,
                                  WorkerSlot aSlot) const
 {
-  std::int64_t used = mBooks.Load().Millicores(aRequest.mCustomer, aSlot);
+  std::int64_t used = mAllocations.Load().Millicores(aRequest.mCustomer, aSlot);
   for (const TaskKey& victim : aPlan.mVictims) {
     const JobEntry& entry = *mTable.Find(victim.mJob);
     if (entry.Spec().mCustomer == aRequest.mCustomer) {
-      used -= entry.mBooking->mSize.mMillicores;
+      used -= entry.mAllocation->mSize.mMillicores;
     }
   }
-  return WithinShare(aRequest, mBooks.Workers().At(aSlot), used);
+  return WithinShare(aRequest, mAllocations.Workers().At(aSlot), used);
 }
 
 std::vector<EvictionCandidate> JobScheduler::EvictableOn(
   WorkerSlot aSlot,
-  const Turn& aTurn) const
+  const CallContext& aContext) const
 {
   std::vector<EvictionCandidate> candidates;
-  for (const JobEntry* entry : mBooks.HoldersOf(aSlot)) {
+  for (const JobEntry* entry : mAllocations.JobsOn(aSlot)) {
     if (!IsEvictable(*entry)) {
       continue;
     }
-    const Contract* contract = mBooks.Quotas().Find(entry->Spec().mCustomer);
+    const Contract* contract =
+      mAllocations.Quotas().Find(entry->Spec().mCustomer);
     EvictionCandidate candidate;
     candidate.mKey = entry->Key();
-    candidate.mSize = entry->mBooking->mSize;
-    candidate.mRunTime = aTurn.mNow - entry->mStartedAt;
+    candidate.mSize = entry->mAllocation->mSize;
+    candidate.mRunTime = aContext.mNow - entry->mStartedAt;
     candidate.mWeight = contract ? contract->mWeights.mEvictions : 0.0;
     candidates.push_back(std::move(candidate));
   }
@@ -92,20 +93,21 @@
 }
 
 /// Takes the room once the worker's own count shows it.
-JobScheduler::Placement JobScheduler::PlaceHeld(JobEntry& aEntry, Turn& aTurn)
+JobScheduler::Placement JobScheduler::PlaceReserved(JobEntry& aEntry,
+                                                    CallContext& aContext)
 {
-  const WorkerSlot slot = *aEntry.mHeldFor;
-  const bool placeable = mBooks.Workers().Placeable(slot);
-  if (placeable && Resources{}.FitsIn(mBooks.Workers().Free(slot))) {
-    CommitPlacement(aEntry, slot, aTurn);
+  const WorkerSlot slot = *aEntry.mReservedOn;
+  const bool placeable = mAllocations.Workers().Placeable(slot);
+  if (placeable && Resources{}.FitsIn(mAllocations.Workers().Free(slot))) {
+    CommitPlacement(aEntry, slot, aContext);
     return Placement::Placed;
   }
-  if (placeable && aTurn.mNow < aEntry.mHeldUntil) {
-    return Placement::Held;
+  if (placeable && aContext.mNow < aEntry.mReservedUntil) {
+    return Placement::AwaitsEvictions;
   }
-  mBooks.Release(aEntry);
-  aEntry.mHeldFor.reset();
-  return Placement::NoRoom;
+  mAllocations.Release(aEntry);
+  aEntry.mReservedOn.reset();
+  return Placement::NoFreeCapacity;
 }
 
 } // namespace foxtailbarrow
--- a/src/core/job/JobSchedulerLearning.cpp
+++ b/src/core/job/JobSchedulerLearning.cpp
@@ -33,7 +33,7 @@
   return mSizes.Estimate(ProgramOf(aEntry), aEntry.Spec().mDeclared);
 }
 
-void JobScheduler::TakeUsage(std::span<const UsageSample> aSamples)
+void JobScheduler::OnUsage(std::span<const UsageSample> aSamples)
 {
   for (const UsageSample& sample : aSamples) {
     JobEntry* entry = mTable.Find(sample.mKey.mJob);
@@ -48,7 +48,7 @@
 }
 
 /// Counts the reported end once.
-void JobScheduler::Judge(JobEntry& aEntry, Turn& aTurn)
+void JobScheduler::RecordOutcome(JobEntry& aEntry, CallContext& aContext)
 {
   const TaskStatus& end = *aEntry.mEnd;
   RunObservation run;
@@ -57,25 +57,27 @@
   run.mFinished = end.mState == TaskState::Finished;
   run.mMemoryOverrun = IsMemoryOverrun(end);
   if (aEntry.mStartedAt != Instant{}) {
-    run.mRunTime = aTurn.mNow - aEntry.mStartedAt;
+    run.mRunTime = aContext.mNow - aEntry.mStartedAt;
   }
   mSizes.Observe(ProgramOf(aEntry), run);
-  const auto slot = mBooks.Workers().SlotOf(*aEntry.Record().mAgent);
+  const auto slot = mAllocations.Workers().SlotOf(*aEntry.Record().mAgent);
   if (!slot || run.mMemoryOverrun) {
     return;
   }
   if (run.mFinished) {
-    mJudge.Succeeded(*slot, ProgramOf(aEntry), aTurn.mNow);
+    mQuarantinePolicy.Succeeded(*slot, ProgramOf(aEntry), aContext.mNow);
   } else if (end.mState == TaskState::Failed) {
-    JudgeWorker(aEntry, *slot, aTurn);
+    RecordWorkerFailure(aEntry, *slot, aContext);
   }
 }
 
-void JobScheduler::JudgeWorker(JobEntry& aEntry, WorkerSlot aSlot, Turn& aTurn)
+void JobScheduler::RecordWorkerFailure(JobEntry& aEntry,
+                                       WorkerSlot aSlot,
+                                       CallContext& aContext)
 {
-  WorkerIndex& workers = mBooks.Workers();
-  const bool bad = mJudge.Failed(
-    aSlot, aEntry.Spec().mId, ProgramOf(aEntry), workers.Size(), aTurn.mNow);
+  WorkerIndex& workers = mAllocations.Workers();
+  const bool bad = mQuarantinePolicy.Failed(
+    aSlot, aEntry.Spec().mId, ProgramOf(aEntry), workers.Size(), aContext.mNow);
   if (bad) {
     ++mCounters.mQuarantined;
     workers.SetQuarantined(aSlot, true);
@@ -85,7 +87,7 @@
     // The worker's failure, not the job's: it costs the job no attempt.
     aEntry.mEnd->mState = TaskState::Stopped;
     aEntry.mEnd->mReason = ToString(Reason::Quarantined);
-    Note(aEntry, Reason::Quarantined, aTurn, aSlot);
+    RecordDecision(aEntry, Reason::Quarantined, aContext, aSlot);
   }
 }
 
--- a/src/core/job/JobSchedulerPlacing.cpp
+++ b/src/core/job/JobSchedulerPlacing.cpp
@@ -5,18 +5,19 @@
 /// The part of JobScheduler that finds workers for waiting jobs.
 namespace foxtailbarrow {
 
-void JobScheduler::PlaceWaiting(Turn& aTurn)
+void JobScheduler::PlaceWaiting(CallContext& aContext)
 {
   int placements = mSettings.mPlacementsPerTick;
-  PlaceWaiting(JobPriority::Urgent, placements, aTurn);
-  PlaceWaiting(JobPriority::Normal, placements, aTurn);
+  PlaceWaiting(JobPriority::Urgent, placements, aContext);
+  PlaceWaiting(JobPriority::Normal, placements, aContext);
 }
 
 void JobScheduler::PlaceWaiting(JobPriority aPriority,
                                 int& aPlacements,
-                                Turn& aTurn)
+                                CallContext& aContext)
 {
-  FairOrder order(mBooks.Quotas(), mBooks.Workers().TotalCapacity());
+  FairOrder order(mAllocations.Quotas(),
+                  mAllocations.Workers().TotalCapacity());
   for (const CustomerId& customer : mReady.Customers(aPriority)) {
     order.Push(customer);
   }
@@ -31,21 +32,21 @@
     if (entry == nullptr) {
       continue;
     }
-    const Placement placement = Place(*entry, aTurn);
+    const Placement placement = Place(*entry, aContext);
     if (placement == Placement::Placed) {
       --aPlacements;
       order.Push(*customer);
       continue;
     }
-    if (placement == Placement::Held) {
+    if (placement == Placement::AwaitsEvictions) {
       Requeue(*entry);
       continue;
     }
-    const bool room = placement == Placement::NoRoom;
+    const bool room = placement == Placement::NoFreeCapacity;
     --misses;
-    Miss(*entry,
-         room ? Reason::WaitingForCapacity : Reason::WaitingForQuota,
-         aTurn);
+    OnNotPlaced(*entry,
+                room ? Reason::WaitingForCapacity : Reason::WaitingForQuota,
+                aContext);
     if (room && ++missed[*customer] < mSettings.mMissesPerCustomer) {
       order.Push(*customer);
     }
@@ -66,33 +67,37 @@
   return nullptr;
 }
 
-JobScheduler::Placement JobScheduler::Place(JobEntry& aEntry, Turn& aTurn)
+JobScheduler::Placement JobScheduler::Place(JobEntry& aEntry,
+                                            CallContext& aContext)
 {
-  if (aEntry.mHeldFor) {
-    return PlaceHeld(aEntry, aTurn);
+  if (aEntry.mReservedOn) {
+    return PlaceReserved(aEntry, aContext);
   }
   const JobSpec& spec = aEntry.Spec();
   const Resources size = SizeOf(aEntry);
-  const QuotaBook& quotas = mBooks.Quotas();
+  const QuotaTracker& quotas = mAllocations.Quotas();
   if (quotas.Check(spec.mCustomer, size) != Reason::None) {
     return Placement::NoQuota;
   }
   const PlacementRequest request = RequestFor(aEntry, size);
-  const auto slot = Choose(
-    mSettings.mPolicy, request, mBooks.Workers(), mBooks.Load(), aTurn.mRandom);
+  const auto slot = Choose(mSettings.mPolicy,
+                           request,
+                           mAllocations.Workers(),
+                           mAllocations.Load(),
+                           aContext.mRandom);
   if (slot) {
-    mBooks.Reserve(aEntry, *slot, size);
-    CommitPlacement(aEntry, *slot, aTurn);
+    mAllocations.Reserve(aEntry, *slot, size);
+    CommitPlacement(aEntry, *slot, aContext);
     return Placement::Placed;
   }
   const bool mayEvict = spec.mPriority == JobPriority::Urgent &&
                         quotas.Find(spec.mCustomer)->mUrgentAllowed;
-  if (mayEvict && MakeRoom(aEntry, request, aTurn)) {
-    return Placement::Held;
+  if (mayEvict && EvictFor(aEntry, request, aContext)) {
+    return Placement::AwaitsEvictions;
   }
   // Every worker may be among those to avoid: they get another chance.
   aEntry.mAvoid.clear();
-  return Placement::NoRoom;
+  return Placement::NoFreeCapacity;
 }
 
 PlacementRequest JobScheduler::RequestFor(const JobEntry& aEntry,
@@ -104,32 +109,36 @@
   request.mKind = spec.mKind;
   request.mSize = aSize;
   request.mSharePerWorker =
-    mBooks.Quotas().Find(spec.mCustomer)->mBatch.mSharePerWorker;
+    mAllocations.Quotas().Find(spec.mCustomer)->mBatch.mSharePerWorker;
   request.mAvoid = aEntry.mAvoid;
   return request;
 }
 
 void JobScheduler::CommitPlacement(JobEntry& aEntry,
                                    WorkerSlot aSlot,
-                                   Turn& aTurn)
+                                   CallContext& aContext)
 {
-  const AgentId& agent = mBooks.Workers().At(aSlot).mAgent;
-  Commit(aEntry, AssignedTo(aEntry.Record(), agent), aTurn);
+  const AgentId& agent = mAllocations.Workers().At(aSlot).mAgent;
+  Commit(aEntry, AssignedTo(aEntry.Record(), agent), aContext);
 }
 
-void JobScheduler::Miss(JobEntry& aEntry, Reason aReason, Turn& aTurn)
+void JobScheduler::OnNotPlaced(JobEntry& aEntry,
+                               Reason aReason,
+                               CallContext& aContext)
 {
-  Note(aEntry, aReason, aTurn);
+  RecordDecision(aEntry, aReason, aContext);
   const JobSpec& spec = aEntry.Spec();
   const bool tooLarge =
-    !mBooks.Workers().FitsSomewhereEmpty(SizeOf(aEntry)) ||
-    !mBooks.Quotas().CanEverRun(spec.mCustomer, SizeOf(aEntry));
-  if (tooLarge && aTurn.mNow >= aEntry.mWaitingSince + mSettings.mParkAfter) {
-    Commit(aEntry, Parked(aEntry.Record(), Reason::LargerThanAnyWorker), aTurn);
+    !mAllocations.Workers().FitsSomewhereEmpty(SizeOf(aEntry)) ||
+    !mAllocations.Quotas().CanEverRun(spec.mCustomer, SizeOf(aEntry));
+  if (tooLarge &&
+      aContext.mNow >= aEntry.mWaitingSince + mSettings.mParkAfter) {
+    Commit(
+      aEntry, Parked(aEntry.Record(), Reason::LargerThanAnyWorker), aContext);
     return;
   }
   if (aEntry.IsAssigned()) {
-    Commit(aEntry, Requeued(aEntry.Record(), aReason), aTurn);
+    Commit(aEntry, Requeued(aEntry.Record(), aReason), aContext);
     return;
   }
   Requeue(aEntry);
--- a/src/core/job/JobSchedulerSettings.h
+++ b/src/core/job/JobSchedulerSettings.h
@@ -31,7 +31,7 @@
   /// Ended jobs stay in memory this long, to answer late reports.
   Duration mForgetAfter = std::chrono::minutes(1);
   /// Room made by evictions is held for an urgent job this long.
-  Duration mHoldRoom = std::chrono::seconds(5);
+  Duration mReservationTime = std::chrono::seconds(5);
   /// How workers are picked; the default is the one that measured best.
   PlacementPolicy mPolicy = Placer();
   /// Reserve what was learned instead of what is declared.
--- a/src/core/job/JobTable.cpp
+++ b/src/core/job/JobTable.cpp
@@ -37,16 +37,16 @@
 
 void JobTable::Cancel(JobEntry& aEntry)
 {
-  if (aEntry.mWakeAt != Instant{}) {
-    mTimers.erase({ aEntry.mWakeAt, aEntry.mSerial, &aEntry });
-    aEntry.mWakeAt = Instant{};
+  if (aEntry.mTimerAt != Instant{}) {
+    mTimers.erase({ aEntry.mTimerAt, aEntry.mSerial, &aEntry });
+    aEntry.mTimerAt = Instant{};
   }
 }
 
-void JobTable::Wake(JobEntry& aEntry, Instant aAt)
+void JobTable::SetTimer(JobEntry& aEntry, Instant aAt)
 {
   Cancel(aEntry);
-  aEntry.mWakeAt = aAt;
+  aEntry.mTimerAt = aAt;
   mTimers.insert({ aAt, aEntry.mSerial, &aEntry });
 }
 
--- a/src/core/job/JobTable.h
+++ b/src/core/job/JobTable.h
@@ -26,7 +26,7 @@
   void Erase(const JobId& aJob);
 
   /// Sets the entry's timer, in place of the one before.
-  void Wake(JobEntry& aEntry, Instant aAt);
+  void SetTimer(JobEntry& aEntry, Instant aAt);
 
   /// Takes an entry whose timer is due; nullptr when there is none.
   JobEntry* PopDue(Instant aNow);
--- a/src/core/job/LeaseBounds.cpp
+++ b/src/core/job/LeaseBounds.cpp
@@ -12,25 +12,25 @@
   return mBounds[aSlot];
 }
 
-void LeaseBounds::Received(WorkerSlot aSlot,
-                           const Heartbeat& aHeartbeat,
-                           Instant aNow)
+void LeaseBounds::OnHeartbeat(WorkerSlot aSlot,
+                              const Heartbeat& aHeartbeat,
+                              Instant aNow)
 {
   Bound& bound = At(aSlot);
   bound.mNewest = { aHeartbeat.mIncarnation, aHeartbeat.mSequence, aNow, true };
-  bound.mNewestProves = aHeartbeat.mState != ServingState::Starting;
+  bound.mNewestProvesAbsence = aHeartbeat.mState != ServingState::Starting;
 }
 
-void LeaseBounds::Extended(WorkerSlot aSlot,
-                           Incarnation aIncarnation,
-                           std::uint64_t aSequence,
-                           Instant aUntil)
+void LeaseBounds::OnLeasesExtended(WorkerSlot aSlot,
+                                   Incarnation aIncarnation,
+                                   std::uint64_t aSequence,
+                                   Instant aUntil)
 {
   Bound& bound = At(aSlot);
   bound.mExtendedUntil = std::max(bound.mExtendedUntil, aUntil);
   const bool newest = bound.mNewest.mIncarnation == aIncarnation &&
                       bound.mNewest.mSequence == aSequence;
-  if (!newest || !bound.mNewestProves) {
+  if (!newest || !bound.mNewestProvesAbsence) {
     bound.mUnprovedUntil = std::max(bound.mUnprovedUntil, aUntil);
   }
   if (newest) {
@@ -48,7 +48,7 @@
                               const AssignmentLease& aLease) const
 {
   if (aSlot >= mBounds.size()) {
-    return LapsedUnheard(aLease);
+    return LapsedWithoutHeartbeat(aLease);
   }
   const Bound& bound = mBounds[aSlot];
   const Instant byAgent = std::max(bound.mExtendedUntil, aLease.mStartUntil);
--- a/src/core/job/LeaseBounds.h
+++ b/src/core/job/LeaseBounds.h
@@ -41,13 +41,13 @@
 
   /// A heartbeat was taken. One sent while its agent was still rebuilding its
   /// ledger proves nothing about tasks that it leaves out.
-  void Received(WorkerSlot aSlot, const Heartbeat& aHeartbeat, Instant aNow);
+  void OnHeartbeat(WorkerSlot aSlot, const Heartbeat& aHeartbeat, Instant aNow);
 
   /// A reply that extends leases leaves.
-  void Extended(WorkerSlot aSlot,
-                Incarnation aIncarnation,
-                std::uint64_t aSequence,
-                Instant aUntil);
+  void OnLeasesExtended(WorkerSlot aSlot,
+                        Incarnation aIncarnation,
+                        std::uint64_t aSequence,
+                        Instant aUntil);
 
   /// Latest heartbeat answered; mValid is false before the first.
   const LeaseBasis& Basis(WorkerSlot aSlot) const;
@@ -63,7 +63,7 @@
   Instant LapsedAt(WorkerSlot aSlot, const AssignmentLease& aLease) const;
 
   /// The same for an agent never heard of since `aLease` began.
-  Instant LapsedUnheard(const AssignmentLease& aLease) const
+  Instant LapsedWithoutHeartbeat(const AssignmentLease& aLease) const
   {
     return aLease.mStartUntil + mMargin;
   }
@@ -75,7 +75,7 @@
     Instant mUnprovedUntil{}; ///< By heartbeats that prove no absence.
     LeaseBasis mNewest;
     LeaseBasis mBasis;
-    bool mNewestProves = false;
+    bool mNewestProvesAbsence = false;
   };
 
   Bound& At(WorkerSlot aSlot);
--- a/src/core/job/ReadyQueue.cpp
+++ b/src/core/job/ReadyQueue.cpp
@@ -4,7 +4,7 @@
 
 namespace foxtailbarrow {
 
-ReadyQueue::Lines& ReadyQueue::LinesOf(JobPriority aPriority)
+ReadyQueue::Queues& ReadyQueue::QueuesOf(JobPriority aPriority)
 {
   return aPriority == JobPriority::Urgent ? mUrgent : mNormal;
 }
@@ -13,14 +13,14 @@
                                     JobPriority aPriority,
                                     const JobId& aJob)
 {
-  LinesOf(aPriority)[aCustomer].push_back({ aJob, ++mLastTicket });
+  QueuesOf(aPriority)[aCustomer].push_back({ aJob, ++mLastTicket });
   return mLastTicket;
 }
 
 std::optional<ReadyQueue::Place> ReadyQueue::Pop(const CustomerId& aCustomer,
                                                  JobPriority aPriority)
 {
-  Lines& lines = LinesOf(aPriority);
+  Queues& lines = QueuesOf(aPriority);
   const auto found = lines.find(aCustomer);
   if (found == lines.end()) {
     return std::nullopt;
@@ -33,16 +33,16 @@
   return place;
 }
 
-void ReadyQueue::Return(const CustomerId& aCustomer,
-                        JobPriority aPriority,
-                        Place aPlace)
+void ReadyQueue::PushFront(const CustomerId& aCustomer,
+                           JobPriority aPriority,
+                           Place aPlace)
 {
-  LinesOf(aPriority)[aCustomer].push_front(std::move(aPlace));
+  QueuesOf(aPriority)[aCustomer].push_front(std::move(aPlace));
 }
 
 std::vector<CustomerId> ReadyQueue::Customers(JobPriority aPriority) const
 {
-  const Lines& lines = aPriority == JobPriority::Urgent ? mUrgent : mNormal;
+  const Queues& lines = aPriority == JobPriority::Urgent ? mUrgent : mNormal;
   std::vector<CustomerId> customers;
   customers.reserve(lines.size());
   for (const auto& [customer, places] : lines) {
--- a/src/core/job/ReadyQueue.h
+++ b/src/core/job/ReadyQueue.h
@@ -35,19 +35,21 @@
   std::optional<Place> Pop(const CustomerId& aCustomer, JobPriority aPriority);
 
   /// Puts a place back at the front.
-  void Return(const CustomerId& aCustomer, JobPriority aPriority, Place aPlace);
+  void PushFront(const CustomerId& aCustomer,
+                 JobPriority aPriority,
+                 Place aPlace);
 
   /// Customers with places at that priority, sorted.
   std::vector<CustomerId> Customers(JobPriority aPriority) const;
 
 private:
   using Places = std::deque<Place>;
-  using Lines = absl::flat_hash_map<CustomerId, Places>;
+  using Queues = absl::flat_hash_map<CustomerId, Places>;
 
-  Lines& LinesOf(JobPriority aPriority);
+  Queues& QueuesOf(JobPriority aPriority);
 
-  Lines mUrgent;
-  Lines mNormal;
+  Queues mUrgent;
+  Queues mNormal;
   Ticket mLastTicket = 0;
 };
 
--- a/src/core/membership/AgentDirectory.cpp
+++ b/src/core/membership/AgentDirectory.cpp
@@ -15,7 +15,7 @@
 
 /// A single gap counts at most this many times the learned interval, so that
 /// one pause of an agent does not make it look slow for long.
-constexpr int kLongestGap = 4;
+constexpr int kMaxGapIntervals = 4;
 
 bool IsNewer(const Heartbeat& aHeartbeat, const AgentRecord& aRecord)
 {
@@ -30,7 +30,7 @@
 
 Duration LearnInterval(Duration aKnown, Duration aGap, Duration aShortest)
 {
-  const Duration bounded = std::min(aGap, aKnown * kLongestGap);
+  const Duration bounded = std::min(aGap, aKnown * kMaxGapIntervals);
   const Duration step = (bounded - aKnown) / kIntervalSmoothing;
   return std::max(aKnown + step, aShortest);
 }
@@ -63,10 +63,10 @@
   }
   const bool isRestart = aHeartbeat.mIncarnation != record.mIncarnation;
   if (isRestart || isNew) {
-    Restart(record, aHeartbeat, aNow);
+    StartIncarnation(record, aHeartbeat, aNow);
   }
-  TakeOver(record, aHeartbeat, aNow);
-  Reconsider(record, aNow);
+  ApplyNewest(record, aHeartbeat, aNow);
+  UpdatePhase(record, aNow);
   if (isNew) {
     return HeartbeatEffect::Added;
   }
@@ -83,7 +83,7 @@
   const AgentId previous = std::exchange(found->second, claim).mAgent;
   if (const auto loser = mRecords.find(previous);
       loser != mRecords.end() && previous != aHeartbeat.mAgent) {
-    Reconsider(*loser->second, aNow);
+    UpdatePhase(*loser->second, aNow);
   }
 }
 
@@ -93,11 +93,11 @@
   return claim == mClaims.end() || claim->second.mAgent == aRecord.mAgent;
 }
 
-void AgentDirectory::Restart(AgentRecord& aRecord,
-                             const Heartbeat& aHeartbeat,
-                             Instant aNow)
+void AgentDirectory::StartIncarnation(AgentRecord& aRecord,
+                                      const Heartbeat& aHeartbeat,
+                                      Instant aNow)
 {
-  if (aRecord.mGauges != nullptr) {
+  if (aRecord.mRoutingState != nullptr) {
     Unroute(aRecord, false, aNow);
     ServiceOf(aRecord.mService).mAgents.erase(&aRecord);
   }
@@ -107,30 +107,31 @@
   aRecord.mRack = aHeartbeat.mRack;
   aRecord.mFailureDomain = aHeartbeat.mFailureDomain;
   aRecord.mPhase = AgentPhase::Starting;
-  aRecord.mHeardAt = aNow;
+  aRecord.mHeartbeatAt = aNow;
   aRecord.mInterval = mSettings.mHeartbeatInterval;
-  aRecord.mGauges = std::make_shared<AgentGauges>();
+  aRecord.mRoutingState = std::make_shared<AgentRoutingState>();
   ServiceOf(aRecord.mService).mAgents.insert(&aRecord);
 }
 
-void AgentDirectory::TakeOver(AgentRecord& aRecord,
-                              const Heartbeat& aHeartbeat,
-                              Instant aNow)
+void AgentDirectory::ApplyNewest(AgentRecord& aRecord,
+                                 const Heartbeat& aHeartbeat,
+                                 Instant aNow)
 {
-  aRecord.mInterval = LearnInterval(
-    aRecord.mInterval, aNow - aRecord.mHeardAt, mSettings.mHeartbeatInterval);
-  aRecord.mHeardAt = aNow;
+  aRecord.mInterval = LearnInterval(aRecord.mInterval,
+                                    aNow - aRecord.mHeartbeatAt,
+                                    mSettings.mHeartbeatInterval);
+  aRecord.mHeartbeatAt = aNow;
   aRecord.mSequence = aHeartbeat.mSequence;
   aRecord.mState = aHeartbeat.mState;
   aRecord.mLoad = aHeartbeat.mLoad;
   aRecord.mConfiguration = aHeartbeat.mConfiguration;
-  aRecord.mGauges->mLoad.Report(FiguresOf(aHeartbeat.mLoad), aNow);
+  aRecord.mRoutingState->mLoad.Report(ToLoadSnapshot(aHeartbeat.mLoad), aNow);
 }
 
 AgentPhase AgentDirectory::PhaseOf(const AgentRecord& aRecord,
                                    Instant aNow) const
 {
-  const Duration silence = aNow - aRecord.mHeardAt;
+  const Duration silence = aNow - aRecord.mHeartbeatAt;
   if (!HoldsAddress(aRecord) ||
       silence > aRecord.mInterval * mSettings.mGoneAfter) {
     return AgentPhase::Gone;
@@ -147,7 +148,7 @@
   return silence > limit ? AgentPhase::Suspect : AgentPhase::Serving;
 }
 
-void AgentDirectory::Reconsider(AgentRecord& aRecord, Instant aNow)
+void AgentDirectory::UpdatePhase(AgentRecord& aRecord, Instant aNow)
 {
   const AgentPhase next = PhaseOf(aRecord, aNow);
   const AgentPhase last = std::exchange(aRecord.mPhase, next);
@@ -170,9 +171,9 @@
   }
   Service& service = ServiceOf(aRecord.mService);
   service.mStartedAt = std::min(service.mStartedAt, aNow);
-  const bool isFirstView = service.mStartedAt > aNow - mSettings.mFirstView;
+  const bool isFirstView = service.mStartedAt > aNow - mSettings.mDiscoveryTime;
   std::erase_if(service.mFormer, [&](const FormerAgent& aFormer) {
-    return aFormer.mAgent->mGauges == aRecord.mGauges;
+    return aFormer.mAgent->mRoutingState == aRecord.mRoutingState;
   });
   aRecord.mRoutable = std::make_shared<RoutableAgent>(
     RoutableAgent{ aRecord.mAgent,
@@ -184,13 +185,13 @@
                    aNow,
                    isFirstView ? Instant::min() : aNow,
                    StableHash(aRecord.mAgent.Value()),
-                   aRecord.mGauges,
+                   aRecord.mRoutingState,
                    service.mHealth });
 }
 
-bool AgentDirectory::IsFirstView(Instant aNow) const
+bool AgentDirectory::IsDiscovering(Instant aNow) const
 {
-  return mStartedAt > aNow - mSettings.mFirstView;
+  return mStartedAt > aNow - mSettings.mDiscoveryTime;
 }
 
 void AgentDirectory::Unroute(AgentRecord& aRecord,
@@ -205,7 +206,7 @@
     return;
   }
   for (FormerAgent& agent : former) {
-    if (agent.mAgent->mGauges == aRecord.mGauges && !aReachable) {
+    if (agent.mAgent->mRoutingState == aRecord.mRoutingState && !aReachable) {
       agent.mReachable = false;
       mDirty.insert(aRecord.mService);
     }
@@ -214,23 +215,23 @@
 
 void AgentDirectory::Advance(Instant aNow)
 {
-  ForgiveOwnPause(aNow);
+  DiscountOwnPause(aNow);
   for (const auto& [id, record] : mRecords) {
-    Reconsider(*record, aNow);
+    UpdatePhase(*record, aNow);
   }
   ForgetOld(aNow);
   ForgetFormer(aNow);
 }
 
-void AgentDirectory::ForgiveOwnPause(Instant aNow)
+void AgentDirectory::DiscountOwnPause(Instant aNow)
 {
   const Instant last = std::exchange(mAdvancedAt, aNow);
-  const Duration pause = aNow - last - mSettings.mLongestTick;
+  const Duration pause = aNow - last - mSettings.mMaxAdvanceInterval;
   if (last == Instant{} || pause <= Duration::zero()) {
     return;
   }
   for (const auto& [id, record] : mRecords) {
-    record->mHeardAt = std::min(record->mHeardAt + pause, aNow);
+    record->mHeartbeatAt = std::min(record->mHeartbeatAt + pause, aNow);
   }
 }
 
@@ -239,7 +240,7 @@
   absl::erase_if(mRecords, [&](const auto& aEntry) {
     AgentRecord& record = *aEntry.second;
     if (record.mPhase != AgentPhase::Gone ||
-        aNow - record.mHeardAt <= mSettings.mForgetAfter) {
+        aNow - record.mHeartbeatAt <= mSettings.mForgetAfter) {
       return false;
     }
     ServiceOf(record.mService).mAgents.erase(&record);
--- a/src/core/membership/AgentDirectory.h
+++ b/src/core/membership/AgentDirectory.h
@@ -46,7 +46,7 @@
   /// True until an entry that starts among running agents has heard of all of
   /// them. While it holds, an entry should not report itself ready: it would
   /// take an agent for the holder of an idempotency key that is not.
-  bool IsFirstView(Instant aNow) const;
+  bool IsDiscovering(Instant aNow) const;
 
   HeartbeatEffect Apply(const Heartbeat& aHeartbeat, Instant aNow);
 
@@ -107,15 +107,17 @@
 
   void ClaimAddress(const Heartbeat& aHeartbeat, Instant aNow);
   bool HoldsAddress(const AgentRecord& aRecord) const;
-  void Restart(AgentRecord& aRecord, const Heartbeat& aHeartbeat, Instant aNow);
-  void TakeOver(AgentRecord& aRecord,
-                const Heartbeat& aHeartbeat,
-                Instant aNow);
+  void StartIncarnation(AgentRecord& aRecord,
+                        const Heartbeat& aHeartbeat,
+                        Instant aNow);
+  void ApplyNewest(AgentRecord& aRecord,
+                   const Heartbeat& aHeartbeat,
+                   Instant aNow);
   AgentPhase PhaseOf(const AgentRecord& aRecord, Instant aNow) const;
-  void Reconsider(AgentRecord& aRecord, Instant aNow);
+  void UpdatePhase(AgentRecord& aRecord, Instant aNow);
   void Route(AgentRecord& aRecord, Instant aNow);
   void Unroute(AgentRecord& aRecord, bool aReachable, Instant aNow);
-  void ForgiveOwnPause(Instant aNow);
+  void DiscountOwnPause(Instant aNow);
   void ForgetOld(Instant aNow);
   void ForgetFormer(Instant aNow);
   Service& ServiceOf(const ServiceId& aService);
--- a/src/core/membership/AgentRecord.h
+++ b/src/core/membership/AgentRecord.h
@@ -9,7 +9,7 @@
 #include "foxtailbarrow/Messages.h"
 #include "foxtailbarrow/Time.h"
 #include "src/core/membership/AgentPhase.h"
-#include "src/core/routing/AgentGauges.h"
+#include "src/core/routing/AgentRoutingState.h"
 #include "src/core/routing/RoutableAgent.h"
 
 namespace foxtailbarrow {
@@ -30,9 +30,9 @@
   Revision mConfiguration = 0;
 
   AgentPhase mPhase = AgentPhase::Starting;
-  Instant mHeardAt{};
+  Instant mHeartbeatAt{};
   Duration mInterval{}; ///< Learned time between its heartbeats.
-  std::shared_ptr<AgentGauges> mGauges;
+  std::shared_ptr<AgentRoutingState> mRoutingState;
 
   /// As listed in routing tables; null while it gets no requests.
   RoutableAgentPointer mRoutable;
--- a/src/core/membership/DirectorySettings.h
+++ b/src/core/membership/DirectorySettings.h
@@ -24,11 +24,11 @@
   /// Agents that serve within this time of the service's first one, as this
   /// entry sees it, take keys at once: they were there before this entry, or
   /// the service is new.
-  Duration mFirstView = std::chrono::seconds(2);
+  Duration mDiscoveryTime = std::chrono::seconds(2);
 
   /// Longest time between two calls of Advance() that counts as the agents'
   /// silence. Beyond it, this process was paused and the agents were not.
-  Duration mLongestTick = std::chrono::seconds(2);
+  Duration mMaxAdvanceInterval = std::chrono::seconds(2);
 };
 
 } // namespace foxtailbarrow
--- a/src/core/membership/HeartbeatSchedule.cpp
+++ b/src/core/membership/HeartbeatSchedule.cpp
@@ -26,19 +26,20 @@
                                    Instant aNow,
                                    absl::BitGenRef aRandom)
 {
-  std::vector<Turn> turns;
+  std::vector<ScheduledEntry> turns;
   turns.reserve(aEntries.size());
   for (const Endpoint& entry : aEntries) {
-    const auto known = std::ranges::find(mTurns, entry, &Turn::mEntry);
-    const bool isNew = known == mTurns.end();
+    const auto known =
+      std::ranges::find(mSchedule, entry, &ScheduledEntry::mEntry);
+    const bool isNew = known == mSchedule.end();
     const Instant first =
       aNow + Jitter(Duration::zero(), mSettings.mShortest, aRandom);
     turns.push_back({ entry, isNew ? first : known->mDue, isNew });
   }
-  mTurns = std::move(turns);
+  mSchedule = std::move(turns);
 }
 
-void HeartbeatSchedule::Measured(std::size_t aBytes)
+void HeartbeatSchedule::RecordExchangeSize(std::size_t aBytes)
 {
   mBytesPerExchange +=
     (static_cast<double>(aBytes) - mBytesPerExchange) * kSmoothing;
@@ -46,7 +47,7 @@
 
 Duration HeartbeatSchedule::Interval() const
 {
-  return HeartbeatInterval(mSettings, mTurns.size(), mBytesPerExchange);
+  return HeartbeatInterval(mSettings, mSchedule.size(), mBytesPerExchange);
 }
 
 std::vector<Endpoint> HeartbeatSchedule::Due(Instant aNow,
@@ -54,7 +55,7 @@
 {
   std::vector<Endpoint> due;
   const Duration interval = Interval();
-  for (Turn& turn : mTurns) {
+  for (ScheduledEntry& turn : mSchedule) {
     if (turn.mDue > aNow) {
       continue;
     }
@@ -71,15 +72,15 @@
 Instant HeartbeatSchedule::NextDue() const
 {
   Instant next = Instant::max();
-  for (const Turn& turn : mTurns) {
+  for (const ScheduledEntry& turn : mSchedule) {
     next = std::min(next, turn.mDue);
   }
   return next;
 }
 
-void HeartbeatSchedule::Hurry(Instant aNow)
+void HeartbeatSchedule::MakeAllDue(Instant aNow)
 {
-  for (Turn& turn : mTurns) {
+  for (ScheduledEntry& turn : mSchedule) {
     turn.mDue = std::min(turn.mDue, aNow);
   }
 }
--- a/src/core/membership/HeartbeatSchedule.h
+++ b/src/core/membership/HeartbeatSchedule.h
@@ -20,7 +20,8 @@
 /// first turn is drawn at random within the shortest interval, its second
 /// within the interval, so that agents that start together do not send
 /// together, and one agent's heartbeats spread over the interval. What every
-/// entry must hear at once (a drain, a task's end) goes out of turn by Hurry().
+/// entry must hear at once (a drain, a task's end) goes out of turn by
+/// MakeAllDue().
 class HeartbeatSchedule
 {
 public:
@@ -34,7 +35,7 @@
 
   /// Bytes of one exchange, heartbeat and reply with all headers. A mean over
   /// the latest is kept.
-  void Measured(std::size_t aBytes);
+  void RecordExchangeSize(std::size_t aBytes);
 
   Duration Interval() const;
 
@@ -45,10 +46,10 @@
   Instant NextDue() const;
 
   /// Makes all entries due now, then again an interval later.
-  void Hurry(Instant aNow);
+  void MakeAllDue(Instant aNow);
 
 private:
-  struct Turn
+  struct ScheduledEntry
   {
     Endpoint mEntry;
     Instant mDue{};
@@ -57,7 +58,7 @@
 
   HeartbeatSettings mSettings;
   double mBytesPerExchange;
-  std::vector<Turn> mTurns;
+  std::vector<ScheduledEntry> mSchedule;
 };
 
 } // namespace foxtailbarrow
--- a/src/core/message/Json.cpp
+++ b/src/core/message/Json.cpp
@@ -26,10 +26,10 @@
 /// the usual depth are kept.
 std::unique_ptr<Json::CharReader> ReaderFor(int aMaxDepth)
 {
-  static const Json::CharReaderBuilder sUsual = StrictReader(kUsualMaxDepth);
+  static const Json::CharReaderBuilder sUsual = StrictReader(kDefaultMaxDepth);
   return std::unique_ptr<Json::CharReader>(
-    aMaxDepth == kUsualMaxDepth ? sUsual.newCharReader()
-                                : StrictReader(aMaxDepth).newCharReader());
+    aMaxDepth == kDefaultMaxDepth ? sUsual.newCharReader()
+                                  : StrictReader(aMaxDepth).newCharReader());
 }
 
 Json::StreamWriterBuilder WriterSettings(const char* aIndentation)
--- a/src/core/message/Json.h
+++ b/src/core/message/Json.h
@@ -9,13 +9,13 @@
 
 namespace foxtailbarrow {
 
-inline constexpr int kUsualMaxDepth = 32;
+inline constexpr int kDefaultMaxDepth = 32;
 
 /// Bounds of a JSON text that ParseJson() accepts.
 struct JsonLimits
 {
   std::size_t mMaxBytes = std::size_t{ 4 } * 1024 * 1024;
-  int mMaxDepth = kUsualMaxDepth; ///< Nested arrays and objects.
+  int mMaxDepth = kDefaultMaxDepth; ///< Nested arrays and objects.
 };
 
 /// Reads one JSON object or array. Strict: no trailing text, no duplicate keys,
--- a/src/core/message/detail/ObjectReader.cpp
+++ b/src/core/message/detail/ObjectReader.cpp
@@ -4,7 +4,7 @@
 
 const Json::Value* ObjectReader::Find(std::string_view aName)
 {
-  mKnown.push_back(aName);
+  mRequested.push_back(aName);
   const Json::Value* value =
     mObject.find(aName.data(), aName.data() + aName.size());
   mPresent += value == nullptr ? 0 : 1;
@@ -17,11 +17,12 @@
     return;
   }
   std::string allowed = "one of the fields";
-  for (const std::string_view name : mKnown) {
+  for (const std::string_view name : mRequested) {
     allowed += " " + std::string(name);
   }
   for (const std::string& name : mObject.getMemberNames()) {
-    if (std::find(mKnown.begin(), mKnown.end(), name) == mKnown.end()) {
+    if (std::find(mRequested.begin(), mRequested.end(), name) ==
+        mRequested.end()) {
       mProblems.push_back(
         { FieldPath(mPath, name.c_str()).Text(), "an unknown field", allowed });
     }
--- a/src/core/message/detail/ObjectReader.h
+++ b/src/core/message/detail/ObjectReader.h
@@ -18,7 +18,7 @@
 namespace foxtailbarrow::detail {
 
 /// Most messages have no more, so that reading one allocates nothing for names.
-inline constexpr std::size_t kUsualFields = 16;
+inline constexpr std::size_t kTypicalFields = 16;
 
 class RowReader;
 
@@ -200,7 +200,7 @@
          ++i) {
       allowed += " " + std::string(text);
     }
-    Complain(aValue, aPath, std::move(allowed), mProblems);
+    AddProblem(aValue, aPath, std::move(allowed), mProblems);
   }
 
   template<typename T>
@@ -221,10 +221,11 @@
             NoRule)
   {
     if (!aValue.isArray() || aValue.size() > kMaxListItems) {
-      Complain(aValue,
-               aPath,
-               "a list of at most " + std::to_string(kMaxListItems) + " items",
-               mProblems);
+      AddProblem(aValue,
+                 aPath,
+                 "a list of at most " + std::to_string(kMaxListItems) +
+                   " items",
+                 mProblems);
       return;
     }
     aTarget.resize(aValue.size());
@@ -245,7 +246,7 @@
     std::string text;
     if (ReadText(aValue, aPath, TextRule{}, text, mProblems) &&
         !ParseText(text, aTarget)) {
-      Complain(aValue, aPath, "a text of its form", mProblems);
+      AddProblem(aValue, aPath, "a text of its form", mProblems);
     }
   }
 
@@ -264,7 +265,7 @@
                                      NoRule)
   {
     if (!aValue.isObject()) {
-      Complain(aValue, aPath, "an object", mProblems);
+      AddProblem(aValue, aPath, "an object", mProblems);
       return;
     }
     ObjectReader reader(aValue, aPath, mProblems);
@@ -275,7 +276,7 @@
   const Json::Value& mObject;
   const FieldPath& mPath;
   FieldProblems& mProblems;
-  absl::InlinedVector<std::string_view, kUsualFields> mKnown;
+  absl::InlinedVector<std::string_view, kTypicalFields> mRequested;
   std::size_t mPresent = 0;
 };
 
@@ -334,13 +335,13 @@
                         NoRule)
 {
   if (!aValue.isArray()) {
-    Complain(aValue, aPath, "a row: an array of columns", mProblems);
+    AddProblem(aValue, aPath, "a row: an array of columns", mProblems);
     return;
   }
   RowReader reader(aValue, aPath, mProblems);
   Columns(reader, aTarget);
   if (!reader.AtEnd()) {
-    Complain(aValue, aPath, "a row without further columns", mProblems);
+    AddProblem(aValue, aPath, "a row without further columns", mProblems);
   }
 }
 
--- a/src/core/message/detail/Scalars.cpp
+++ b/src/core/message/detail/Scalars.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxShownBytes = 60;
+constexpr std::size_t kMaxDescribedBytes = 60;
 
-std::string Shown(const Json::Value& aValue)
+std::string Describe(const Json::Value& aValue)
 {
   if (aValue.isObject()) {
     return "an object";
@@ -28,9 +28,9 @@
     return "a number that is not finite";
   }
   std::string text = FormatJson(aValue);
-  if (text.size() > kMaxShownBytes) {
+  if (text.size() > kMaxDescribedBytes) {
     const std::string length = std::to_string(text.size());
-    text.resize(kMaxShownBytes);
+    text.resize(kMaxDescribedBytes);
     text += "... (" + length + " bytes)";
   }
   return text;
@@ -77,12 +77,12 @@
 
 } // namespace
 
-void Complain(const Json::Value& aValue,
-              const FieldPath& aPath,
-              std::string aAllowed,
-              FieldProblems& aProblems)
+void AddProblem(const Json::Value& aValue,
+                const FieldPath& aPath,
+                std::string aAllowed,
+                FieldProblems& aProblems)
 {
-  aProblems.push_back({ aPath.Text(), Shown(aValue), std::move(aAllowed) });
+  aProblems.push_back({ aPath.Text(), Describe(aValue), std::move(aAllowed) });
 }
 
 bool IsText(const Json::Value& aValue, std::string_view aText)
@@ -107,7 +107,7 @@
       return true;
     }
   }
-  Complain(aValue, aPath, RangeText("integer", aRule), aProblems);
+  AddProblem(aValue, aPath, RangeText("integer", aRule), aProblems);
   return false;
 }
 
@@ -124,7 +124,7 @@
       return true;
     }
   }
-  Complain(aValue, aPath, RangeText("integer", aRule), aProblems);
+  AddProblem(aValue, aPath, RangeText("integer", aRule), aProblems);
   return false;
 }
 
@@ -142,7 +142,7 @@
       return true;
     }
   }
-  Complain(aValue, aPath, RangeText("number", aRule), aProblems);
+  AddProblem(aValue, aPath, RangeText("number", aRule), aProblems);
   return false;
 }
 
@@ -155,7 +155,7 @@
     aTarget = aValue.asBool();
     return true;
   }
-  Complain(aValue, aPath, "true or false", aProblems);
+  AddProblem(aValue, aPath, "true or false", aProblems);
   return false;
 }
 
@@ -172,10 +172,10 @@
       return true;
     }
   }
-  Complain(aValue,
-           aPath,
-           absl::StrCat("UTF-8 text of at most ", aRule.mMaxBytes, " bytes"),
-           aProblems);
+  AddProblem(aValue,
+             aPath,
+             absl::StrCat("UTF-8 text of at most ", aRule.mMaxBytes, " bytes"),
+             aProblems);
   return false;
 }
 
@@ -191,7 +191,7 @@
       return true;
     }
   }
-  Complain(aValue, aPath, IdText(aRule), aProblems);
+  AddProblem(aValue, aPath, IdText(aRule), aProblems);
   return false;
 }
 
@@ -206,7 +206,7 @@
       return true;
     }
   }
-  Complain(aValue, aPath, "an IPv4 number such as 10.0.0.1", aProblems);
+  AddProblem(aValue, aPath, "an IPv4 number such as 10.0.0.1", aProblems);
   return false;
 }
 
--- a/src/core/message/detail/Scalars.h
+++ b/src/core/message/detail/Scalars.h
@@ -15,10 +15,10 @@
 namespace foxtailbarrow::detail {
 
 /// Appends a problem about the value at `aPath`.
-void Complain(const Json::Value& aValue,
-              const FieldPath& aPath,
-              std::string aAllowed,
-              FieldProblems& aProblems);
+void AddProblem(const Json::Value& aValue,
+                const FieldPath& aPath,
+                std::string aAllowed,
+                FieldProblems& aProblems);
 
 /// True when the value is this text.
 bool IsText(const Json::Value& aValue, std::string_view aText);
--- a/src/core/placement/FairOrder.cpp
+++ b/src/core/placement/FairOrder.cpp
@@ -2,7 +2,7 @@
 
 namespace foxtailbarrow {
 
-FairOrder::Turn FairOrder::TurnOf(const CustomerId& aCustomer) const
+FairOrder::Candidate FairOrder::CandidateOf(const CustomerId& aCustomer) const
 {
   return { mQuotas.DominantShare(aCustomer, mTotal),
            mQuotas.UsageOf(aCustomer).mJobs,
@@ -11,17 +11,17 @@
 
 void FairOrder::Push(const CustomerId& aCustomer)
 {
-  mTurns.push(TurnOf(aCustomer));
+  mCandidates.push(CandidateOf(aCustomer));
 }
 
 std::optional<CustomerId> FairOrder::Pop()
 {
-  while (!mTurns.empty()) {
-    const Turn taken = mTurns.top();
-    mTurns.pop();
-    Turn current = TurnOf(taken.mCustomer);
+  while (!mCandidates.empty()) {
+    const Candidate taken = mCandidates.top();
+    mCandidates.pop();
+    Candidate current = CandidateOf(taken.mCustomer);
     if (current > taken) {
-      mTurns.push(std::move(current));
+      mCandidates.push(std::move(current));
       continue;
     }
     return taken.mCustomer;
--- a/src/core/placement/FairOrder.h
+++ b/src/core/placement/FairOrder.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "foxtailbarrow/Id.h"
-#include "src/core/placement/QuotaBook.h"
+#include "src/core/placement/QuotaTracker.h"
 
 namespace foxtailbarrow {
 
@@ -17,7 +17,7 @@
 class FairOrder
 {
 public:
-  FairOrder(const QuotaBook& aQuotas, const Resources& aTotal)
+  FairOrder(const QuotaTracker& aQuotas, const Resources& aTotal)
     : mQuotas(aQuotas)
     , mTotal(aTotal)
   {
@@ -29,24 +29,25 @@
   std::optional<CustomerId> Pop();
 
 private:
-  struct Turn
+  struct Candidate
   {
     double mShare = 0.0;
     std::int32_t mJobs = 0;
     CustomerId mCustomer;
 
-    bool operator>(const Turn& aOther) const
+    bool operator>(const Candidate& aOther) const
     {
       return std::tie(mShare, mJobs, mCustomer) >
              std::tie(aOther.mShare, aOther.mJobs, aOther.mCustomer);
     }
   };
 
-  Turn TurnOf(const CustomerId& aCustomer) const;
+  Candidate CandidateOf(const CustomerId& aCustomer) const;
 
-  const QuotaBook& mQuotas;
+  const QuotaTracker& mQuotas;
   Resources mTotal;
-  std::priority_queue<Turn, std::vector<Turn>, std::greater<>> mTurns;
+  std::priority_queue<Candidate, std::vector<Candidate>, std::greater<>>
+    mCandidates;
 };
 
 } // namespace foxtailbarrow
--- a/src/core/placement/FreeTree.cpp
+++ b/src/core/placement/FreeTree.cpp
@@ -28,7 +28,7 @@
 void FreeTree::Grow()
 {
   const std::size_t leaves = std::max<std::size_t>(16, mLeaves * 2);
-  std::vector<Node> nodes(leaves * 2, kNever);
+  std::vector<Node> nodes(leaves * 2, kUnavailable);
   std::copy_n(mNodes.begin() + static_cast<std::ptrdiff_t>(mLeaves),
               mSize,
               nodes.begin() + static_cast<std::ptrdiff_t>(leaves));
--- a/src/core/placement/FreeTree.h
+++ b/src/core/placement/FreeTree.h
@@ -19,7 +19,7 @@
   using Slot = std::uint32_t;
 
   /// Free amounts of a slot that must never be found.
-  static constexpr Resources kNever{ -1, -1, -1 };
+  static constexpr Resources kUnavailable{ -1, -1, -1 };
 
   /// Adds a slot at the end.
   Slot Add(const Resources& aFree);
--- a/src/core/placement/Placer.cpp
+++ b/src/core/placement/Placer.cpp
@@ -25,9 +25,9 @@
 }
 
 /// What stays free of the scarcer resource, 0..1: less is a tighter fit.
-double Leftover(const Resources& aFree,
-                const Resources& aSize,
-                const Resources& aCapacity)
+double UnusedShare(const Resources& aFree,
+                   const Resources& aSize,
+                   const Resources& aCapacity)
 {
   const Resources left = aFree - aSize;
   return Portion(left.mMillicores, aCapacity.mMillicores) +
@@ -46,7 +46,7 @@
             const Resources& aFree,
             const PlacementLoad& aLoad)
 {
-  const double leftover = Leftover(aFree, aRequest.mSize, aWorker.mCapacity);
+  const double leftover = UnusedShare(aFree, aRequest.mSize, aWorker.mCapacity);
   if (aRequest.mKind == JobKind::Batch) {
     return leftover;
   }
--- a/src/core/placement/QuantileSketch.cpp
+++ b/src/core/placement/QuantileSketch.cpp
@@ -21,14 +21,14 @@
 
 void QuantileSketch::Add(std::int64_t aAmount)
 {
-  if (mCount >= kFull) {
-    Fade();
+  if (mCount >= kMaxCount) {
+    HalveCounts();
   }
   ++mCounts[BucketOf(aAmount)];
   ++mCount;
 }
 
-void QuantileSketch::Fade()
+void QuantileSketch::HalveCounts()
 {
   mCount = 0;
   for (std::uint16_t& count : mCounts) {
--- a/src/core/placement/QuantileSketch.h
+++ b/src/core/placement/QuantileSketch.h
@@ -21,10 +21,10 @@
 
 private:
   static constexpr std::size_t kBuckets = 160;
-  static constexpr std::uint32_t kFull = 256;
+  static constexpr std::uint32_t kMaxCount = 256;
 
   static std::size_t BucketOf(std::int64_t aAmount);
-  void Fade();
+  void HalveCounts();
 
   std::array<std::uint16_t, kBuckets> mCounts{};
   std::uint32_t mCount = 0;
--- a/src/core/placement/FailureJudge.cpp
+++ b/src/core/placement/QuarantinePolicy.cpp
@@ -1,12 +1,12 @@
-#include "src/core/placement/FailureJudge.h"
+#include "src/core/placement/QuarantinePolicy.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace foxtailbarrow {
 
-FailureJudge::WorkerRecord& FailureJudge::RecordOf(WorkerSlot aWorker,
-                                                   Instant aNow)
+QuarantinePolicy::WorkerRecord& QuarantinePolicy::RecordOf(WorkerSlot aWorker,
+                                                           Instant aNow)
 {
   WorkerRecord& record = mWorkers[aWorker];
   if (aNow >= record.mWindowEnds) {
@@ -17,7 +17,7 @@
 }
 
 /// Starts a worker's window anew and takes its runs out of the totals.
-void FailureJudge::Forget(WorkerRecord& aRecord)
+void QuarantinePolicy::Forget(WorkerRecord& aRecord)
 {
   for (const auto& [program, tally] : aRecord.mPrograms) {
     const auto total = mPrograms.find(program);
@@ -31,19 +31,19 @@
   aRecord.mFailedJobs.clear();
 }
 
-void FailureJudge::Succeeded(WorkerSlot aWorker,
-                             const ProgramKey& aProgram,
-                             Instant aNow)
+void QuarantinePolicy::Succeeded(WorkerSlot aWorker,
+                                 const ProgramKey& aProgram,
+                                 Instant aNow)
 {
   ++RecordOf(aWorker, aNow).mPrograms[aProgram].mRuns;
   ++mPrograms[aProgram].mRuns;
 }
 
-bool FailureJudge::Failed(WorkerSlot aWorker,
-                          const JobId& aJob,
-                          const ProgramKey& aProgram,
-                          std::size_t aWorkers,
-                          Instant aNow)
+bool QuarantinePolicy::Failed(WorkerSlot aWorker,
+                              const JobId& aJob,
+                              const ProgramKey& aProgram,
+                              std::size_t aWorkers,
+                              Instant aNow)
 {
   WorkerRecord& record = RecordOf(aWorker, aNow);
   Tally& here = record.mPrograms[aProgram];
@@ -55,7 +55,7 @@
   record.mFailedJobs.insert(aJob);
   const double share = mSettings.mMaxShare * static_cast<double>(aWorkers);
   const auto limit = std::max<std::size_t>(1, static_cast<std::size_t>(share));
-  if (record.mUntil || mQuarantined >= limit || !Convicts(record)) {
+  if (record.mUntil || mQuarantined >= limit || !ExceedsFailureBound(record)) {
     return false;
   }
   record.mPause = record.mPause == Duration{}
@@ -68,15 +68,15 @@
 
 /// True when the failures exceed those to expect, were the worker like all
 /// others, by more than chance explains.
-bool FailureJudge::Convicts(const WorkerRecord& aRecord) const
+bool QuarantinePolicy::ExceedsFailureBound(const WorkerRecord& aRecord) const
 {
   // Before anything is known of a program, a tenth of its runs may fail.
   constexpr double kPriorFailures = 0.5;
   constexpr double kPriorRuns = 5.0;
-  constexpr double kLeastVariance = 0.5;
+  constexpr double kMinVariance = 0.5;
   constexpr double kProbationDivisor = 3.0;
   double excess = 0.0;
-  double variance = kLeastVariance;
+  double variance = kMinVariance;
   for (const auto& [program, here] : aRecord.mPrograms) {
     const Tally& total = mPrograms.at(program);
     const double rate = (total.mFailures - here.mFailures + kPriorFailures) /
@@ -92,7 +92,7 @@
          excess >= deviations * std::sqrt(variance);
 }
 
-std::vector<WorkerSlot> FailureJudge::Readmitted(Instant aNow)
+std::vector<WorkerSlot> QuarantinePolicy::EndQuarantines(Instant aNow)
 {
   std::vector<WorkerSlot> readmitted;
   if (mQuarantined == 0) {
--- a/src/core/placement/FailureJudge.h
+++ b/src/core/placement/QuarantinePolicy.h
@@ -19,7 +19,7 @@
 /// program that fails everywhere is no evidence against any worker. After a
 /// pause the worker is tried again and judged more strictly; the pause doubles
 /// each time. At most a fixed share of the workers is in quarantine.
-class FailureJudge
+class QuarantinePolicy
 {
 public:
   struct Settings
@@ -32,8 +32,8 @@
     Duration mMaxPause = std::chrono::hours(1);
   };
 
-  FailureJudge() = default;
-  explicit FailureJudge(const Settings& aSettings)
+  QuarantinePolicy() = default;
+  explicit QuarantinePolicy(const Settings& aSettings)
     : mSettings(aSettings)
   {
   }
@@ -48,7 +48,7 @@
               Instant aNow);
 
   /// Workers whose quarantine ends now: they are on probation.
-  std::vector<WorkerSlot> Readmitted(Instant aNow);
+  std::vector<WorkerSlot> EndQuarantines(Instant aNow);
 
   std::size_t QuarantinedCount() const { return mQuarantined; }
 
@@ -70,7 +70,7 @@
 
   WorkerRecord& RecordOf(WorkerSlot aWorker, Instant aNow);
   void Forget(WorkerRecord& aRecord);
-  bool Convicts(const WorkerRecord& aRecord) const;
+  bool ExceedsFailureBound(const WorkerRecord& aRecord) const;
 
   Settings mSettings;
   absl::flat_hash_map<WorkerSlot, WorkerRecord> mWorkers;
--- a/src/core/placement/QuotaBook.cpp
+++ b/src/core/placement/QuotaTracker.cpp
@@ -1,4 +1,4 @@
-#include "src/core/placement/QuotaBook.h"
+#include "src/core/placement/QuotaTracker.h"
 
 #include <algorithm>
 
@@ -28,23 +28,23 @@
 
 } // namespace
 
-void QuotaBook::Apply(const Contract& aContract)
+void QuotaTracker::Apply(const Contract& aContract)
 {
   const TeamId before = TeamOf(aContract.mCustomer);
   mContracts[aContract.mCustomer] = aContract;
-  Shift(before, aContract.mTeam, aContract.mCustomer);
+  MoveUsage(before, aContract.mTeam, aContract.mCustomer);
 }
 
-void QuotaBook::Remove(const CustomerId& aCustomer)
+void QuotaTracker::Remove(const CustomerId& aCustomer)
 {
   const TeamId before = TeamOf(aCustomer);
   mContracts.erase(aCustomer);
-  Shift(before, TeamOf(aCustomer), aCustomer);
+  MoveUsage(before, TeamOf(aCustomer), aCustomer);
 }
 
-void QuotaBook::Shift(const TeamId& aFrom,
-                      const TeamId& aTo,
-                      const CustomerId& aWho)
+void QuotaTracker::MoveUsage(const TeamId& aFrom,
+                             const TeamId& aTo,
+                             const CustomerId& aWho)
 {
   const QuotaUsage usage = UsageOf(aWho);
   if (aFrom == aTo || usage.mJobs == 0) {
@@ -55,14 +55,14 @@
   mTeams[aTo].mJobs += usage.mJobs;
 }
 
-const Contract* QuotaBook::Find(const CustomerId& aCustomer) const
+const Contract* QuotaTracker::Find(const CustomerId& aCustomer) const
 {
   const auto found = mContracts.find(aCustomer);
   return found == mContracts.end() ? nullptr : &found->second;
 }
 
-Reason QuotaBook::Check(const CustomerId& aCustomer,
-                        const Resources& aSize) const
+Reason QuotaTracker::Check(const CustomerId& aCustomer,
+                           const Resources& aSize) const
 {
   const Contract* contract = Find(aCustomer);
   if (contract == nullptr) {
@@ -74,14 +74,14 @@
   return within ? Reason::None : Reason::WaitingForQuota;
 }
 
-bool QuotaBook::CanEverRun(const CustomerId& aCustomer,
-                           const Resources& aSize) const
+bool QuotaTracker::CanEverRun(const CustomerId& aCustomer,
+                              const Resources& aSize) const
 {
   const Contract* contract = Find(aCustomer);
   return contract == nullptr || aSize.FitsIn(contract->mBatch.mTotal);
 }
 
-void QuotaBook::Add(const CustomerId& aCustomer, const Resources& aSize)
+void QuotaTracker::Add(const CustomerId& aCustomer, const Resources& aSize)
 {
   QuotaUsage& customer = mCustomers[aCustomer];
   customer.mHeld += aSize;
@@ -91,20 +91,20 @@
   ++team.mJobs;
 }
 
-void QuotaBook::Subtract(const CustomerId& aCustomer, const Resources& aSize)
+void QuotaTracker::Subtract(const CustomerId& aCustomer, const Resources& aSize)
 {
   Take(mCustomers, aCustomer, aSize, 1);
   Take(mTeams, TeamOf(aCustomer), aSize, 1);
 }
 
-QuotaUsage QuotaBook::UsageOf(const CustomerId& aCustomer) const
+QuotaUsage QuotaTracker::UsageOf(const CustomerId& aCustomer) const
 {
   const auto found = mCustomers.find(aCustomer);
   return found == mCustomers.end() ? QuotaUsage{} : found->second;
 }
 
-double QuotaBook::DominantShare(const CustomerId& aCustomer,
-                                const Resources& aTotal) const
+double QuotaTracker::DominantShare(const CustomerId& aCustomer,
+                                   const Resources& aTotal) const
 {
   const auto found = mTeams.find(TeamOf(aCustomer));
   if (found == mTeams.end()) {
@@ -116,7 +116,7 @@
                     Part(held.mAccelerators, aTotal.mAccelerators) });
 }
 
-const TeamId& QuotaBook::TeamOf(const CustomerId& aCustomer) const
+const TeamId& QuotaTracker::TeamOf(const CustomerId& aCustomer) const
 {
   static const TeamId sNoTeam;
   const Contract* contract = Find(aCustomer);
--- a/src/core/placement/QuotaBook.h
+++ b/src/core/placement/QuotaTracker.h
@@ -22,7 +22,7 @@
 /// team has had least. Exact for a customer, since one process owns all its
 /// jobs; per process for a team. A job counts from before its assignment is
 /// written until it certainly runs no more.
-class QuotaBook
+class QuotaTracker
 {
 public:
   void Apply(const Contract& aContract);
@@ -48,7 +48,9 @@
 
 private:
   const TeamId& TeamOf(const CustomerId& aCustomer) const;
-  void Shift(const TeamId& aFrom, const TeamId& aTo, const CustomerId& aWho);
+  void MoveUsage(const TeamId& aFrom,
+                 const TeamId& aTo,
+                 const CustomerId& aWho);
 
   absl::flat_hash_map<CustomerId, Contract> mContracts;
   absl::flat_hash_map<CustomerId, QuotaUsage> mCustomers;
--- a/src/core/placement/SizeLearner.cpp
+++ b/src/core/placement/SizeLearner.cpp
@@ -13,7 +13,7 @@
 constexpr double kMemoryMargin = 1.1;
 /// Usage above this part of the reservation may have been cut off by it.
 constexpr double kNearlyAll = 0.9;
-constexpr Resources kLeast{ 50, 32, 0 };
+constexpr Resources kMinSize{ 50, 32, 0 };
 
 std::int64_t Scaled(std::int64_t aAmount, double aFactor)
 {
@@ -50,7 +50,7 @@
   Learned& learned = mPrograms[aKey];
   if (aRun.mPeak.mMillicores > 0) {
     learned.mMillicores.Add(aRun.mPeak.mMillicores);
-    learned.mMillicoresSought =
+    learned.mMillicoresToTry =
       WasCutOff(aRun) ? aRun.mReserved.mMillicores * 2 : 0;
   }
   if (aRun.mMemoryOverrun) {
@@ -78,13 +78,13 @@
                                  kProcessorQuantile,
                                  kProcessorMargin,
                                  aDeclared.mMillicores,
-                                 kLeast.mMillicores);
-  size.mMillicores = std::max(size.mMillicores, learned.mMillicoresSought);
+                                 kMinSize.mMillicores);
+  size.mMillicores = std::max(size.mMillicores, learned.mMillicoresToTry);
   size.mMemoryMb = Reservation(learned.mMemoryMb,
                                kMemoryQuantile,
                                kMemoryMargin,
                                aDeclared.mMemoryMb,
-                               kLeast.mMemoryMb);
+                               kMinSize.mMemoryMb);
   return size;
 }
 
--- a/src/core/placement/SizeLearner.h
+++ b/src/core/placement/SizeLearner.h
@@ -67,7 +67,7 @@
   struct Learned
   {
     QuantileSketch mMillicores;
-    std::int64_t mMillicoresSought = 0; ///< Twice the last that was cut off.
+    std::int64_t mMillicoresToTry = 0; ///< Twice the last that was cut off.
     QuantileSketch mMemoryMb;
     QuantileSketch mRunTimeMs;
   };
--- a/src/core/placement/WorkerIndex.cpp
+++ b/src/core/placement/WorkerIndex.cpp
@@ -24,7 +24,7 @@
   const WorkerSlot slot = known ? *known : Add(aHeartbeat);
   WorkerInfo& worker = mWorkers[slot];
   if (!worker.mSuspect) {
-    mBySeen.erase({ worker.mSeen, slot });
+    mByHeartbeat.erase({ worker.mHeartbeatAt, slot });
     mTotal -= worker.mCapacity;
   }
   worker.mEndpoint = aHeartbeat.mEndpoint;
@@ -35,10 +35,10 @@
   worker.mState = aHeartbeat.mState;
   worker.mCapacity = aHeartbeat.mLoad.mCapacity;
   worker.mReserved = aHeartbeat.mLoad.mReserved;
-  worker.mSeen = aNow;
+  worker.mHeartbeatAt = aNow;
   worker.mSuspect = false;
   mTotal += worker.mCapacity;
-  mBySeen.insert({ aNow, slot });
+  mByHeartbeat.insert({ aNow, slot });
   mCapacities.Set(slot, worker.mCapacity);
   Refresh(slot);
   return slot;
@@ -46,8 +46,8 @@
 
 WorkerSlot WorkerIndex::Add(const Heartbeat& aHeartbeat)
 {
-  const WorkerSlot slot = mFree.Add(FreeTree::kNever);
-  mCapacities.Add(FreeTree::kNever);
+  const WorkerSlot slot = mFree.Add(FreeTree::kUnavailable);
+  mCapacities.Add(FreeTree::kUnavailable);
   WorkerInfo worker;
   worker.mAgent = aHeartbeat.mAgent;
   worker.mSuspect = true;
@@ -56,12 +56,13 @@
   return slot;
 }
 
-int WorkerIndex::Sweep(Instant aNow, Duration aSilence)
+int WorkerIndex::MarkSuspects(Instant aNow, Duration aSilence)
 {
   int count = 0;
-  while (!mBySeen.empty() && mBySeen.begin()->first + aSilence < aNow) {
-    const WorkerSlot slot = mBySeen.begin()->second;
-    mBySeen.erase(mBySeen.begin());
+  while (!mByHeartbeat.empty() &&
+         mByHeartbeat.begin()->first + aSilence < aNow) {
+    const WorkerSlot slot = mByHeartbeat.begin()->second;
+    mByHeartbeat.erase(mByHeartbeat.begin());
     mWorkers[slot].mSuspect = true;
     mTotal -= mWorkers[slot].mCapacity;
     Refresh(slot);
@@ -105,7 +106,7 @@
 Resources WorkerIndex::Free(WorkerSlot aSlot) const
 {
   if (!Placeable(aSlot)) {
-    return FreeTree::kNever;
+    return FreeTree::kUnavailable;
   }
   const WorkerInfo& worker = mWorkers[aSlot];
   return worker.mCapacity - worker.mReserved - worker.mPending;
@@ -135,7 +136,7 @@
   return mWorkers.capacity() * sizeof(WorkerInfo) +
          mSlots.capacity() * (sizeof(AgentId) + sizeof(WorkerSlot) + 1) +
          mFree.MemoryBytes() + mCapacities.MemoryBytes() +
-         mBySeen.size() * sizeof(std::pair<Instant, WorkerSlot>) * 3 / 2;
+         mByHeartbeat.size() * sizeof(std::pair<Instant, WorkerSlot>) * 3 / 2;
 }
 
 } // namespace foxtailbarrow
--- a/src/core/placement/WorkerIndex.h
+++ b/src/core/placement/WorkerIndex.h
@@ -31,9 +31,9 @@
   std::uint64_t mSequence = 0; ///< Of the newest heartbeat.
   ServingState mState = ServingState::Starting;
   Resources mCapacity;
-  Resources mReserved; ///< As the agent's ledger says.
-  Resources mPending;  ///< Placed by this process, not yet in the ledger's.
-  Instant mSeen{};     ///< When the newest heartbeat came.
+  Resources mReserved;    ///< As the agent's ledger says.
+  Resources mPending;     ///< Placed by this process, not yet in the ledger's.
+  Instant mHeartbeatAt{}; ///< When the newest heartbeat came.
   bool mQuarantined = false;
   bool mSuspect = false; ///< Its heartbeats stopped.
 };
@@ -50,7 +50,7 @@
 
   /// Marks workers silent since before `aNow - aSilence` as suspect: nothing
   /// is placed there. Returns how many became so.
-  int Sweep(Instant aNow, Duration aSilence);
+  int MarkSuspects(Instant aNow, Duration aSilence);
 
   void AddPending(WorkerSlot aSlot, const Resources& aSize);
   void RemovePending(WorkerSlot aSlot, const Resources& aSize);
@@ -90,7 +90,8 @@
   FreeTree mFree;
   FreeTree mCapacities;
   Resources mTotal; ///< Of workers that are not suspect.
-  absl::btree_set<std::pair<Instant, WorkerSlot>> mBySeen; ///< Not suspect.
+  absl::btree_set<std::pair<Instant, WorkerSlot>>
+    mByHeartbeat; ///< Not suspect.
 };
 
 } // namespace foxtailbarrow
--- a/src/core/retry/RetryBudget.cpp
+++ b/src/core/retry/RetryBudget.cpp
@@ -28,7 +28,7 @@
 {
 }
 
-void RetryBudget::FirstAttempt()
+void RetryBudget::OnFirstAttempt()
 {
   Add(Millitokens(mSettings.mRatio));
 }
--- a/src/core/retry/RetryBudget.h
+++ b/src/core/retry/RetryBudget.h
@@ -24,7 +24,7 @@
   RetryBudget(RetryBudgetSettings aSettings, Instant aNow);
 
   /// Call for the first attempt of each request.
-  void FirstAttempt();
+  void OnFirstAttempt();
 
   /// Takes one token; false when there is none.
   bool TryTake(Instant aNow);
--- a/src/core/retry/RetryDecision.h
+++ b/src/core/retry/RetryDecision.h
@@ -13,7 +13,7 @@
 struct Retry
 {
   Duration mDelay{};
-  bool mElsewhere = true; ///< Exclude the agents tried so far.
+  bool mExcludeTried = true; ///< Exclude the agents tried so far.
 };
 
 /// Answer the caller now.
--- a/src/core/retry/RetryPolicy.cpp
+++ b/src/core/retry/RetryPolicy.cpp
@@ -11,7 +11,7 @@
 
 Verdict VerdictOfAll(const FailedAttempt& aAttempt)
 {
-  return WorstVerdict(aAttempt.mVerdict, aAttempt.mEarlier);
+  return WorstVerdict(aAttempt.mVerdict, aAttempt.mEarlierVerdict);
 }
 
 bool IsSafeToRepeat(const FailedAttempt& aAttempt)
@@ -23,7 +23,7 @@
 
 /// Refusals that no other agent would decide differently. A duplicate that was
 /// not run is none: the agent had promised not to run it, another may.
-bool IsSameElsewhere(const FailedAttempt& aAttempt)
+bool IsFinalRefusal(const FailedAttempt& aAttempt)
 {
   switch (aAttempt.mReason) {
     case Reason::NoContract:
@@ -44,12 +44,12 @@
                                   Instant aNow,
                                   absl::BitGenRef aRandom) const
 {
-  if (!IsSafeToRepeat(aAttempt) || IsSameElsewhere(aAttempt) ||
+  if (!IsSafeToRepeat(aAttempt) || IsFinalRefusal(aAttempt) ||
       aAttempt.mAttempts >= mSettings.mMaxAttempts) {
     return GiveUpFor(aAttempt, aAttempt.mReason, aRandom);
   }
   const Duration delay = Delay(aAttempt.mAttempts, aRandom);
-  if (aAttempt.mRemaining < delay + mSettings.mLeastTime) {
+  if (aAttempt.mRemaining < delay + mSettings.mMinRemaining) {
     return GiveUpFor(aAttempt, Reason::DeadlineTooShort, aRandom);
   }
   if (!aBudget.TryTake(aNow)) {
--- a/src/core/retry/RetryPolicy.h
+++ b/src/core/retry/RetryPolicy.h
@@ -17,7 +17,7 @@
   int mMaxAttempts = 3;
   Duration mFirstDelay = std::chrono::milliseconds(2); ///< Doubled each time.
   Duration mLongestDelay = std::chrono::milliseconds(50);
-  Duration mLeastTime = std::chrono::milliseconds(5); ///< To be worth a try.
+  Duration mMinRemaining = std::chrono::milliseconds(5); ///< To be worth a try.
   Duration mRetryAfter = std::chrono::seconds(1);
 };
 
@@ -25,8 +25,9 @@
 struct FailedAttempt
 {
   Verdict mVerdict = Verdict::MayHaveRun; ///< Of this attempt.
-  Verdict mEarlier = Verdict::NotRun;     ///< WorstVerdict() of those before.
-  Reason mReason = Reason::None;          ///< Set when the agent refused.
+  Verdict mEarlierVerdict =
+    Verdict::NotRun;             ///< WorstVerdict() of those before.
+  Reason mReason = Reason::None; ///< Set when the agent refused.
   bool mIdempotent = false;
   int mAttempts = 1;                   ///< Made so far, this one included.
   Duration mRemaining{};               ///< Until the caller's deadline.
--- a/src/core/routing/AgentGauges.h
+++ b/src/core/routing/AgentRoutingState.h
@@ -1,15 +1,15 @@
 #pragma once
 
 #include "src/core/routing/AgentHealth.h"
-#include "src/core/routing/LoadGauge.h"
+#include "src/core/routing/LoadEstimator.h"
 
 namespace foxtailbarrow {
 
 /// The changing part of what an entry knows of one agent incarnation. Shared by
 /// all routing tables that list it, so a new table loses nothing.
-struct AgentGauges
+struct AgentRoutingState
 {
-  LoadGauge mLoad;
+  LoadEstimator mLoad;
   AgentHealth mHealth;
 };
 
--- a/src/core/routing/CandidateCheck.cpp
+++ b/src/core/routing/CandidateCheck.cpp
@@ -27,14 +27,14 @@
   if (aContext.IsExcluded(aAgent)) {
     return {};
   }
-  const AgentHealth& health = aAgent.mGauges->mHealth;
+  const AgentHealth& health = aAgent.mRoutingState->mHealth;
   if (health.mState.load(std::memory_order_acquire) == HealthState::Ejected) {
     const bool due =
       IsProbeDue(health, aContext.mRequest.mIdempotent, aContext.mNow);
     return due ? Candidate{ &aAgent, 0.0, true } : Candidate{};
   }
   const LoadEstimate load =
-    aAgent.mGauges->mLoad.Estimate(aContext.mNow, mSettings.mReportFade);
+    aAgent.mRoutingState->mLoad.Estimate(aContext.mNow, mSettings.mReportDecay);
   if (load.mRequests >= load.mSlots * (1.0 + mSettings.mMaxWaitingPerSlot)) {
     return {};
   }
@@ -47,16 +47,16 @@
   if (!aCandidate.mIsProbe) {
     return true;
   }
-  auto& probeUntil = aCandidate.mAgent->mGauges->mHealth.mProbeUntil;
+  auto& probeUntil = aCandidate.mAgent->mRoutingState->mHealth.mProbeUntil;
   Instant last = probeUntil.load(std::memory_order_relaxed);
   return aNow >= last && probeUntil.compare_exchange_strong(
-                           last, aNow + mSettings.mLongestProbe);
+                           last, aNow + mSettings.mProbeTimeout);
 }
 
 double CandidateCheck::Weight(const RoutableAgent& aAgent, Instant aNow) const
 {
   const Instant readmitted =
-    aAgent.mGauges->mHealth.mReadmittedAt.load(std::memory_order_relaxed);
+    aAgent.mRoutingState->mHealth.mReadmittedAt.load(std::memory_order_relaxed);
   const Duration age = aNow - std::max(aAgent.mServingSince, readmitted);
   if (age >= mSettings.mSlowStart) {
     return 1.0;
--- a/src/core/routing/Choice.h
+++ b/src/core/routing/Choice.h
@@ -12,7 +12,7 @@
 namespace foxtailbarrow {
 
 /// An agent to ask by `agent.revoke` whether a request ran there.
-struct AskFirst
+struct RevokeTarget
 {
   RoutableAgentPointer mAgent;
 
@@ -27,7 +27,7 @@
 
   /// The request may go to mAgent only when each of these answered NotRun.
   /// Empty but for keyed requests when agents change or are busy.
-  std::vector<AskFirst> mAskFirst;
+  std::vector<RevokeTarget> mRevokeFirst;
 
   /// The one request that tries an ejected agent again.
   bool mIsProbe = false;
--- a/src/core/routing/KeyedPick.cpp
+++ b/src/core/routing/KeyedPick.cpp
@@ -20,12 +20,12 @@
          (mScore == aOther.mScore && mIndex < aOther.mIndex);
 }
 
-KeyedPlace KeyedPick::Pick(const PickContext& aContext) const
+KeyedChoice KeyedPick::Pick(const PickContext& aContext) const
 {
   const PickRequest& request = aContext.mRequest;
   const std::uint64_t key = HashOf(request);
   const Instant windowStart = aContext.mNow - mSettings.mWindow;
-  KeyedPlace place;
+  KeyedChoice place;
   // Since then, the candidate or one after it was there to take the key.
   Instant heldSince = Instant::max();
   std::optional<Member> member;
@@ -35,29 +35,29 @@
       break;
     }
     const RoutableAgent& agent = *member->mAgent;
-    const bool isServing = member->mStanding == Standing::Serving;
+    const bool isServing = member->mState == MemberState::Serving;
     const bool isNewcomer =
       isServing && agent.mKnownSince > aContext.mNow - mSettings.mJoinDelay;
     const bool cameLater = place.mCandidate && agent.mKnownSince >= heldSince;
-    if (cameLater || (isNewcomer && !request.mKeyPassedOn)) {
+    if (cameLater || (isNewcomer && !request.mKeyRevoked)) {
       continue;
     }
-    if (isNewcomer || member->mStanding == Standing::Lost) {
+    if (isNewcomer || member->mState == MemberState::Lost) {
       return { {}, {}, true };
     }
     if (!place.mCandidate && isServing) {
       place.mCandidate = mCheck.Examine(aContext, agent);
     }
     if (place.mCandidate.mAgent != &agent) {
-      place.mAskFirst.push_back({ &agent, bool(place.mCandidate) });
+      place.mRevokeFirst.push_back({ &agent, bool(place.mCandidate) });
     }
     if (place.mCandidate && isServing) {
       heldSince = agent.mKnownSince;
     }
-    const std::size_t most =
-      place.mCandidate ? mSettings.mMaxAskedBefore + mSettings.mMaxAskedAfter
-                       : mSettings.mMaxAskedBefore;
-    if (place.mAskFirst.size() > most) {
+    const std::size_t most = place.mCandidate ? mSettings.mMaxRevokesBefore +
+                                                  mSettings.mMaxRevokesAfter
+                                              : mSettings.mMaxRevokesBefore;
+    if (place.mRevokeFirst.size() > most) {
       return {};
     }
   }
@@ -73,25 +73,26 @@
   Member best;
   std::size_t index = 0;
   const auto consider =
-    [&](std::uint64_t aHash, const auto& aAgent, Standing aStanding) {
-      const Member next{ MixBits(aHash ^ aKey), index++, &*aAgent, aStanding };
+    [&](std::uint64_t aHash, const auto& aAgent, MemberState aState) {
+      const Member next{ MixBits(aHash ^ aKey), index++, &*aAgent, aState };
       if ((best.mAgent == nullptr || next.IsBefore(best)) &&
           (!aLast.has_value() || aLast->IsBefore(next))) {
         best = next;
       }
     };
   for (std::size_t i = 0; i < service.mServing.size(); ++i) {
-    consider(service.mServingHashes[i], service.mServing[i], Standing::Serving);
+    consider(
+      service.mServingHashes[i], service.mServing[i], MemberState::Serving);
   }
-  const Standing suspect =
-    service.mServing.empty() ? Standing::Serving : Standing::Reachable;
+  const MemberState suspect =
+    service.mServing.empty() ? MemberState::Serving : MemberState::Reachable;
   for (const RoutableAgentPointer& agent : service.mSuspect) {
     consider(agent->mHash, agent, suspect);
   }
   for (const FormerAgent& former : service.mFormer) {
     consider(former.mAgent->mHash,
              former.mAgent,
-             former.mReachable ? Standing::Reachable : Standing::Lost);
+             former.mReachable ? MemberState::Reachable : MemberState::Lost);
   }
   return best.mAgent == nullptr ? std::nullopt : std::optional(best);
 }
--- a/src/core/routing/KeyedPick.h
+++ b/src/core/routing/KeyedPick.h
@@ -11,19 +11,19 @@
 
 namespace foxtailbarrow {
 
-/// An agent that must promise first; see AskFirst.
-struct KeyedAsk
+/// An agent that must promise first; see RevokeTarget.
+struct KeyedRevokeTarget
 {
   const RoutableAgent* mAgent = nullptr;
   bool mMustBeFirstPromise = false;
 };
 
 /// Where a keyed request may run.
-struct KeyedPlace
+struct KeyedChoice
 {
   Candidate mCandidate; ///< Empty: none can take it now.
-  std::vector<KeyedAsk> mAskFirst;
-  bool mIsHolderLost = false;
+  std::vector<KeyedRevokeTarget> mRevokeFirst;
+  bool mKeyHolderLost = false;
 };
 
 /// Decides which agent gets a request that has an idempotency key and is not
@@ -60,7 +60,7 @@
   {
   }
 
-  KeyedPlace Pick(const PickContext& aContext) const;
+  KeyedChoice Pick(const PickContext& aContext) const;
 
   /// As CandidateCheck::Claim().
   bool Claim(const Candidate& aCandidate, Instant aNow) const
@@ -69,7 +69,7 @@
   }
 
 private:
-  enum class Standing : std::uint8_t
+  enum class MemberState : std::uint8_t
   {
     Serving,
     Reachable, ///< Suspect or draining: can be asked, gets nothing new.
@@ -81,7 +81,7 @@
     std::uint64_t mScore = 0;
     std::size_t mIndex = 0; ///< Orders equal scores.
     const RoutableAgent* mAgent = nullptr;
-    Standing mStanding = Standing::Serving;
+    MemberState mState = MemberState::Serving;
 
     bool IsBefore(const Member& aOther) const;
   };
--- a/src/core/routing/KeyedSettings.h
+++ b/src/core/routing/KeyedSettings.h
@@ -21,12 +21,12 @@
   /// Agents before the one that takes the key that are asked for one request:
   /// full, ejected, draining or suspect ones. Beyond it the request is refused,
   /// so that an overload does not multiply messages.
-  std::size_t mMaxAskedBefore = 3;
+  std::size_t mMaxRevokesBefore = 3;
 
   /// Agents after it that are asked, since they may have held its place within
   /// the window. In a fleet whose n agents all started within it, ln(n) on
   /// average.
-  std::size_t mMaxAskedAfter = 24;
+  std::size_t mMaxRevokesAfter = 24;
 };
 
 } // namespace foxtailbarrow
--- a/src/core/routing/LoadGauge.cpp
+++ b/src/core/routing/LoadEstimator.cpp
@@ -1,4 +1,4 @@
-#include "src/core/routing/LoadGauge.h"
+#include "src/core/routing/LoadEstimator.h"
 
 #include <algorithm>
 #include <limits>
@@ -28,7 +28,7 @@
 
 } // namespace
 
-void LoadGauge::Report(const LoadFigures& aFigures, Instant aNow)
+void LoadEstimator::Report(const LoadSnapshot& aFigures, Instant aNow)
 {
   const std::int32_t total = aFigures.mSlotsInUse + aFigures.mWaiting;
   const std::int32_t others = total - InFlight();
@@ -37,7 +37,7 @@
                 std::memory_order_relaxed);
 }
 
-LoadEstimate LoadGauge::Estimate(Instant aNow, Duration aFade) const
+LoadEstimate LoadEstimator::Estimate(Instant aNow, Duration aFade) const
 {
   const std::uint64_t report = mReport.load(std::memory_order_relaxed);
   const auto others = static_cast<std::uint16_t>(report >> kOthersShift);
--- a/src/core/routing/LoadGauge.h
+++ b/src/core/routing/LoadEstimator.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 
 #include "foxtailbarrow/Time.h"
-#include "src/core/routing/LoadFigures.h"
+#include "src/core/routing/LoadSnapshot.h"
 
 namespace foxtailbarrow {
 
@@ -23,7 +23,7 @@
 /// beyond this entry's own at the time of the report is taken as the others'
 /// and fades linearly to nothing over the fade time, since an old report says
 /// nothing of what is there now.
-class LoadGauge
+class LoadEstimator
 {
 public:
   void Start() { mInFlight.fetch_add(1, std::memory_order_relaxed); }
@@ -35,7 +35,7 @@
     return mInFlight.load(std::memory_order_relaxed);
   }
 
-  void Report(const LoadFigures& aFigures, Instant aNow);
+  void Report(const LoadSnapshot& aFigures, Instant aNow);
 
   LoadEstimate Estimate(Instant aNow, Duration aFade) const;
 
--- a/src/core/routing/LoadFigures.cpp
+++ b/src/core/routing/LoadSnapshot.cpp
@@ -1,4 +1,4 @@
-#include "src/core/routing/LoadFigures.h"
+#include "src/core/routing/LoadSnapshot.h"
 
 #include <array>
 #include <charconv>
@@ -6,19 +6,19 @@
 
 namespace foxtailbarrow {
 
-LoadFigures FiguresOf(const LoadReport& aReport)
+LoadSnapshot ToLoadSnapshot(const LoadReport& aReport)
 {
   return { aReport.mSlotsInUse, aReport.mSlots, aReport.mWaiting };
 }
 
-std::string ToString(const LoadFigures& aFigures)
+std::string ToString(const LoadSnapshot& aFigures)
 {
   return std::to_string(aFigures.mSlotsInUse) + '/' +
          std::to_string(aFigures.mSlots) + '/' +
          std::to_string(aFigures.mWaiting);
 }
 
-std::optional<LoadFigures> ParseLoadFigures(std::string_view aText)
+std::optional<LoadSnapshot> ParseLoadSnapshot(std::string_view aText)
 {
   std::array<std::int32_t, 3> numbers{};
   const char* next = aText.data();
@@ -36,7 +36,7 @@
   if (next != end) {
     return std::nullopt;
   }
-  return LoadFigures{ numbers[0], numbers[1], numbers[2] };
+  return LoadSnapshot{ numbers[0], numbers[1], numbers[2] };
 }
 
 } // namespace foxtailbarrow
--- a/src/core/routing/OutlierDetector.cpp
+++ b/src/core/routing/OutlierDetector.cpp
@@ -22,7 +22,7 @@
 {
   std::vector<Duration> means;
   for (const RoutableAgentPointer& agent : aService.Routable()) {
-    const AgentHealth& health = agent->mGauges->mHealth;
+    const AgentHealth& health = agent->mRoutingState->mHealth;
     if (health.mMeanLatency > Duration::zero() && !IsEjected(health)) {
       means.push_back(health.mMeanLatency);
     }
@@ -38,15 +38,15 @@
 
 } // namespace
 
-void OutlierDetector::Finished(const RoutableAgent& aAgent,
-                               Outcome aOutcome,
-                               Duration aLatency,
-                               bool aWasProbe,
-                               Instant aNow) const
+void OutlierDetector::OnFinished(const RoutableAgent& aAgent,
+                                 Outcome aOutcome,
+                                 Duration aLatency,
+                                 bool aWasProbe,
+                                 Instant aNow) const
 {
-  AgentHealth& health = aAgent.mGauges->mHealth;
+  AgentHealth& health = aAgent.mRoutingState->mHealth;
   if (aWasProbe) {
-    FinishProbe(aAgent, aOutcome, aNow);
+    OnProbeFinished(aAgent, aOutcome, aNow);
     return;
   }
   if (aOutcome == Outcome::Success) {
@@ -66,13 +66,13 @@
   }
 }
 
-void OutlierDetector::FinishProbe(const RoutableAgent& aAgent,
-                                  Outcome aOutcome,
-                                  Instant aNow) const
+void OutlierDetector::OnProbeFinished(const RoutableAgent& aAgent,
+                                      Outcome aOutcome,
+                                      Instant aNow) const
 {
-  AgentHealth& health = aAgent.mGauges->mHealth;
+  AgentHealth& health = aAgent.mRoutingState->mHealth;
   if (aOutcome == Outcome::Failure) {
-    EjectLonger(aAgent, aNow);
+    ExtendEjection(aAgent, aNow);
   }
   if (aOutcome == Outcome::Success &&
       health.mProbeSuccesses.fetch_add(1, kRelaxed) + 1 >=
@@ -87,7 +87,7 @@
                             Instant aNow) const
 {
   ServiceHealth& service = *aAgent.mServiceHealth;
-  AgentHealth& health = aAgent.mGauges->mHealth;
+  AgentHealth& health = aAgent.mRoutingState->mHealth;
   const std::lock_guard lock(service.mMutex);
   if (IsEjected(health) || service.mEjected >= MaxEjected(service)) {
     return;
@@ -108,11 +108,11 @@
   service.mEvents.push_back({ aAgent.mAgent, aReason, time });
 }
 
-void OutlierDetector::EjectLonger(const RoutableAgent& aAgent,
-                                  Instant aNow) const
+void OutlierDetector::ExtendEjection(const RoutableAgent& aAgent,
+                                     Instant aNow) const
 {
   ServiceHealth& service = *aAgent.mServiceHealth;
-  AgentHealth& health = aAgent.mGauges->mHealth;
+  AgentHealth& health = aAgent.mRoutingState->mHealth;
   const std::lock_guard lock(service.mMutex);
   const Duration time = std::min(health.mEjectionTime.load(kRelaxed) * 2,
                                  mSettings.mLongestEjection);
@@ -124,7 +124,7 @@
 void OutlierDetector::Readmit(const RoutableAgent& aAgent, Instant aNow) const
 {
   ServiceHealth& service = *aAgent.mServiceHealth;
-  AgentHealth& health = aAgent.mGauges->mHealth;
+  AgentHealth& health = aAgent.mRoutingState->mHealth;
   const std::lock_guard lock(service.mMutex);
   if (!IsEjected(health)) {
     return;
@@ -156,21 +156,23 @@
 void OutlierDetector::EvaluateService(const ServiceTable& aService,
                                       Instant aNow) const
 {
-  Recount(aService, aNow);
+  RecountEjected(aService, aNow);
   const std::vector<ClosedWindow> windows = CloseWindows(aService);
   const Duration median = MedianLatency(aService);
   for (const ClosedWindow& window : windows) {
-    if (const Reason reason = Judge(window, median); reason != Reason::None) {
+    if (const Reason reason = Classify(window, median);
+        reason != Reason::None) {
       Eject(*window.mAgent, reason, aNow);
     }
   }
 }
 
-void OutlierDetector::Recount(const ServiceTable& aService, Instant aNow) const
+void OutlierDetector::RecountEjected(const ServiceTable& aService,
+                                     Instant aNow) const
 {
   std::vector<const RoutableAgent*> ejected;
   for (const RoutableAgentPointer& agent : aService.Routable()) {
-    if (IsEjected(agent->mGauges->mHealth)) {
+    if (IsEjected(agent->mRoutingState->mHealth)) {
       ejected.push_back(agent.get());
     }
   }
@@ -191,7 +193,7 @@
 {
   std::vector<ClosedWindow> windows;
   for (const RoutableAgentPointer& agent : aService.Routable()) {
-    AgentHealth& health = agent->mGauges->mHealth;
+    AgentHealth& health = agent->mRoutingState->mHealth;
     const auto requests =
       health.mSuccesses.load(kRelaxed) + health.mFailures.load(kRelaxed);
     if (requests < mSettings.mMinRequests || IsEjected(health)) {
@@ -208,16 +210,16 @@
   return windows;
 }
 
-Reason OutlierDetector::Judge(const ClosedWindow& aWindow,
-                              Duration aMedian) const
+Reason OutlierDetector::Classify(const ClosedWindow& aWindow,
+                                 Duration aMedian) const
 {
   if (aWindow.mFailures >= mSettings.mFailureRate * aWindow.mRequests) {
     return Reason::EjectedForErrors;
   }
-  AgentHealth& health = aWindow.mAgent->mGauges->mHealth;
+  AgentHealth& health = aWindow.mAgent->mRoutingState->mHealth;
   const Duration latency = health.mMeanLatency;
   const bool isSlow =
-    aMedian != Duration::max() && latency > aMedian + mSettings.mSlowDistance &&
+    aMedian != Duration::max() && latency > aMedian + mSettings.mSlowMargin &&
     static_cast<double>(latency.count()) >
       static_cast<double>(aMedian.count()) * mSettings.mSlowFactor;
   health.mSlowWindows = isSlow ? health.mSlowWindows + 1 : 0;
--- a/src/core/routing/OutlierDetector.h
+++ b/src/core/routing/OutlierDetector.h
@@ -36,15 +36,15 @@
 
   /// Takes in the outcome of one request. Callable from any thread; takes a
   /// short lock only when it ejects or readmits.
-  void Finished(const RoutableAgent& aAgent,
-                Outcome aOutcome,
-                Duration aLatency,
-                bool aWasProbe,
-                Instant aNow) const;
+  void OnFinished(const RoutableAgent& aAgent,
+                  Outcome aOutcome,
+                  Duration aLatency,
+                  bool aWasProbe,
+                  Instant aNow) const;
 
   /// Judges the agents whose window has enough requests and starts a new one.
   /// One thread, about once a second, with the newest table. Returns what
-  /// changed since the last call, by Finished() too.
+  /// changed since the last call, by OnFinished() too.
   std::vector<EjectionEvent> Evaluate(const RoutingTable& aTable,
                                       Instant aNow) const;
 
@@ -57,16 +57,16 @@
     std::uint32_t mFailures = 0;
   };
 
-  void FinishProbe(const RoutableAgent& aAgent,
-                   Outcome aOutcome,
-                   Instant aNow) const;
+  void OnProbeFinished(const RoutableAgent& aAgent,
+                       Outcome aOutcome,
+                       Instant aNow) const;
   void Eject(const RoutableAgent& aAgent, Reason aReason, Instant aNow) const;
-  void EjectLonger(const RoutableAgent& aAgent, Instant aNow) const;
+  void ExtendEjection(const RoutableAgent& aAgent, Instant aNow) const;
   void Readmit(const RoutableAgent& aAgent, Instant aNow) const;
   void EvaluateService(const ServiceTable& aService, Instant aNow) const;
-  void Recount(const ServiceTable& aService, Instant aNow) const;
+  void RecountEjected(const ServiceTable& aService, Instant aNow) const;
   std::vector<ClosedWindow> CloseWindows(const ServiceTable& aService) const;
-  Reason Judge(const ClosedWindow& aWindow, Duration aMedian) const;
+  Reason Classify(const ClosedWindow& aWindow, Duration aMedian) const;
   std::size_t MaxEjected(const ServiceHealth& aService) const;
 
   OutlierSettings mSettings;
--- a/src/core/routing/OutlierSettings.h
+++ b/src/core/routing/OutlierSettings.h
@@ -18,7 +18,7 @@
   /// Mean latency in relation to the median over the service's agents, and the
   /// least distance from it, that count as slow; windows in a row that eject.
   double mSlowFactor = 3.0;
-  Duration mSlowDistance = std::chrono::milliseconds(10);
+  Duration mSlowMargin = std::chrono::milliseconds(10);
   std::uint32_t mSlowWindows = 2;
 
   /// Largest share of a service's agents that is ejected at a time.
--- a/src/core/routing/PickRequest.h
+++ b/src/core/routing/PickRequest.h
@@ -17,7 +17,7 @@
 
   /// An agent refused the key since it had promised not to run it: NotRun with
   /// Reason::DuplicateRequest.
-  bool mKeyPassedOn = false;
+  bool mKeyRevoked = false;
   std::span<const AgentId> mExcluded; ///< Tried before; never picked again.
 };
 
--- a/src/core/routing/RequestInFlight.cpp
+++ b/src/core/routing/RequestInFlight.cpp
@@ -11,7 +11,7 @@
   , mDetector(aDetector)
   , mStart(aNow)
 {
-  Agent().mGauges->mLoad.Start();
+  Agent().mRoutingState->mLoad.Start();
 }
 
 RequestInFlight::~RequestInFlight()
@@ -23,15 +23,16 @@
 
 void RequestInFlight::Finish(Outcome aOutcome,
                              Instant aNow,
-                             std::optional<LoadFigures> aLoad)
+                             std::optional<LoadSnapshot> aLoad)
 {
   mIsFinished = true;
-  LoadGauge& load = Agent().mGauges->mLoad;
+  LoadEstimator& load = Agent().mRoutingState->mLoad;
   load.End();
   if (aLoad.has_value()) {
     load.Report(*aLoad, aNow);
   }
-  mDetector.Finished(Agent(), aOutcome, aNow - mStart, mPicked.mIsProbe, aNow);
+  mDetector.OnFinished(
+    Agent(), aOutcome, aNow - mStart, mPicked.mIsProbe, aNow);
 }
 
 } // namespace foxtailbarrow
--- a/src/core/routing/RequestInFlight.h
+++ b/src/core/routing/RequestInFlight.h
@@ -4,7 +4,7 @@
 
 #include "foxtailbarrow/Time.h"
 #include "src/core/routing/Choice.h"
-#include "src/core/routing/LoadFigures.h"
+#include "src/core/routing/LoadSnapshot.h"
 #include "src/core/routing/Outcome.h"
 #include "src/core/routing/OutlierDetector.h"
 
@@ -28,7 +28,7 @@
   /// To be called once, with the load that came with the answer, if any.
   void Finish(Outcome aOutcome,
               Instant aNow,
-              std::optional<LoadFigures> aLoad = std::nullopt);
+              std::optional<LoadSnapshot> aLoad = std::nullopt);
 
   const RoutableAgent& Agent() const { return *mPicked.mAgent; }
 
--- a/src/core/routing/RoutableAgent.h
+++ b/src/core/routing/RoutableAgent.h
@@ -7,7 +7,7 @@
 #include "foxtailbarrow/Id.h"
 #include "foxtailbarrow/Messages.h"
 #include "foxtailbarrow/Time.h"
-#include "src/core/routing/AgentGauges.h"
+#include "src/core/routing/AgentRoutingState.h"
 #include "src/core/routing/ServiceHealth.h"
 
 namespace foxtailbarrow {
@@ -24,7 +24,7 @@
   Instant mServingSince{}; ///< Start of its slow start.
   Instant mKnownSince{};   ///< For keys; the minimum when before this entry.
   std::uint64_t mHash = 0; ///< Of mAgent; the same in every process.
-  std::shared_ptr<AgentGauges> mGauges;
+  std::shared_ptr<AgentRoutingState> mRoutingState;
   std::shared_ptr<ServiceHealth> mServiceHealth;
 };
 
--- a/src/core/routing/Router.cpp
+++ b/src/core/routing/Router.cpp
@@ -79,8 +79,8 @@
                          const PickContext& aContext,
                          absl::BitGenRef aRandom) const
 {
-  const KeyedPlace place = mKeyed.Pick(aContext);
-  if (place.mIsHolderLost) {
+  const KeyedChoice place = mKeyed.Pick(aContext);
+  if (place.mKeyHolderLost) {
     return NoChoice{ Reason::KeyHolderLost, Verdict::MayHaveRun, std::nullopt };
   }
   if (!place.mCandidate || !mKeyed.Claim(place.mCandidate, aContext.mNow)) {
@@ -89,8 +89,8 @@
   Picked picked{ Hold(aTable, place.mCandidate.mAgent),
                  {},
                  place.mCandidate.mIsProbe };
-  for (const KeyedAsk& ask : place.mAskFirst) {
-    picked.mAskFirst.push_back(
+  for (const KeyedRevokeTarget& ask : place.mRevokeFirst) {
+    picked.mRevokeFirst.push_back(
       { Hold(aTable, ask.mAgent), ask.mMustBeFirstPromise });
   }
   return picked;
--- a/src/core/routing/RouterSettings.h
+++ b/src/core/routing/RouterSettings.h
@@ -18,14 +18,14 @@
   double mDomainMargin = 0.25;
 
   /// Reports of other entries' load count less with age and nothing beyond.
-  Duration mReportFade = std::chrono::seconds(2);
+  Duration mReportDecay = std::chrono::seconds(2);
 
   /// A new or readmitted backend server counts as more loaded for this long.
   Duration mSlowStart = std::chrono::seconds(10);
   double mSlowStartShare = 0.1; ///< Share of its full weight at the start.
 
   /// A probe whose outcome is not reported by then counts as ended.
-  Duration mLongestProbe = std::chrono::seconds(30);
+  Duration mProbeTimeout = std::chrono::seconds(30);
 
   /// Random draws for one request before it scans.
   std::size_t mMaxDraws = 6;
--- a/src/platform/contract/ContractBook.cpp
+++ b/src/platform/contract/ContractRegistry.cpp
@@ -1,4 +1,4 @@
-#include "src/platform/contract/ContractBook.h"
+#include "src/platform/contract/ContractRegistry.h"
 
 #include <string>
 #include <utility>
@@ -32,13 +32,13 @@
 
 } // namespace
 
-struct ContractBook::Held
+struct ContractRegistry::StoredContract
 {
   std::optional<std::string> mValue; ///< No value: the key does not exist.
   Revision mRevision = 0;
 };
 
-absl::StatusOr<std::vector<Contract>> ContractBook::List()
+absl::StatusOr<std::vector<Contract>> ContractRegistry::List()
 {
   const absl::StatusOr<StoreListing> listing = mStore.List(kPrefix);
   if (!listing.ok()) {
@@ -55,7 +55,7 @@
   return contracts;
 }
 
-absl::StatusOr<Contract> ContractBook::Read(const CustomerId& aCustomer)
+absl::StatusOr<Contract> ContractRegistry::Read(const CustomerId& aCustomer)
 {
   const absl::StatusOr<StoreEntry> entry = mStore.Read(KeyOf(aCustomer));
   if (!entry.ok()) {
@@ -64,60 +64,60 @@
   return Decode(*entry);
 }
 
-ContractOutcome ContractBook::Apply(const Contract& aContract,
-                                    std::optional<Revision> aExpected)
+ContractOutcome ContractRegistry::Apply(const Contract& aContract,
+                                        std::optional<Revision> aExpected)
 {
   const std::string key = KeyOf(aContract.mCustomer);
-  const absl::StatusOr<Held> held = ReadHeld(key);
-  if (!held.ok()) {
-    return WithVerdict(held.status(), Verdict::NotRun);
+  const absl::StatusOr<StoredContract> stored = ReadStored(key);
+  if (!stored.ok()) {
+    return WithVerdict(stored.status(), Verdict::NotRun);
   }
-  if (aExpected && *aExpected != held->mRevision) {
-    return ContractConflict{ held->mRevision };
+  if (aExpected && *aExpected != stored->mRevision) {
+    return ContractConflict{ stored->mRevision };
   }
   std::string value = FormatContract(aContract);
-  if (held->mValue == value) {
-    return ContractUnchanged{ held->mRevision };
+  if (stored->mValue == value) {
+    return ContractUnchanged{ stored->mRevision };
   }
-  return Write(*held, key, std::move(value));
+  return Write(*stored, key, std::move(value));
 }
 
-ContractOutcome ContractBook::Remove(const CustomerId& aCustomer,
-                                     std::optional<Revision> aExpected)
+ContractOutcome ContractRegistry::Remove(const CustomerId& aCustomer,
+                                         std::optional<Revision> aExpected)
 {
   const std::string key = KeyOf(aCustomer);
-  const absl::StatusOr<Held> held = ReadHeld(key);
-  if (!held.ok()) {
-    return WithVerdict(held.status(), Verdict::NotRun);
+  const absl::StatusOr<StoredContract> stored = ReadStored(key);
+  if (!stored.ok()) {
+    return WithVerdict(stored.status(), Verdict::NotRun);
   }
-  if (aExpected && *aExpected != held->mRevision) {
-    return ContractConflict{ held->mRevision };
+  if (aExpected && *aExpected != stored->mRevision) {
+    return ContractConflict{ stored->mRevision };
   }
-  if (!held->mValue) {
+  if (!stored->mValue) {
     return WithVerdict(absl::NotFoundError("no such contract"),
                        Verdict::NotRun);
   }
-  return Write(*held, key, std::nullopt);
+  return Write(*stored, key, std::nullopt);
 }
 
-absl::StatusOr<ContractBook::Held> ContractBook::ReadHeld(
+absl::StatusOr<ContractRegistry::StoredContract> ContractRegistry::ReadStored(
   const std::string& aKey)
 {
   const absl::StatusOr<StoreEntry> entry = mStore.Read(aKey);
   if (absl::IsNotFound(entry.status())) {
-    return Held{};
+    return StoredContract{};
   }
   if (!entry.ok()) {
     return entry.status();
   }
-  return Held{ entry->mValue, entry->mModRevision };
+  return StoredContract{ entry->mValue, entry->mModRevision };
 }
 
-ContractOutcome ContractBook::Write(const Held& aBefore,
-                                    const std::string& aKey,
-                                    std::optional<std::string> aValue)
+ContractOutcome ContractRegistry::Write(const StoredContract& aStored,
+                                        const std::string& aKey,
+                                        std::optional<std::string> aValue)
 {
-  const StoreTransaction transaction{ { { aKey, aBefore.mRevision } },
+  const StoreTransaction transaction{ { { aKey, aStored.mRevision } },
                                       { { aKey, aValue } } };
   const absl::StatusOr<StoreTransactionResult> result =
     mStore.Commit(transaction);
@@ -125,23 +125,23 @@
     if (VerdictOf(result.status()) == Verdict::NotRun) {
       return result.status();
     }
-    return JudgeByReadingBack(aBefore, aKey, aValue, result.status());
+    return ResolveByReadingBack(aStored, aKey, aValue, result.status());
   }
   if (result->mApplied) {
     return ContractWritten{ result->mRevision };
   }
-  const absl::StatusOr<Held> now = ReadHeld(aKey);
+  const absl::StatusOr<StoredContract> now = ReadStored(aKey);
   return ContractConflict{ now.ok() ? now->mRevision : 0 };
 }
 
-ContractOutcome ContractBook::JudgeByReadingBack(
-  const Held& aBefore,
+ContractOutcome ContractRegistry::ResolveByReadingBack(
+  const StoredContract& aStored,
   const std::string& aKey,
   const std::optional<std::string>& aValue,
   const absl::Status& aLost)
 {
-  const absl::StatusOr<Held> now = ReadHeld(aKey);
-  if (!now.ok() || now->mRevision == aBefore.mRevision) {
+  const absl::StatusOr<StoredContract> now = ReadStored(aKey);
+  if (!now.ok() || now->mRevision == aStored.mRevision) {
     // A write that does not show may still be on its way.
     return ContractUnknown{ aLost };
   }
--- a/src/platform/contract/ContractBook.h
+++ b/src/platform/contract/ContractRegistry.h
@@ -47,10 +47,10 @@
 /// the revision that was read (or expected by the operator). After a lost
 /// reply the key is read back and judged by what it holds; nothing is written
 /// twice. An absl::Status in the outcome means that nothing was changed.
-class ContractBook
+class ContractRegistry
 {
 public:
-  explicit ContractBook(Store& aStore)
+  explicit ContractRegistry(Store& aStore)
     : mStore(aStore)
   {
   }
@@ -69,16 +69,16 @@
                          std::optional<Revision> aExpected);
 
 private:
-  struct Held; ///< What the store holds under a key.
+  struct StoredContract; ///< What the store holds under a key.
 
-  absl::StatusOr<Held> ReadHeld(const std::string& aKey);
-  ContractOutcome Write(const Held& aBefore,
+  absl::StatusOr<StoredContract> ReadStored(const std::string& aKey);
+  ContractOutcome Write(const StoredContract& aStored,
                         const std::string& aKey,
                         std::optional<std::string> aValue);
-  ContractOutcome JudgeByReadingBack(const Held& aBefore,
-                                     const std::string& aKey,
-                                     const std::optional<std::string>& aValue,
-                                     const absl::Status& aLost);
+  ContractOutcome ResolveByReadingBack(const StoredContract& aStored,
+                                       const std::string& aKey,
+                                       const std::optional<std::string>& aValue,
+                                       const absl::Status& aLost);
 
   Store& mStore;
 };
--- a/src/platform/store/BatchCommitter.cpp
+++ b/src/platform/store/BatchCommitter.cpp
@@ -16,12 +16,12 @@
 using Indices = std::vector<std::size_t>;
 
 /// What one key says about a write whose reply was lost.
-enum class Trace : std::uint8_t
+enum class KeyState : std::uint8_t
 {
-  Ours,      ///< The write took effect.
-  Unchanged, ///< It has not taken effect so far.
-  Gone,      ///< The key is deleted, as this write wanted.
-  Other,     ///< Another has written since.
+  OwnValue,    ///< The write took effect.
+  Unchanged,   ///< It has not taken effect so far.
+  Deleted,     ///< The key is deleted, as this write wanted.
+  Overwritten, ///< Another has written since.
 };
 
 /// What a group of writes that takes effect as a whole shows.
@@ -44,18 +44,19 @@
                      Verdict::NotRun);
 }
 
-Trace TraceOf(const RecordWrite& aRecord,
-              const absl::StatusOr<StoreEntry>& aEntry)
+KeyState KeyStateOf(const RecordWrite& aRecord,
+                    const absl::StatusOr<StoreEntry>& aEntry)
 {
   const Revision current = aEntry.ok() ? aEntry->mModRevision : 0;
   if (current == aRecord.mExpected) {
-    return Trace::Unchanged;
+    return KeyState::Unchanged;
   }
   const auto& value = aRecord.mWrite.mValue;
   if (!value) {
-    return aEntry.ok() ? Trace::Other : Trace::Gone;
+    return aEntry.ok() ? KeyState::Overwritten : KeyState::Deleted;
   }
-  return aEntry.ok() && aEntry->mValue == *value ? Trace::Ours : Trace::Other;
+  return aEntry.ok() && aEntry->mValue == *value ? KeyState::OwnValue
+                                                 : KeyState::Overwritten;
 }
 
 bool Contains(std::span<const StoreCompare> aCompares,
@@ -101,7 +102,7 @@
 
 } // namespace
 
-struct BatchCommitter::Finding
+struct BatchCommitter::ReadBackResult
 {
   GroupState mState = GroupState::Unclear;
   Revision mRevision = 0;
@@ -114,7 +115,7 @@
 {
 }
 
-std::vector<BatchCommitter::Outcome> BatchCommitter::Settle(
+std::vector<BatchCommitter::Outcome> BatchCommitter::CommitAll(
   std::span<const RecordWrite> aRecords)
 {
   Work work{ aRecords, {}, {} };
@@ -126,7 +127,7 @@
     const Indices group = std::move(work.mPending.back());
     work.mPending.pop_back();
     if (!group.empty()) {
-      SettleGroup(work, group);
+      CommitGroup(work, group);
     }
   }
   return std::move(work.mOutcomes);
@@ -148,7 +149,7 @@
   mPending.emplace_back(aGroup.begin(), middle);
 }
 
-void BatchCommitter::SettleGroup(Work& aWork, const Indices& aGroup)
+void BatchCommitter::CommitGroup(Work& aWork, const Indices& aGroup)
 {
   const StoreTransaction transaction = MakeTransaction(aWork.mRecords, aGroup);
   absl::Status lost;
@@ -165,14 +166,14 @@
       return result.ok() ? OnConflict(aWork, aGroup)
                          : OnRefusal(aWork, aGroup, result.status());
     }
-    const Finding finding = LookFor(aWork.mRecords, aGroup);
-    if (!finding.mError.ok()) {
+    const ReadBackResult readBack = ReadBack(aWork.mRecords, aGroup);
+    if (!readBack.mError.ok()) {
       break;
     }
-    if (finding.mState == GroupState::Applied) {
-      return aWork.SetAll(aGroup, finding.mRevision);
+    if (readBack.mState == GroupState::Applied) {
+      return aWork.SetAll(aGroup, readBack.mRevision);
     }
-    if (finding.mState == GroupState::Unclear) {
+    if (readBack.mState == GroupState::Unclear) {
       return aWork.SetAll(aGroup, KeyConflict(Verdict::MayHaveRun));
     }
     // A condition that has failed once never holds again, so that the lost
@@ -189,7 +190,7 @@
   const bool checkGuards =
     aGroup.size() == 1 || aGroup.size() == aWork.mRecords.size();
   if (checkGuards) {
-    Indices others = FailUnderBrokenGuards(aWork, aGroup);
+    Indices others = FailGuardedRecords(aWork, aGroup);
     if (others.size() < aGroup.size()) {
       aWork.mPending.push_back(std::move(others));
       return;
@@ -213,17 +214,18 @@
   aWork.Split(aGroup);
 }
 
-BatchCommitter::Indices BatchCommitter::FailUnderBrokenGuards(
+BatchCommitter::Indices BatchCommitter::FailGuardedRecords(
   Work& aWork,
   const Indices& aGroup)
 {
-  std::vector<StoreCompare> broken = GuardsOf(aWork.mRecords, aGroup);
-  std::erase_if(broken,
-                [&](const StoreCompare& aGuard) { return !Broken(aGuard); });
+  std::vector<StoreCompare> violated = GuardsOf(aWork.mRecords, aGroup);
+  std::erase_if(violated, [&](const StoreCompare& aGuard) {
+    return !IsGuardViolated(aGuard);
+  });
   Indices others;
   for (const std::size_t index : aGroup) {
     const auto& guard = aWork.mRecords[index].mGuard;
-    if (guard && Contains(broken, *guard)) {
+    if (guard && Contains(violated, *guard)) {
       aWork.mOutcomes[index] = GuardConflict();
     } else {
       others.push_back(index);
@@ -232,7 +234,7 @@
   return others;
 }
 
-bool BatchCommitter::Broken(const StoreCompare& aGuard)
+bool BatchCommitter::IsGuardViolated(const StoreCompare& aGuard)
 {
   const auto entry = mStore.Read(aGuard.mKey);
   if (!entry.ok() && !absl::IsNotFound(entry.status())) {
@@ -242,30 +244,30 @@
   return current != aGuard.mModRevision;
 }
 
-BatchCommitter::Finding BatchCommitter::LookFor(
+BatchCommitter::ReadBackResult BatchCommitter::ReadBack(
   std::span<const RecordWrite> aRecords,
   const Indices& aGroup)
 {
   ++mCounters.mReadBacks;
-  std::size_t gone = 0;
+  std::size_t deletions = 0;
   for (const std::size_t index : aGroup) {
     const auto entry = mStore.Read(aRecords[index].mWrite.mKey);
     if (!entry.ok() && !absl::IsNotFound(entry.status())) {
       return { GroupState::Unclear, 0, entry.status() };
     }
-    switch (TraceOf(aRecords[index], entry)) {
-      case Trace::Ours:
+    switch (KeyStateOf(aRecords[index], entry)) {
+      case KeyState::OwnValue:
         return { GroupState::Applied, entry->mModRevision, {} };
-      case Trace::Unchanged:
+      case KeyState::Unchanged:
         return { GroupState::NotYet, 0, {} };
-      case Trace::Gone:
-        ++gone;
+      case KeyState::Deleted:
+        ++deletions;
         break;
-      case Trace::Other:
+      case KeyState::Overwritten:
         break;
     }
   }
-  const bool done = gone == aGroup.size();
+  const bool done = deletions == aGroup.size();
   return { done ? GroupState::Applied : GroupState::Unclear, 0, {} };
 }
 
--- a/src/platform/store/BatchCommitter.h
+++ b/src/platform/store/BatchCommitter.h
@@ -38,13 +38,13 @@
   ///
   /// Not covered: a record that must not exist, whose write is delayed on the
   /// way while another creates and deletes the key.
-  std::vector<Outcome> Settle(std::span<const RecordWrite> aRecords);
+  std::vector<Outcome> CommitAll(std::span<const RecordWrite> aRecords);
 
 private:
   using Indices = std::vector<std::size_t>;
 
   /// What the store shows after a lost reply.
-  struct Finding;
+  struct ReadBackResult;
 
   struct Work
   {
@@ -56,12 +56,13 @@
     void Split(const Indices& aGroup);
   };
 
-  void SettleGroup(Work& aWork, const Indices& aGroup);
+  void CommitGroup(Work& aWork, const Indices& aGroup);
   void OnConflict(Work& aWork, const Indices& aGroup);
   void OnRefusal(Work& aWork, const Indices& aGroup, const absl::Status& aWhy);
-  Indices FailUnderBrokenGuards(Work& aWork, const Indices& aGroup);
-  bool Broken(const StoreCompare& aGuard);
-  Finding LookFor(std::span<const RecordWrite> aRecords, const Indices& aGroup);
+  Indices FailGuardedRecords(Work& aWork, const Indices& aGroup);
+  bool IsGuardViolated(const StoreCompare& aGuard);
+  ReadBackResult ReadBack(std::span<const RecordWrite> aRecords,
+                          const Indices& aGroup);
 
   Store& mStore;
   BatchCounters& mCounters;
--- a/src/platform/store/BatchLane.cpp
+++ b/src/platform/store/BatchLane.cpp
@@ -78,7 +78,7 @@
     Linger(lock);
     BatchQueue::Batch batch = mQueue.TakeBatch();
     lock.unlock();
-    SettleBatch(std::move(batch));
+    CommitBatch(std::move(batch));
     lock.lock();
   }
   mFlushing = false;
@@ -92,14 +92,14 @@
   });
 }
 
-void BatchLane::SettleBatch(BatchQueue::Batch aBatch)
+void BatchLane::CommitBatch(BatchQueue::Batch aBatch)
 {
   std::vector<RecordWrite> records;
   records.reserve(aBatch.size());
   for (const auto& write : aBatch) {
     records.push_back(std::move(write->mRecord));
   }
-  std::vector<BatchCommitter::Outcome> outcomes = mCommitter.Settle(records);
+  std::vector<BatchCommitter::Outcome> outcomes = mCommitter.CommitAll(records);
   for (std::size_t index = 0; index < aBatch.size(); ++index) {
     aBatch[index]->mOutcome.set_value(std::move(outcomes[index]));
   }
--- a/src/platform/store/BatchLane.h
+++ b/src/platform/store/BatchLane.h
@@ -37,7 +37,7 @@
   absl::Status Enqueue(std::unique_ptr<PendingWrite> aWrite, bool& aStart);
   void Flush();
   void Linger(Lock& aLock);
-  void SettleBatch(BatchQueue::Batch aBatch);
+  void CommitBatch(BatchQueue::Batch aBatch);
 
   const BatchSettings& mSettings;
   BatchCounters& mCounters;
--- a/src/platform/store/BatchWriter.h
+++ b/src/platform/store/BatchWriter.h
@@ -13,7 +13,7 @@
 
 /// Gathers single record writes into few transactions, since the store allows
 /// far fewer calls than records change. Each write has its own condition and
-/// gets its own outcome; see BatchCommitter::Settle().
+/// gets its own outcome; see BatchCommitter::CommitAll().
 ///
 /// Writes of one lane to one key are applied in the order they were offered. A
 /// write over the bound of its lane's queue is refused at once (Unavailable,
--- a/src/platform/store/EtcdCodec.cpp
+++ b/src/platform/store/EtcdCodec.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// The protocol's way to say "to the last key".
-constexpr std::string_view kNoEnd("\0", 1);
+constexpr std::string_view kLastKey("\0", 1);
 
 absl::Status Unexpected(const char* aField)
 {
@@ -28,10 +28,10 @@
 {
   // An empty key is not valid; a zero byte is the first key there can be.
   const std::string_view begin =
-    aRange.mBegin.empty() ? kNoEnd : std::string_view(aRange.mBegin);
+    aRange.mBegin.empty() ? kLastKey : std::string_view(aRange.mBegin);
   aRequest["key"] = EncodeBytes(begin);
   aRequest["range_end"] =
-    EncodeBytes(aRange.mEnd ? std::string_view(*aRange.mEnd) : kNoEnd);
+    EncodeBytes(aRange.mEnd ? std::string_view(*aRange.mEnd) : kLastKey);
 }
 
 std::optional<Revision> HeaderRevision(const Json::Value& aReply)
--- a/src/platform/store/EtcdError.cpp
+++ b/src/platform/store/EtcdError.cpp
@@ -22,7 +22,7 @@
   "etcdserver: not capable",
 };
 
-struct Failure
+struct ReplyError
 {
   absl::StatusCode mCode = absl::StatusCode::kUnknown;
   std::string mMessage;
@@ -51,28 +51,28 @@
   }
 }
 
-Failure FailureOf(const net::HttpResponse& aReply)
+ReplyError ReplyErrorOf(const net::HttpResponse& aReply)
 {
-  Failure failure{ CodeOfHttp(aReply.mStatus),
-                   absl::StrCat("HTTP status ", aReply.mStatus) };
+  ReplyError error{ CodeOfHttp(aReply.mStatus),
+                    absl::StrCat("HTTP status ", aReply.mStatus) };
   const auto body = ParseObject(aReply.mBody);
   if (!body.ok()) {
-    return failure;
+    return error;
   }
   // absl's canonical codes are gRPC's.
   const Json::Value& code = (*body)["code"];
   if (code.isInt() && code.asInt() > 0) {
-    failure.mCode = static_cast<absl::StatusCode>(code.asInt());
+    error.mCode = static_cast<absl::StatusCode>(code.asInt());
   }
   if (const Json::Value& text = (*body)["error"]; text.isString()) {
-    failure.mMessage = text.asString();
+    error.mMessage = text.asString();
   }
-  return failure;
+  return error;
 }
 
-bool CertainlyNotRun(const Failure& aFailure)
+bool CertainlyNotRun(const ReplyError& aError)
 {
-  switch (aFailure.mCode) {
+  switch (aError.mCode) {
     case absl::StatusCode::kInvalidArgument:
     case absl::StatusCode::kNotFound:
     case absl::StatusCode::kPermissionDenied:
@@ -85,7 +85,7 @@
     default:
       return std::find(kNotProposed.begin(),
                        kNotProposed.end(),
-                       aFailure.mMessage) != kNotProposed.end();
+                       aError.mMessage) != kNotProposed.end();
   }
 }
 
@@ -93,9 +93,9 @@
 
 absl::Status ErrorOf(const net::HttpResponse& aReply, StoreCall aCall)
 {
-  const Failure failure = FailureOf(aReply);
-  absl::Status status(failure.mCode, failure.mMessage);
-  if (CertainlyNotRun(failure)) {
+  const ReplyError error = ReplyErrorOf(aReply);
+  absl::Status status(error.mCode, error.mMessage);
+  if (CertainlyNotRun(error)) {
     return WithVerdict(std::move(status), Verdict::NotRun);
   }
   return WithVerdictOfCall(std::move(status), aCall);
--- a/src/platform/store/EtcdStore.cpp
+++ b/src/platform/store/EtcdStore.cpp
@@ -189,7 +189,7 @@
     onLine);
   const absl::Status& status = ended.ok() ? streamed : ended;
   if (EndpointFailed(status)) {
-    LeaveEndpoint(index);
+    SwitchFromEndpoint(index);
   }
   return etcd::WithVerdictOfCall(status, StoreCall::Watch);
 }
@@ -214,7 +214,7 @@
     }
     error = reply.status();
     if (EndpointFailed(error)) {
-      LeaveEndpoint(index);
+      SwitchFromEndpoint(index);
     }
     if (!MayTryNextEndpoint(error)) {
       break;
@@ -243,7 +243,7 @@
   return body;
 }
 
-void EtcdStore::LeaveEndpoint(std::size_t aIndex)
+void EtcdStore::SwitchFromEndpoint(std::size_t aIndex)
 {
   const std::size_t next = (aIndex + 1) % mSettings.mEndpoints.size();
   mPreferred.compare_exchange_strong(aIndex, next);
--- a/src/platform/store/EtcdStore.h
+++ b/src/platform/store/EtcdStore.h
@@ -66,7 +66,7 @@
                                       const Endpoint& aEndpoint,
                                       const net::HttpRequest& aRequest,
                                       Duration aTimeout);
-  void LeaveEndpoint(std::size_t aIndex);
+  void SwitchFromEndpoint(std::size_t aIndex);
 
   const EtcdSettings mSettings;
   net::HttpClient mClient;
--- a/src/platform/store/FaultGate.cpp
+++ b/src/platform/store/FaultInjector.cpp
@@ -1,17 +1,17 @@
-#include "src/platform/store/FaultGate.h"
+#include "src/platform/store/FaultInjector.h"
 
 #include <algorithm>
 #include <chrono>
 
 namespace foxtailbarrow {
 
-void FaultGate::Ceiling::Fill(std::uint64_t aPerSecond, Instant aNow)
+void FaultInjector::RateLimit::Fill(std::uint64_t aPerSecond, Instant aNow)
 {
   mTokens = static_cast<double>(aPerSecond);
   mFilledAt = aNow;
 }
 
-bool FaultGate::Ceiling::Take(std::uint64_t aPerSecond, Instant aNow)
+bool FaultInjector::RateLimit::TryTake(std::uint64_t aPerSecond, Instant aNow)
 {
   if (aPerSecond == 0) {
     return true;
@@ -27,32 +27,32 @@
   return true;
 }
 
-void FaultGate::Set(const StoreFaults& aFaults, Instant aNow)
+void FaultInjector::Set(const StoreFaults& aFaults, Instant aNow)
 {
   mFaults = aFaults;
   mWrites.Fill(aFaults.mWritesPerSecond, aNow);
   mReads.Fill(aFaults.mReadsPerSecond, aNow);
 }
 
-bool FaultGate::TakeToken(StoreCall aCall, Instant aNow)
+bool FaultInjector::TryTakeToken(StoreCall aCall, Instant aNow)
 {
-  return IsWrite(aCall) ? mWrites.Take(mFaults.mWritesPerSecond, aNow)
-                        : mReads.Take(mFaults.mReadsPerSecond, aNow);
+  return IsWrite(aCall) ? mWrites.TryTake(mFaults.mWritesPerSecond, aNow)
+                        : mReads.TryTake(mFaults.mReadsPerSecond, aNow);
 }
 
-CallFate FaultGate::Decide(StoreCall aCall, Instant aNow)
+FaultDecision FaultInjector::Decide(StoreCall aCall, Instant aNow)
 {
   if (mFaults.mOutage) {
-    return CallFate::Outage;
+    return FaultDecision::Outage;
   }
-  if (!TakeToken(aCall, aNow)) {
-    return CallFate::Refuse;
+  if (!TryTakeToken(aCall, aNow)) {
+    return FaultDecision::Refuse;
   }
   if (IsWrite(aCall) && mFaults.mLoseReplies > 0) {
     --mFaults.mLoseReplies;
-    return CallFate::LoseReply;
+    return FaultDecision::LoseReply;
   }
-  return CallFate::Proceed;
+  return FaultDecision::Proceed;
 }
 
 } // namespace foxtailbarrow
--- a/src/platform/store/FaultGate.h
+++ b/src/platform/store/FaultInjector.h
@@ -9,7 +9,7 @@
 namespace foxtailbarrow {
 
 /// What becomes of one call to a store for tests.
-enum class CallFate : std::uint8_t
+enum class FaultDecision : std::uint8_t
 {
   Proceed,   ///< Applied and answered.
   Refuse,    ///< Not applied: over the rate ceiling.
@@ -19,29 +19,29 @@
 
 /// Decides the fate of each call from the faults in force. A ceiling allows a
 /// burst of one second's calls. Pure: the time is passed in. Not synchronised.
-class FaultGate
+class FaultInjector
 {
 public:
   void Set(const StoreFaults& aFaults, Instant aNow);
   const StoreFaults& Faults() const { return mFaults; }
 
-  CallFate Decide(StoreCall aCall, Instant aNow);
+  FaultDecision Decide(StoreCall aCall, Instant aNow);
 
 private:
-  struct Ceiling
+  struct RateLimit
   {
     double mTokens = 0;
     Instant mFilledAt;
 
     void Fill(std::uint64_t aPerSecond, Instant aNow);
-    bool Take(std::uint64_t aPerSecond, Instant aNow);
+    bool TryTake(std::uint64_t aPerSecond, Instant aNow);
   };
 
-  bool TakeToken(StoreCall aCall, Instant aNow);
+  bool TryTakeToken(StoreCall aCall, Instant aNow);
 
   StoreFaults mFaults;
-  Ceiling mWrites;
-  Ceiling mReads;
+  RateLimit mWrites;
+  RateLimit mReads;
 };
 
 } // namespace foxtailbarrow
--- a/src/platform/store/GatewayJson.h
+++ b/src/platform/store/GatewayJson.h
@@ -20,7 +20,7 @@
 inline constexpr std::string_view kGrantTarget = "/v3/lease/grant";
 inline constexpr std::string_view kKeepAliveTarget = "/v3/lease/keepalive";
 inline constexpr std::string_view kRevokeTarget = "/v3/lease/revoke";
-inline constexpr std::string_view kOldRevokeTarget = "/v3/kv/lease/revoke";
+inline constexpr std::string_view kLegacyRevokeTarget = "/v3/kv/lease/revoke";
 inline constexpr std::string_view kWatchTarget = "/v3/watch";
 
 /// Parses one JSON object; InvalidArgument for anything else, for input after
--- a/src/platform/store/PulsedStore.h
+++ b/src/platform/store/HealthTrackingStore.h
@@ -9,7 +9,7 @@
 /// Passes every call on to another store and notes whether it is answered. A
 /// watch that waits is no unanswered call, but its answers count. All calls
 /// come from one thread.
-class PulsedStore : public Store
+class HealthTrackingStore : public Store
 {
 private:
   static const absl::Status& StatusOf(const absl::Status& aStatus)
@@ -23,7 +23,7 @@
   }
 
   template<typename Call>
-  auto Note(Call aCall)
+  auto Track(Call aCall)
   {
     const Instant sentAt = MonotonicNow();
     mHealth.OnSent(sentAt);
@@ -35,7 +35,7 @@
   }
 
 public:
-  explicit PulsedStore(Store& aStore)
+  explicit HealthTrackingStore(Store& aStore)
     : mStore(aStore)
   {
   }
@@ -46,28 +46,28 @@
 
   absl::StatusOr<StoreEntry> Read(std::string_view aKey) override
   {
-    return Note([&] { return mStore.Read(aKey); });
+    return Track([&] { return mStore.Read(aKey); });
   }
   absl::StatusOr<StoreListing> List(std::string_view aPrefix) override
   {
-    return Note([&] { return mStore.List(aPrefix); });
+    return Track([&] { return mStore.List(aPrefix); });
   }
   absl::StatusOr<StoreTransactionResult> Commit(
     const StoreTransaction& aTransaction) override
   {
-    return Note([&] { return mStore.Commit(aTransaction); });
+    return Track([&] { return mStore.Commit(aTransaction); });
   }
   absl::StatusOr<StoreLease> GrantLease(Duration aTtl) override
   {
-    return Note([&] { return mStore.GrantLease(aTtl); });
+    return Track([&] { return mStore.GrantLease(aTtl); });
   }
   absl::StatusOr<Duration> KeepAlive(StoreLease aLease) override
   {
-    return Note([&] { return mStore.KeepAlive(aLease); });
+    return Track([&] { return mStore.KeepAlive(aLease); });
   }
   absl::Status RevokeLease(StoreLease aLease) override
   {
-    return Note([&] { return mStore.RevokeLease(aLease); });
+    return Track([&] { return mStore.RevokeLease(aLease); });
   }
   absl::Status Watch(std::string_view aPrefix,
                      Revision aFrom,
--- a/src/platform/store/KeyValueTable.cpp
+++ b/src/platform/store/KeyValueTable.cpp
@@ -48,11 +48,11 @@
   if (absl::Status status = Check(aTransaction); !status.ok()) {
     return status;
   }
-  const bool holds = std::all_of(
+  const bool satisfied = std::all_of(
     aTransaction.mCompares.begin(),
     aTransaction.mCompares.end(),
-    [this](const StoreCompare& aCompare) { return Holds(aCompare); });
-  if (!holds) {
+    [this](const StoreCompare& aCompare) { return IsSatisfied(aCompare); });
+  if (!satisfied) {
     return StoreTransactionResult{ false, mRevision };
   }
   if (absl::Status status = CheckLeases(aTransaction); !status.ok()) {
@@ -104,7 +104,7 @@
   return absl::OkStatus();
 }
 
-bool KeyValueTable::Holds(const StoreCompare& aCompare) const
+bool KeyValueTable::IsSatisfied(const StoreCompare& aCompare) const
 {
   const auto found = mEntries.find(aCompare.mKey);
   const Revision current =
@@ -119,7 +119,7 @@
   if (aAt > mRevision) {
     return absl::OutOfRangeError("required revision is a future revision");
   }
-  if (aAt != 0 && !Remembers(aAt)) {
+  if (aAt != 0 && !IsInHistory(aAt)) {
     return absl::OutOfRangeError("required revision has been compacted");
   }
   KeyValuePage page;
@@ -221,7 +221,7 @@
   const KeyRange& aRange,
   Revision aFrom) const
 {
-  if (!Remembers(aFrom)) {
+  if (!IsInHistory(aFrom)) {
     return absl::OutOfRangeError("required revision has been compacted");
   }
   std::vector<StoreEvent> events;
@@ -255,7 +255,7 @@
   EntryPointer& entry = mEntries[aWrite.mKey];
   EntryPointer before = entry;
   if (before) {
-    Detach(*before);
+    DetachFromLease(*before);
   }
   entry = std::make_shared<StoreEntry>(
     StoreEntry{ aWrite.mKey, *aWrite.mValue, aRevision, aWrite.mLease });
@@ -272,12 +272,12 @@
     return;
   }
   EntryPointer before = found->second;
-  Detach(*before);
+  DetachFromLease(*before);
   mEntries.erase(found);
   Record({ aRevision, aKey, std::move(before), nullptr });
 }
 
-void KeyValueTable::Detach(const StoreEntry& aEntry)
+void KeyValueTable::DetachFromLease(const StoreEntry& aEntry)
 {
   if (const auto lease = mLeases.find(aEntry.mLease); lease != mLeases.end()) {
     lease->second.mKeys.erase(aEntry.mKey);
@@ -289,7 +289,7 @@
   mRevision = aChange.mRevision;
   mHistory.push_back(std::move(aChange));
   while (mHistory.size() > mLimits.mHistoryChanges) {
-    mForgotten = mHistory.front().mRevision;
+    mCompactedRevision = mHistory.front().mRevision;
     mHistory.pop_front();
   }
 }
--- a/src/platform/store/KeyValueTable.h
+++ b/src/platform/store/KeyValueTable.h
@@ -99,20 +99,21 @@
 
   absl::Status Check(const StoreTransaction& aTransaction) const;
   absl::Status CheckLeases(const StoreTransaction& aTransaction) const;
-  bool Holds(const StoreCompare& aCompare) const;
+  bool IsSatisfied(const StoreCompare& aCompare) const;
   Entries EntriesAt(const KeyRange& aRange, Revision aAt) const;
   Entries LatestEntries(const KeyRange& aRange) const;
   std::deque<Change>::const_iterator FirstChangeAfter(Revision aFrom) const;
-  bool Remembers(Revision aFrom) const { return aFrom >= mForgotten; }
+  bool IsInHistory(Revision aFrom) const { return aFrom >= mCompactedRevision; }
 
   void Put(const StoreWrite& aWrite, Revision aRevision);
   void Delete(const std::string& aKey, Revision aRevision);
-  void Detach(const StoreEntry& aEntry);
+  void DetachFromLease(const StoreEntry& aEntry);
   void Record(Change aChange);
 
   KeyValueLimits mLimits;
   Revision mRevision = 1;
-  Revision mForgotten = 0; ///< History holds every change after this revision.
+  Revision mCompactedRevision =
+    0; ///< History holds every change after this revision.
   StoreLease mLastLease = 0;
   Entries mEntries;
   std::map<StoreLease, LeaseRecord> mLeases;
--- a/src/platform/store/MemoryStore.cpp
+++ b/src/platform/store/MemoryStore.cpp
@@ -21,7 +21,7 @@
   return WithVerdict(absl::UnavailableError(reason), Verdict::NotRun);
 }
 
-absl::Status CeilingReached()
+absl::Status RateLimitReached()
 {
   return WithVerdict(absl::ResourceExhaustedError("too many requests"),
                      Verdict::NotRun);
@@ -59,14 +59,14 @@
 void MemoryStore::SetFaults(const StoreFaults& aFaults)
 {
   const Lock lock(mMutex);
-  mGate.Set(aFaults, mClock());
+  mFaultInjector.Set(aFaults, mClock());
   mChanged.notify_all();
 }
 
 StoreFaults MemoryStore::Faults() const
 {
   const Lock lock(mMutex);
-  return mGate.Faults();
+  return mFaultInjector.Faults();
 }
 
 void MemoryStore::Close()
@@ -98,18 +98,19 @@
   const Lock lock(mMutex);
   const Instant now = mClock();
   mTable.Expire(now);
-  const CallFate fate = mClosed ? CallFate::Outage : mGate.Decide(aCall, now);
-  if (fate == CallFate::Outage) {
+  const FaultDecision decision =
+    mClosed ? FaultDecision::Outage : mFaultInjector.Decide(aCall, now);
+  if (decision == FaultDecision::Outage) {
     return Refused("the store is down");
   }
-  if (fate == CallFate::Refuse) {
-    return CeilingReached();
+  if (decision == FaultDecision::Refuse) {
+    return RateLimitReached();
   }
   Result result = NotRunOnError(aApply(now));
   if (IsWrite(aCall)) {
     mChanged.notify_all();
   }
-  if (fate == CallFate::LoseReply) {
+  if (decision == FaultDecision::LoseReply) {
     return ReplyLost();
   }
   return result;
@@ -185,9 +186,9 @@
                     });
 }
 
-absl::Status MemoryStore::WatchBroken() const
+absl::Status MemoryStore::CheckWatchable() const
 {
-  if (mClosed || mGate.Faults().mOutage) {
+  if (mClosed || mFaultInjector.Faults().mOutage) {
     return Refused("the store is down");
   }
   return absl::OkStatus();
@@ -206,7 +207,7 @@
   Lock lock(mMutex);
   Duration silence{};
   for (;;) {
-    if (absl::Status broken = WatchBroken(); !broken.ok()) {
+    if (absl::Status broken = CheckWatchable(); !broken.ok()) {
       return broken;
     }
     mTable.Expire(mClock());
--- a/src/platform/store/MemoryStore.h
+++ b/src/platform/store/MemoryStore.h
@@ -6,7 +6,7 @@
 #include <boost/fiber/mutex.hpp>
 
 #include "foxtailbarrow/Store.h"
-#include "src/platform/store/FaultGate.h"
+#include "src/platform/store/FaultInjector.h"
 #include "src/platform/store/KeyValueTable.h"
 #include "src/platform/store/StoreCallCounts.h"
 
@@ -69,14 +69,14 @@
   Result Call(StoreCall aCall, const std::function<Result(Instant)>& aApply);
 
   void Delay() const;
-  absl::Status WatchBroken() const;
+  absl::Status CheckWatchable() const;
 
   const Clock mClock;
   StoreCallCounts mCounts;
   mutable boost::fibers::mutex mMutex;
   boost::fibers::condition_variable mChanged;
   KeyValueTable mTable;
-  FaultGate mGate;
+  FaultInjector mFaultInjector;
   bool mClosed = false;
 };
 
--- a/src/platform/store/WatchFeed.cpp
+++ b/src/platform/store/WatchFeed.cpp
@@ -26,14 +26,14 @@
 void WatchFeed::Run(absl::BitGenRef aRandom)
 {
   while (!mStopping) {
-    if (Follow()) {
+    if (ListAndWatch()) {
       mBackoff.Reset();
     }
     Wait(mBackoff.Next(aRandom));
   }
 }
 
-bool WatchFeed::Follow()
+bool WatchFeed::ListAndWatch()
 {
   const auto listing = mStore.List(mPrefix);
   if (!listing.ok() || mStopping) {
--- a/src/platform/store/WatchFeed.h
+++ b/src/platform/store/WatchFeed.h
@@ -62,7 +62,7 @@
 private:
   /// Lists and watches once. True when the watch held so long that the store is
   /// well; one that breaks soon must not bring the waits down.
-  bool Follow();
+  bool ListAndWatch();
   void Deliver(const WatchedKeys::Changes& aChanges);
   void SetFreshUntil(Instant aInstant);
   void Wait(Duration aSpan);
--- a/src/platform/store/WatchedKeys.cpp
+++ b/src/platform/store/WatchedKeys.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-void WatchedKeys::Take(const Changes& aChanges)
+void WatchedKeys::UpdateRevisions(const Changes& aChanges)
 {
   for (const StoreEvent& change : aChanges) {
     if (change.mValue) {
@@ -56,7 +56,7 @@
                    [](const StoreEvent& aLeft, const StoreEvent& aRight) {
                      return aLeft.mModRevision < aRight.mModRevision;
                    });
-  Take(changes);
+  UpdateRevisions(changes);
   mLatest = aListing.mRevision;
   return changes;
 }
@@ -69,7 +69,7 @@
       changes.push_back(event);
     }
   }
-  Take(changes);
+  UpdateRevisions(changes);
   return changes;
 }
 
--- a/src/platform/store/WatchedKeys.h
+++ b/src/platform/store/WatchedKeys.h
@@ -31,7 +31,7 @@
 private:
   bool IsNew(const std::string& aKey, Revision aRevision) const;
   void AddDeletions(const StoreListing& aListing, Changes& aChanges) const;
-  void Take(const Changes& aChanges);
+  void UpdateRevisions(const Changes& aChanges);
 
   std::map<std::string, Revision> mRevisions;
   Revision mLatest = 0;
--- a/src/telemetry/BoundedOutput.cpp
+++ b/src/telemetry/BoundedOutput.cpp
@@ -11,10 +11,10 @@
 
 /// Lines of this long are written together: one wake-up and one system call
 /// for a burst instead of one a line.
-constexpr std::chrono::milliseconds kGather(20);
+constexpr std::chrono::milliseconds kFlushDelay(20);
 /// How long the end of the process waits for the reader.
-constexpr std::chrono::milliseconds kEndWait(200);
-constexpr std::chrono::milliseconds kEndPoll(2);
+constexpr std::chrono::milliseconds kFlushTimeout(200);
+constexpr std::chrono::milliseconds kFlushPollInterval(2);
 
 void WriteAll(int aDescriptor, std::string_view aText)
 {
@@ -44,9 +44,9 @@
     mEnding = true;
   }
   mChanged.notify_one();
-  const auto end = std::chrono::steady_clock::now() + kEndWait;
+  const auto end = std::chrono::steady_clock::now() + kFlushTimeout;
   while (!mEnded && std::chrono::steady_clock::now() < end) {
-    std::this_thread::sleep_for(kEndPoll);
+    std::this_thread::sleep_for(kFlushPollInterval);
   }
   if (mEnded) {
     mThread.join();
@@ -63,7 +63,7 @@
   {
     const std::lock_guard lock(mMutex);
     if (mWaiting.size() + aLine.size() > mMaxBytes) {
-      ++mUntold;
+      ++mUnreportedDrops;
       mDropped.fetch_add(1);
       return;
     }
@@ -77,7 +77,7 @@
 
 void BoundedOutput::Flush()
 {
-  const auto end = std::chrono::steady_clock::now() + kEndWait;
+  const auto end = std::chrono::steady_clock::now() + kFlushTimeout;
   while (std::chrono::steady_clock::now() < end) {
     {
       const std::lock_guard lock(mMutex);
@@ -85,7 +85,7 @@
         return;
       }
     }
-    std::this_thread::sleep_for(kEndPoll);
+    std::this_thread::sleep_for(kFlushPollInterval);
   }
 }
 
@@ -95,15 +95,14 @@
   for (;;) {
     mChanged.wait(lock, [this] { return mEnding || !mWaiting.empty(); });
     if (!mEnding) {
-      mChanged.wait_for(lock, kGather, [this] { return mEnding; });
+      mChanged.wait_for(lock, kFlushDelay, [this] { return mEnding; });
     }
     std::string text;
     text.swap(mWaiting);
-    if (mUntold > 0) {
-      text +=
-        "level=WARN event=log-lines-dropped count=" + std::to_string(mUntold) +
-        "\n";
-      mUntold = 0;
+    if (mUnreportedDrops > 0) {
+      text += "level=WARN event=log-lines-dropped count=" +
+              std::to_string(mUnreportedDrops) + "\n";
+      mUnreportedDrops = 0;
     }
     const bool last = mEnding;
     mWriting = true;
--- a/src/telemetry/BoundedOutput.h
+++ b/src/telemetry/BoundedOutput.h
@@ -44,7 +44,7 @@
   std::mutex mMutex;
   std::condition_variable mChanged;
   std::string mWaiting;
-  std::uint64_t mUntold = 0; ///< Dropped since the last line about it.
+  std::uint64_t mUnreportedDrops = 0; ///< Dropped since the last line about it.
   std::atomic<std::uint64_t> mDropped{ 0 };
   bool mEnding = false;
   bool mWriting = false;
--- a/src/telemetry/Settings.cpp
+++ b/src/telemetry/Settings.cpp
@@ -40,7 +40,7 @@
   CLI::Option* mOption = nullptr;
   bool mRequired = false;
 
-  std::string Refusal(const std::string& aFault) const
+  std::string ErrorMessage(const std::string& aFault) const
   {
     return absl::StrCat(mName, ": ", aFault, "; allowed: ", mAllowed);
   }
@@ -49,14 +49,15 @@
 namespace {
 
 /// Callback for CLI11 that refuses what the acceptor does not take.
-std::function<void(const std::string&)> Checked(const Setting::Impl& aSetting,
-                                                Settings::Acceptor aAcceptor)
+std::function<void(const std::string&)> MakeValidator(
+  const Setting::Impl& aSetting,
+  Settings::Acceptor aAcceptor)
 {
   return
     [&aSetting, acceptor = std::move(aAcceptor)](const std::string& aText) {
       if (!acceptor(aText)) {
         throw CLI::ValidationError(
-          aSetting.Refusal("value '" + aText + "' is not allowed"));
+          aSetting.ErrorMessage("value '" + aText + "' is not allowed"));
       }
     };
 }
@@ -70,7 +71,7 @@
 
 struct Settings::Impl
 {
-  std::unique_ptr<CLI::App> mOwnApp; ///< Set in the root alone.
+  std::unique_ptr<CLI::App> mRootApp; ///< Set in the root alone.
   CLI::App* mApp = nullptr;
   std::vector<std::unique_ptr<Setting::Impl>> mSettings;
   std::vector<std::unique_ptr<Settings>> mSubcommands;
@@ -80,7 +81,7 @@
   {
     for (const auto& setting : mSettings) {
       if (setting->mRequired && setting->mOption->count() == 0) {
-        return setting->Refusal("missing");
+        return setting->ErrorMessage("missing");
       }
     }
     for (const auto& subcommand : mSubcommands) {
@@ -92,7 +93,7 @@
   }
 
   /// Adds what is allowed to CLI11's own message, which names the flag.
-  std::string Explained(const std::string& aMessage) const
+  std::string WithAllowedValues(const std::string& aMessage) const
   {
     for (const auto& setting : mSettings) {
       if (const std::string name = setting->mOption->get_name();
@@ -103,7 +104,7 @@
     }
     for (const auto& subcommand : mSubcommands) {
       if (subcommand->Chosen()) {
-        return subcommand->mImpl->Explained(aMessage);
+        return subcommand->mImpl->WithAllowedValues(aMessage);
       }
     }
     return aMessage;
@@ -111,12 +112,12 @@
 
   /// What is wrong where CLI11 misses a subcommand; `aRest` are the arguments
   /// that it did not understand.
-  std::string SubcommandFault(const std::vector<std::string>& aRest) const
+  std::string SubcommandError(const std::vector<std::string>& aRest) const
   {
     std::vector<std::string> names;
     for (const auto& subcommand : mSubcommands) {
       if (subcommand->Chosen()) {
-        return subcommand->mImpl->SubcommandFault(aRest);
+        return subcommand->mImpl->SubcommandError(aRest);
       }
       names.push_back(subcommand->mImpl->mApp->get_name());
     }
@@ -128,7 +129,7 @@
                         absl::StrJoin(names, ", "));
   }
 
-  Setting::Impl& Remember(std::string aName, std::string_view aAllowed)
+  Setting::Impl& AddSetting(std::string aName, std::string_view aAllowed)
   {
     auto setting = std::make_unique<Setting::Impl>();
     setting->mName = std::move(aName);
@@ -141,9 +142,9 @@
 Settings::Settings(std::string_view aProgram, std::string_view aDescription)
   : mImpl(std::make_unique<Impl>())
 {
-  mImpl->mOwnApp = std::make_unique<CLI::App>(std::string(aDescription),
-                                              std::string(aProgram));
-  mImpl->mApp = mImpl->mOwnApp.get();
+  mImpl->mRootApp = std::make_unique<CLI::App>(std::string(aDescription),
+                                               std::string(aProgram));
+  mImpl->mApp = mImpl->mRootApp.get();
   mImpl->mApp->set_version_flag("--version", kVersion);
 }
 
@@ -163,9 +164,9 @@
   const std::string flag = FlagName(aFlag);
   const std::string variable = VariableName(flag);
   Setting::Impl& setting =
-    mImpl->Remember(flag + " (" + variable + ")", aAllowed);
+    mImpl->AddSetting(flag + " (" + variable + ")", aAllowed);
   setting.mOption = mImpl->mApp->add_option_function<std::string>(
-    flag, Checked(setting, std::move(aAcceptor)), std::string(aHelp));
+    flag, MakeValidator(setting, std::move(aAcceptor)), std::string(aHelp));
   setting.mOption->envname(variable);
   setting.mOption->default_str(std::string(aDefault));
   return Setting(setting);
@@ -178,7 +179,7 @@
   const std::string flag = FlagName(aFlag);
   const std::string variable = VariableName(flag);
   Setting::Impl& setting =
-    mImpl->Remember(absl::StrCat(flag, " (", variable, ")"), "true, false");
+    mImpl->AddSetting(absl::StrCat(flag, " (", variable, ")"), "true, false");
   setting.mOption = mImpl->mApp->add_flag(flag, aTarget, std::string(aHelp));
   setting.mOption->envname(variable);
 }
@@ -187,10 +188,10 @@
                                 std::string_view aAllowed,
                                 Acceptor aAcceptor)
 {
-  Setting::Impl& setting = mImpl->Remember(std::string(aName), aAllowed);
+  Setting::Impl& setting = mImpl->AddSetting(std::string(aName), aAllowed);
   setting.mOption = mImpl->mApp->add_option_function<std::string>(
     std::string(aName),
-    Checked(setting, std::move(aAcceptor)),
+    MakeValidator(setting, std::move(aAcceptor)),
     std::string(aAllowed));
   return Setting(setting);
 }
@@ -234,13 +235,13 @@
     fault = mImpl->MissingSetting();
   } catch (const CLI::RequiredError&) {
     // Required settings are checked here, so that only a subcommand can miss.
-    fault = mImpl->SubcommandFault(mImpl->mApp->remaining(true));
+    fault = mImpl->SubcommandError(mImpl->mApp->remaining(true));
   } catch (const CLI::ParseError& error) {
     if (error.get_exit_code() == 0) {
       mImpl->mApp->exit(error, aOut, aErr);
       return 0;
     }
-    fault = mImpl->Explained(error.what());
+    fault = mImpl->WithAllowedValues(error.what());
   }
   if (fault.empty()) {
     return std::nullopt;
--- a/standins/store/Gateway.cpp
+++ b/standins/store/Gateway.cpp
@@ -44,7 +44,7 @@
   { etcd::kGrantTarget, &Gateway::Grant },
   { etcd::kKeepAliveTarget, &Gateway::KeepAlive },
   { etcd::kRevokeTarget, &Gateway::Revoke },
-  { etcd::kOldRevokeTarget, &Gateway::Revoke },
+  { etcd::kLegacyRevokeTarget, &Gateway::Revoke },
   { kFaultsTarget, &Gateway::SetFaults },
 };
 
--- a/tests/admission/AdmissionTest.cpp
+++ b/tests/admission/AdmissionTest.cpp
@@ -15,11 +15,11 @@
 constexpr Instant kStart{ seconds(1000) };
 
 /// The whole of each limit.
-ShareBasis Everything()
+ShareAllocation Everything()
 {
-  ShareBasis basis;
+  ShareAllocation basis;
   basis.mStandingPermille = 0;
-  basis.mLive = 1;
+  basis.mLiveEntries = 1;
   basis.mLeaseUntil = Instant::max();
   return basis;
 }
--- a/tests/admission/LimitShareTest.cpp
+++ b/tests/admission/LimitShareTest.cpp
@@ -25,7 +25,7 @@
 struct Mutation
 {
   const char* mName;
-  void (*mSpoil)(ModelSettings&);
+  void (*mApply)(ModelSettings&);
 
   friend std::ostream& operator<<(std::ostream& aOut, const Mutation& aCase)
   {
@@ -39,7 +39,7 @@
 TEST_P(LimitShareMutations, AreNoticed)
 {
   ModelSettings settings;
-  GetParam().mSpoil(settings);
+  GetParam().mApply(settings);
   bool isNoticed = false;
   for (std::uint64_t seed = 1; seed <= 300 && !isNoticed; ++seed) {
     isNoticed = !ShareModel(settings, seed).RunWithin(kLimits, kSteps);
@@ -56,8 +56,9 @@
       [](ModelSettings& s) { s.mShares.mMargin = -s.mShares.mValidity; } },
     Mutation{ "validity beyond the store lease",
               [](ModelSettings& s) { s.mStoreLease = seconds(1); } },
-    Mutation{ "slot taken while its owner may use it",
-              [](ModelSettings& s) { s.mShares.mHold = seconds(5); } }));
+    Mutation{ "slot taken while its owner may use it", [](ModelSettings& s) {
+               s.mShares.mReclaimDelay = seconds(5);
+             } }));
 
 TEST(LimitShare, IsUsedWholeWhenAllIsWell)
 {
@@ -70,49 +71,49 @@
   EXPECT_EQ(best, 1000);
 }
 
-RC_GTEST_PROP(PartOf, SumsToTheAmountAndNeverGrowsWithPartsOrPlace, ())
+RC_GTEST_PROP(SplitEvenly, SumsToTheAmountAndNeverGrowsWithPartsOrPlace, ())
 {
   const auto amount = *rc::gen::inRange<std::int64_t>(0, 10'000);
   const auto parts = *rc::gen::inRange<std::int32_t>(1, 50);
   const auto place = *rc::gen::inRange<std::int32_t>(0, parts);
   std::int64_t sum = 0;
   for (std::int32_t i = 0; i < parts; ++i) {
-    sum += PartOf(amount, parts, i);
+    sum += SplitEvenly(amount, parts, i);
   }
   RC_ASSERT(sum == amount);
   const auto more = *rc::gen::inRange<std::int32_t>(0, 50);
   const auto later = *rc::gen::inRange<std::int32_t>(0, more + 1);
-  RC_ASSERT(PartOf(amount, parts + more, place + later) <=
-            PartOf(amount, parts, place));
+  RC_ASSERT(SplitEvenly(amount, parts + more, place + later) <=
+            SplitEvenly(amount, parts, place));
 }
 
 /// One entry alone, by hand.
-class SoleKeeper : public testing::Test
+class SingleAllocator : public testing::Test
 {
 protected:
-  SoleKeeper()
-    : mKeeper({}, mSelf)
+  SingleAllocator()
+    : mAllocator({}, mSelf)
   {
-    mKeeper.OnJoined(At(0));
+    mAllocator.OnJoined(At(0));
   }
 
   static Instant At(int aSecond) { return Instant(seconds(100'000 + aSecond)); }
 
   void Renew(int aSecond)
   {
-    mKeeper.OnRoster(At(aSecond), mLive);
-    mKeeper.OnSlots(At(aSecond), At(aSecond), mSlots, mLive);
+    mAllocator.OnRoster(At(aSecond), mLive);
+    mAllocator.OnSlots(At(aSecond), At(aSecond), mSlots, mLive);
   }
 
   bool ClaimAt(int aSecond)
   {
     const Instant at = At(aSecond);
-    return mKeeper.OnSlots(at, at, mSlots, mLive).has_value();
+    return mAllocator.OnSlots(at, at, mSlots, mLive).has_value();
   }
 
   std::int64_t Share(int aSecond) const
   {
-    return UsableShare(90, mKeeper.Basis(), At(aSecond));
+    return UsableShare(90, mAllocator.Allocation(), At(aSecond));
   }
 
   const ShareOwner mSelf{ EntryId("a"), 7 };
@@ -120,10 +121,10 @@
   std::vector<ShareSlot> mSlots{ { ShareOwner{ EntryId("z"), 1 }, 3 },
                                  { mSelf, 4 },
                                  {} };
-  ShareKeeper mKeeper;
+  ShareAllocator mAllocator;
 };
 
-TEST_F(SoleKeeper, FallsBackToTheStandingPartInAnOutage)
+TEST_F(SingleAllocator, FallsBackToTheStandingPartInAnOutage)
 {
   Renew(3);
   EXPECT_EQ(Share(3), 15); // has not waited out the older rosters yet
@@ -135,17 +136,17 @@
   EXPECT_EQ(Share(5 + 110 * 60), 0);
 }
 
-TEST_F(SoleKeeper, ClaimsItsFormerSlotBeforeAFreeOne)
+TEST_F(SingleAllocator, ClaimsItsFormerSlotBeforeAFreeOne)
 {
   mSlots[1] = {};
   mSlots[2] = { ShareOwner{ EntryId("a"), 6 }, 9 };
-  const auto claim = mKeeper.OnSlots(At(1), At(1), mSlots, mLive);
+  const auto claim = mAllocator.OnSlots(At(1), At(1), mSlots, mLive);
   ASSERT_TRUE(claim.has_value());
   EXPECT_EQ(claim->mSlot, 2);
   EXPECT_EQ(claim->mModRevision, 9);
 }
 
-TEST_F(SoleKeeper, TakesAVanishedEntrysSlotOnlyAfterTheHold)
+TEST_F(SingleAllocator, TakesAVanishedEntrysSlotOnlyAfterTheHold)
 {
   mSlots[1].mOwner = ShareOwner{ EntryId("y"), 1 };
   mSlots[2].mOwner = ShareOwner{ EntryId("x"), 1 };
@@ -155,7 +156,7 @@
   EXPECT_TRUE(ClaimAt(7200));
 }
 
-TEST_F(SoleKeeper, StartsTheHoldAnewAfterAGapInWhichTheOwnerCouldBeBack)
+TEST_F(SingleAllocator, StartsTheHoldAnewAfterAGapInWhichTheOwnerCouldBeBack)
 {
   mSlots[1].mOwner = ShareOwner{ EntryId("y"), 1 };
   mSlots[2].mOwner = ShareOwner{ EntryId("x"), 1 };
--- a/tests/admission/ShareModel.h
+++ b/tests/admission/ShareModel.h
@@ -7,7 +7,7 @@
 #include <random>
 #include <vector>
 
-#include "src/core/admission/ShareKeeper.h"
+#include "src/core/admission/ShareAllocator.h"
 
 namespace foxtailbarrow {
 
@@ -18,7 +18,7 @@
   {
     // Shorter than in the product, so that schedules reach the end of a hold.
     mShares.mStandingValidity = std::chrono::seconds(36);
-    mShares.mHold = std::chrono::seconds(40);
+    mShares.mReclaimDelay = std::chrono::seconds(40);
   }
 
   ShareSettings mShares;
@@ -70,12 +70,12 @@
   {
     Entry(const ShareSettings& aSettings, ShareOwner aOwner)
       : mOwner(aOwner)
-      , mKeeper(aSettings, std::move(aOwner))
+      , mAllocator(aSettings, std::move(aOwner))
     {
     }
 
     ShareOwner mOwner;
-    ShareKeeper mKeeper;
+    ShareAllocator mAllocator;
     double mRate = 1;
     bool mFrozen = false;
     bool mCutOff = false;
@@ -111,7 +111,8 @@
   {
     std::int64_t used = 0;
     for (const auto& [id, entry] : mEntries) {
-      used += UsableShare(aLimit, entry->mKeeper.Basis(), Local(*entry));
+      used +=
+        UsableShare(aLimit, entry->mAllocator.Allocation(), Local(*entry));
     }
     return used;
   }
@@ -119,7 +120,7 @@
   void Step()
   {
     mNow += std::chrono::milliseconds(Draw(400));
-    Disturb();
+    InjectFault();
     std::erase_if(
       mRoster, [&](const auto& aItem) { return aItem.second.mLapses <= mNow; });
     for (const auto& [id, entry] : mEntries) {
@@ -129,7 +130,7 @@
     }
   }
 
-  void Disturb()
+  void InjectFault()
   {
     const EntryId id("e" + std::to_string(Draw(5)));
     const auto found = mEntries.find(id);
@@ -164,7 +165,7 @@
 
   void Release(Entry& aEntry)
   {
-    aEntry.mKeeper.OnReleased();
+    aEntry.mAllocator.OnReleased();
     for (ShareSlot& slot : mSlots) {
       if (slot.mOwner == aEntry.mOwner) {
         slot = { std::nullopt, 0 };
@@ -241,16 +242,16 @@
     switch (aEntry.mCall) {
       case Call::Join:
         aEntry.mJoined = true;
-        aEntry.mKeeper.OnJoined(Local(aEntry));
+        aEntry.mAllocator.OnJoined(Local(aEntry));
         break;
       case Call::Renew:
         if (aEntry.mSucceeded) {
-          aEntry.mKeeper.OnRoster(aEntry.mStarted, aEntry.mLive);
+          aEntry.mAllocator.OnRoster(aEntry.mStarted, aEntry.mLive);
         } else {
           aEntry.mJoined = false;
-          aEntry.mKeeper.OnLeft();
+          aEntry.mAllocator.OnLeft();
         }
-        aEntry.mClaim = aEntry.mKeeper.OnSlots(
+        aEntry.mClaim = aEntry.mAllocator.OnSlots(
           aEntry.mStarted, Local(aEntry), aEntry.mSlotsRead, aEntry.mLive);
         break;
       case Call::Claim:
--- a/tests/agent/FakeEntry.cpp
+++ b/tests/agent/FakeEntry.cpp
@@ -53,7 +53,7 @@
   mNewest = aHeartbeat;
   HeartbeatReply reply;
   reply.mEntry = EntryId("entry1");
-  PutDelta(mContracts.Answer(aHeartbeat), reply);
+  WriteDelta(mContracts.Answer(aHeartbeat), reply);
   for (ShardId shard = 0; shard < mShards; ++shard) {
     reply.mLeases.push_back({ shard, kGeneration, std::chrono::seconds(20) });
   }
--- a/tests/base/ResumeWatchTest.cpp
+++ b/tests/base/SuspendDetectorTest.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "src/core/base/ResumeWatch.h"
+#include "src/core/base/SuspendDetector.h"
 
 namespace foxtailbarrow::test {
 
@@ -17,21 +17,21 @@
   milliseconds mSteady;
 };
 
-struct ResumeCase
+struct SuspendCase
 {
   const char* mName;
   std::vector<Step> mSteps;
   std::vector<milliseconds> mSuspended; ///< Found.
 };
 
-class ResumeWatchTest : public testing::TestWithParam<ResumeCase>
+class SuspendDetectorTest : public testing::TestWithParam<SuspendCase>
 {};
 
-TEST_P(ResumeWatchTest, FindsEachSuspensionOnce)
+TEST_P(SuspendDetectorTest, FindsEachSuspensionOnce)
 {
   Instant now{ std::chrono::seconds(1000) };
-  ResumeWatch::SteadyTime steady{ std::chrono::seconds(7) };
-  ResumeWatch watch;
+  SuspendDetector::SteadyTime steady{ std::chrono::seconds(7) };
+  SuspendDetector watch;
   EXPECT_FALSE(watch.Poll(now, steady));
   std::vector<milliseconds> found;
   for (const Step& step : GetParam().mSteps) {
@@ -48,24 +48,24 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  ResumeWatchTest,
+  SuspendDetectorTest,
   testing::Values(
-    ResumeCase{ "Awake", { { kTick, kTick }, { kTick, kTick } }, {} },
-    ResumeCase{ "Frozen", { { milliseconds(9000), milliseconds(9000) } }, {} },
-    ResumeCase{
+    SuspendCase{ "Awake", { { kTick, kTick }, { kTick, kTick } }, {} },
+    SuspendCase{ "Frozen", { { milliseconds(9000), milliseconds(9000) } }, {} },
+    SuspendCase{
       "Suspended",
       { { kTick, kTick }, { milliseconds(5100), kTick }, { kTick, kTick } },
       { milliseconds(5000) } },
-    ResumeCase{ "Twice",
-                { { milliseconds(600), kTick },
-                  { kTick, kTick },
-                  { milliseconds(700), milliseconds(0) } },
-                { milliseconds(500), milliseconds(700) } },
-    ResumeCase{ "Briefly", { { milliseconds(599), kTick } }, {} },
+    SuspendCase{ "Twice",
+                 { { milliseconds(600), kTick },
+                   { kTick, kTick },
+                   { milliseconds(700), milliseconds(0) } },
+                 { milliseconds(500), milliseconds(700) } },
+    SuspendCase{ "Briefly", { { milliseconds(599), kTick } }, {} },
     // Between the readings of the two clocks the process did not run.
-    ResumeCase{ "HeldUp",
-                { { kTick, milliseconds(400) }, { milliseconds(400), kTick } },
-                {} }),
+    SuspendCase{ "HeldUp",
+                 { { kTick, milliseconds(400) }, { milliseconds(400), kTick } },
+                 {} }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 } // namespace
--- a/tests/colocation/ColocationGuardTest.cpp
+++ b/tests/colocation/ColocationGuardTest.cpp
@@ -21,8 +21,8 @@
 
 struct FakeTask
 {
-  std::string mName;  ///< Of its class too.
-  double mHarm = 0.0; ///< Excess that it causes at full speed.
+  std::string mName;          ///< Of its class too.
+  double mInterference = 0.0; ///< Excess that it causes at full speed.
   bool mEvictable = true;
   int mFrom = 0; ///< Second of its start.
   bool mIsGone = false;
@@ -48,7 +48,7 @@
       mGuard.SetTasks(aWithTasks ? Colocated() : std::vector<ColocatedTask>{},
                       At(second));
       Serve(second, aWithTasks);
-      for (const ColocationAct& act : mGuard.Advance(At(second + 1))) {
+      for (const ColocationAction& act : mGuard.Advance(At(second + 1))) {
         Note(act, second);
       }
     }
@@ -89,16 +89,16 @@
     double slowdown = 1.0;
     for (const FakeTask& task : mTasks) {
       if (aWithTasks && IsHere(task)) {
-        slowdown += task.mHarm * FractionOf(task.mName);
+        slowdown += task.mInterference * FractionOf(task.mName);
       }
     }
     LatencyWindow window{ At(aSecond), At(aSecond + 1), {} };
     const auto micros = static_cast<std::int64_t>(kCalmMs * slowdown * 1000);
     window.mLevels[1].Add(ServiceHistogram::BucketOf(Duration(micros)), 100);
-    mGuard.LatenciesSeen(window);
+    mGuard.OnLatencies(window);
   }
 
-  void Note(const ColocationAct& aAct, int aSecond)
+  void Note(const ColocationAction& aAct, int aSecond)
   {
     mSteps.push_back(aSecond);
     if (const auto* const evict = std::get_if<EvictBatch>(&aAct)) {
@@ -215,11 +215,11 @@
   history.Set({ task }, At(0));
   task.mFraction = 0.5;
   history.Set({ task }, At(10));
-  EXPECT_EQ(history.Measured(key, 0.4, At(9)), 1.0);
-  EXPECT_DOUBLE_EQ(history.Over(At(8), At(9))->mTasks[0].Pressure(), 0.4);
-  EXPECT_DOUBLE_EQ(history.Newest()->mTasks[0].Pressure(), 0.25);
+  EXPECT_EQ(history.AttributeUsage(key, 0.4, At(9)), 1.0);
+  EXPECT_DOUBLE_EQ(history.Over(At(8), At(9))->mTasks[0].ProcessorShare(), 0.4);
+  EXPECT_DOUBLE_EQ(history.Newest()->mTasks[0].ProcessorShare(), 0.25);
   EXPECT_EQ(history.Over(At(9), At(11)), nullptr) << "it changed meanwhile";
-  EXPECT_EQ(history.Measured(key, 0.4, At(-1)), std::nullopt);
+  EXPECT_EQ(history.AttributeUsage(key, 0.4, At(-1)), std::nullopt);
 }
 
 class HistogramBound : public testing::TestWithParam<std::int64_t>
--- a/tests/ctl/ContractCommandsTest.cpp
+++ b/tests/ctl/ContractCommandsTest.cpp
@@ -8,7 +8,7 @@
 #include <gtest/gtest.h>
 
 #include "src/core/contract/ContractDocument.h"
-#include "src/platform/contract/ContractBook.h"
+#include "src/platform/contract/ContractRegistry.h"
 #include "src/platform/store/MemoryStore.h"
 
 namespace foxtailbarrow::ctl {
@@ -50,7 +50,10 @@
       mStore, WriteFile(FormatContract(MakeContract(aMaxCopies))), aExpected);
   }
 
-  Contract Held() { return *ContractBook(mStore).Read(CustomerId("hydro")); }
+  Contract Stored()
+  {
+    return *ContractRegistry(mStore).Read(CustomerId("hydro"));
+  }
 
   /// Its clock stands, so that its rate ceilings never refill.
   MemoryStore mStore{ [] { return Instant(); } };
@@ -63,29 +66,29 @@
   EXPECT_THAT(all.mText, HasSubstr("hydro"));
   const CommandResult one = ShowContracts(mStore, CustomerId("hydro"));
   EXPECT_EQ(one.mJson["maxCopies"].asInt(), 4);
-  EXPECT_EQ(one.mJson["revision"].asInt64(), Held().mRevision);
+  EXPECT_EQ(one.mJson["revision"].asInt64(), Stored().mRevision);
 }
 
 TEST_F(ContractCommands, WriteNothingWhenNothingChanges)
 {
   Apply(4);
-  const Revision before = Held().mRevision;
+  const Revision before = Stored().mRevision;
   const CommandResult result = Apply(4);
   EXPECT_EQ(result.mExitCode, kExitOk);
   EXPECT_EQ(result.mJson["outcome"], "unchanged");
-  EXPECT_EQ(Held().mRevision, before);
+  EXPECT_EQ(Stored().mRevision, before);
 }
 
 TEST_F(ContractCommands, RefuseAnotherRevisionThanExpected)
 {
   Apply(4);
-  const Revision first = Held().mRevision;
+  const Revision first = Stored().mRevision;
   Apply(5, first);
   const CommandResult late = Apply(6, first);
   EXPECT_EQ(late.mExitCode, kExitRefused);
   EXPECT_THAT(late.mText, HasSubstr("another operator was faster"));
-  EXPECT_EQ(late.mJson["revision"].asInt64(), Held().mRevision);
-  EXPECT_EQ(Held().mMaxCopies, 5);
+  EXPECT_EQ(late.mJson["revision"].asInt64(), Stored().mRevision);
+  EXPECT_EQ(Stored().mMaxCopies, 5);
   EXPECT_EQ(Apply(7, 0).mExitCode, kExitRefused);
   EXPECT_EQ(RemoveContract(mStore, CustomerId("hydro"), first).mExitCode,
             kExitRefused);
@@ -182,7 +185,7 @@
   const CommandResult result = ApplyContractFile(store, path, std::nullopt);
   EXPECT_EQ(result.mExitCode, kExitRefused);
   EXPECT_THAT(result.mText, HasSubstr("another operator was faster"));
-  EXPECT_EQ(Held().mMaxCopies, 9);
+  EXPECT_EQ(Stored().mMaxCopies, 9);
 }
 
 TEST_F(ContractCommands, DoNotGuessWhenTheStoreStaysSilentAfterALostReply)
@@ -205,7 +208,7 @@
 {
   std::string mName;
   std::string mText;
-  std::string mPart;
+  std::string mExpectedText;
 
   friend void PrintTo(const BadFile& aCase, std::ostream* aOut)
   {
@@ -225,7 +228,7 @@
          ApplyContractFile(store, path, std::nullopt) }) {
     EXPECT_EQ(result.mExitCode, kExitRefused);
     EXPECT_THAT(result.mText, HasSubstr(path));
-    EXPECT_THAT(result.mText, HasSubstr(GetParam().mPart));
+    EXPECT_THAT(result.mText, HasSubstr(GetParam().mExpectedText));
   }
   EXPECT_EQ(store.Counts().Total(), 0U);
 }
--- a/tests/ctl/CtlSettingsTest.cpp
+++ b/tests/ctl/CtlSettingsTest.cpp
@@ -15,7 +15,7 @@
 struct BadLine
 {
   std::vector<std::string> mArguments;
-  std::vector<std::string> mParts; ///< Of the error message.
+  std::vector<std::string> mExpectedTexts; ///< Of the error message.
 
   friend void PrintTo(const BadLine& aCase, std::ostream* aOut)
   {
@@ -33,7 +33,7 @@
   const auto result = ParseCtlSettings(GetParam().mArguments, out, err);
   ASSERT_TRUE(std::holds_alternative<int>(result));
   EXPECT_EQ(std::get<int>(result), 2);
-  for (const std::string& part : GetParam().mParts) {
+  for (const std::string& part : GetParam().mExpectedTexts) {
     EXPECT_THAT(err.str(), HasSubstr(part));
   }
 }
--- a/tests/ctl/EntryCallerTest.cpp
+++ b/tests/ctl/EntryCallerTest.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// What the first entry does; the second one always answers.
-enum class First : std::uint8_t
+enum class FirstEntryBehavior : std::uint8_t
 {
   Answers,
   IsUnreachable, ///< Nothing listens there.
@@ -21,7 +21,7 @@
 struct CallCase
 {
   std::string mName;
-  First mFirst;
+  FirstEntryBehavior mFirstBehavior;
   bool mRepeatable;
   bool mAnswered;
   int mCallsOfSecond;
@@ -50,12 +50,12 @@
 
   Endpoint FirstEntry()
   {
-    switch (GetParam().mFirst) {
-      case First::Answers:
+    switch (GetParam().mFirstBehavior) {
+      case FirstEntryBehavior::Answers:
         return Serve(200, mCallsOfFirst);
-      case First::LosesReply:
+      case FirstEntryBehavior::LosesReply:
         return Serve(net::kCloseWithoutAnswer, mCallsOfFirst);
-      case First::IsUnreachable:
+      case FirstEntryBehavior::IsUnreachable:
         break;
     }
     const Endpoint endpoint = Serve(200, mCallsOfFirst);
@@ -91,11 +91,19 @@
   Table,
   EntryCall,
   testing::Values(
-    CallCase{ "first answers", First::Answers, false, true, 0 },
-    CallCase{ "first is away", First::IsUnreachable, false, true, 1 },
-    CallCase{ "reply lost, repeatable", First::LosesReply, true, true, 1 },
+    CallCase{ "first answers", FirstEntryBehavior::Answers, false, true, 0 },
+    CallCase{ "first is away",
+              FirstEntryBehavior::IsUnreachable,
+              false,
+              true,
+              1 },
+    CallCase{ "reply lost, repeatable",
+              FirstEntryBehavior::LosesReply,
+              true,
+              true,
+              1 },
     CallCase{ "reply lost, not repeatable",
-              First::LosesReply,
+              FirstEntryBehavior::LosesReply,
               false,
               false,
               0 }));
--- a/tests/ctl/JobCommandsTest.cpp
+++ b/tests/ctl/JobCommandsTest.cpp
@@ -108,7 +108,7 @@
   std::string mName;
   FakeEntry mEntry;
   int mExitCode = 0;
-  std::vector<std::string> mParts;
+  std::vector<std::string> mExpectedTexts;
 
   friend void PrintTo(const ErrorCase& aCase, std::ostream* aOut)
   {
@@ -124,7 +124,7 @@
   FakeEntry entry = GetParam().mEntry;
   const CommandResult result = ExplainJob(entry.Call(), "h.k1");
   EXPECT_EQ(result.mExitCode, GetParam().mExitCode);
-  for (const std::string& part : GetParam().mParts) {
+  for (const std::string& part : GetParam().mExpectedTexts) {
     EXPECT_THAT(result.mText, HasSubstr(part));
   }
 }
--- a/tests/entry/CallerRequestTest.cpp
+++ b/tests/entry/CallerRequestTest.cpp
@@ -108,12 +108,14 @@
 struct MethodCase
 {
   const char* mMethod;
-  const char* mMark; ///< Null: no header.
+  const char* mIdempotentHeader; ///< Null: no header.
   bool mIdempotent;
 
   friend void PrintTo(const MethodCase& aCase, std::ostream* aOut)
   {
-    *aOut << aCase.mMethod << (aCase.mMark != nullptr ? aCase.mMark : "");
+    *aOut << aCase.mMethod
+          << (aCase.mIdempotentHeader != nullptr ? aCase.mIdempotentHeader
+                                                 : "");
   }
 };
 
@@ -124,8 +126,8 @@
 {
   net::HttpRequest request = RequestWith({});
   request.mMethod = GetParam().mMethod;
-  if (GetParam().mMark != nullptr) {
-    request.mHeaders.Set(kIdempotentHeader, GetParam().mMark);
+  if (GetParam().mIdempotentHeader != nullptr) {
+    request.mHeaders.Set(kIdempotentHeader, GetParam().mIdempotentHeader);
   }
   const auto result =
     ReadCallerRequest(request, kLimits, RequestId("fresh"), kNow);
