--- a/tests/job/EndedRecordsTest.cpp
+++ b/tests/job/EndedRecordsTest.cpp
@@ -11,37 +11,37 @@
 constexpr Instant kStart{ hours(1) };
 const JobId kJob("hydro.k1");
 
-struct Sight
+struct Observation
 {
   Duration mLater;
   Revision mRevision;
-  bool mMayGo;
+  bool mMayDelete;
 };
 
-class EndedRecord : public testing::TestWithParam<Sight>
+class EndedRecord : public testing::TestWithParam<Observation>
 {};
 
 TEST_P(EndedRecord, GoesAfterItWasTheSameForTheKeepingTime)
 {
   EndedRecords records{ hours(24) };
-  EXPECT_FALSE(records.Seen(kShard, kJob, 7, kStart));
-  EXPECT_EQ(records.Seen(
+  EXPECT_FALSE(records.OnFinalRecord(kShard, kJob, 7, kStart));
+  EXPECT_EQ(records.OnFinalRecord(
               kShard, kJob, GetParam().mRevision, kStart + GetParam().mLater),
-            GetParam().mMayGo);
+            GetParam().mMayDelete);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
                          EndedRecord,
-                         testing::Values(Sight{ hours(23), 7, false },
-                                         Sight{ hours(24), 7, true },
-                                         Sight{ hours(24), 8, false }));
+                         testing::Values(Observation{ hours(23), 7, false },
+                                         Observation{ hours(24), 7, true },
+                                         Observation{ hours(24), 8, false }));
 
 TEST(EndedRecords, StartAnewWithANewOwner)
 {
   EndedRecords records{ hours(24) };
-  records.Seen(kShard, kJob, 7, kStart);
+  records.OnFinalRecord(kShard, kJob, 7, kStart);
   records.ForgetShard(kShard);
-  EXPECT_FALSE(records.Seen(kShard, kJob, 7, kStart + hours(24)));
+  EXPECT_FALSE(records.OnFinalRecord(kShard, kJob, 7, kStart + hours(24)));
   records.Forget(kShard, kJob);
   EXPECT_EQ(records.Size(kShard), 0U);
 }
--- a/tests/job/JobSchedulerTest.cpp
+++ b/tests/job/JobSchedulerTest.cpp
@@ -39,13 +39,13 @@
 protected:
   void SetUp() override
   {
-    Tell(ContractsChanged{ { TestContract() }, {} });
-    Tell(ShardAcquired{ kShard, kGeneration, {} });
-    Tell(JobRead{ kShard, { TestRecord(), 5 } });
-    Beat({});
+    Dispatch(ContractsChanged{ { TestContract() }, {} });
+    Dispatch(ShardAcquired{ kShard, kGeneration, {} });
+    Dispatch(JobRead{ kShard, { TestRecord(), 5 } });
+    SendHeartbeat({});
   }
 
-  JobScheduler::Actions Tell(const JobEvent& aEvent)
+  JobScheduler::Actions Dispatch(const JobEvent& aEvent)
   {
     return mScheduler.Handle(aEvent, mNow, mRandom);
   }
@@ -62,7 +62,7 @@
     return found;
   }
 
-  JobScheduler::Actions Beat(std::vector<TaskReport> aTasks)
+  JobScheduler::Actions SendHeartbeat(std::vector<TaskReport> aTasks)
   {
     Heartbeat heartbeat;
     heartbeat.mAgent = kAgent;
@@ -72,8 +72,8 @@
     heartbeat.mLoad.mCapacity = { 64000, 250000, 0 };
     heartbeat.mLoad.mReserved = mReserved;
     heartbeat.mTasks = std::move(aTasks);
-    auto actions = Tell(HeartbeatSeen{ heartbeat });
-    Tell(HeartbeatReplySent{ kAgent, 1, mSequence, mNow + 20s });
+    auto actions = Dispatch(HeartbeatReceived{ heartbeat });
+    Dispatch(HeartbeatReplySent{ kAgent, 1, mSequence, mNow + 20s });
     return actions;
   }
 
@@ -98,14 +98,14 @@
 
   JobScheduler::Actions Apply(const CommitRecord& aCommit)
   {
-    return Tell(CommitDone{
+    return Dispatch(CommitDone{
       aCommit.mToken, CommitOutcome::Applied, aCommit.mExpected + 1 });
   }
 
   /// Places, commits and starts the job; its Assign.
   SendAssign Start()
   {
-    const auto sent = Only<SendAssign>(Apply(TheCommit(Tell(Tick{}))));
+    const auto sent = Only<SendAssign>(Apply(TheCommit(Dispatch(Tick{}))));
     EXPECT_EQ(sent.size(), 1U);
     return sent.empty() ? SendAssign{} : sent.front();
   }
@@ -119,7 +119,7 @@
 
 TEST_F(JobSchedulerTest, WritesTheAssignmentBeforeItSendsIt)
 {
-  const auto placed = Tell(Tick{});
+  const auto placed = Dispatch(Tick{});
   EXPECT_TRUE(Only<SendAssign>(placed).empty());
   const CommitRecord commit = TheCommit(placed);
   EXPECT_EQ(commit.mRecord.mState, JobState::Assigned);
@@ -148,7 +148,7 @@
 TEST_P(JobSchedulerEnd, IsRecordedAndOnlyThenAcknowledged)
 {
   Start();
-  const auto reported = Beat({ Report(1, GetParam().mReported) });
+  const auto reported = SendHeartbeat({ Report(1, GetParam().mReported) });
   EXPECT_TRUE(Only<AcknowledgeTasks>(reported).empty());
   const CommitRecord commit = TheCommit(reported);
   EXPECT_EQ(commit.mRecord.mState, GetParam().mRecorded);
@@ -172,7 +172,7 @@
 TEST_F(JobSchedulerTest, ResumesFromTheCheckpointUnderTheNextEpoch)
 {
   Start();
-  Apply(TheCommit(Beat({ Report(1, TaskState::Checkpointed) })));
+  Apply(TheCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
   const SendAssign resumed = Start();
   EXPECT_EQ(resumed.mAssign.mTask.mKey.mEpoch, 2U);
   EXPECT_EQ(resumed.mAssign.mTask.mCheckpoint, "checkpoint");
@@ -180,21 +180,21 @@
 
 TEST_F(JobSchedulerTest, CancelsAWaitingJobAtOnce)
 {
-  const CommitRecord commit = TheCommit(Tell(CancelRequested{ kJob }));
+  const CommitRecord commit = TheCommit(Dispatch(CancelRequested{ kJob }));
   EXPECT_EQ(commit.mRecord.mState, JobState::Cancelled);
 }
 
 TEST_F(JobSchedulerTest, StopsARunningJobBeforeItCountsAsCancelled)
 {
   Start();
-  Beat({ Report(1, TaskState::Running) });
-  const CommitRecord mark = TheCommit(Tell(CancelRequested{ kJob }));
+  SendHeartbeat({ Report(1, TaskState::Running) });
+  const CommitRecord mark = TheCommit(Dispatch(CancelRequested{ kJob }));
   EXPECT_EQ(mark.mRecord.mState, JobState::Assigned);
   EXPECT_TRUE(mark.mRecord.mCancelRequested);
   const auto stops = Only<SendControl>(Apply(mark));
   ASSERT_EQ(stops.size(), 1U);
   EXPECT_EQ(stops.front().mControl.mAction, TaskAction::Stop);
-  const auto stopped = Beat({ Report(1, TaskState::Stopped) });
+  const auto stopped = SendHeartbeat({ Report(1, TaskState::Stopped) });
   EXPECT_EQ(TheCommit(stopped).mRecord.mState, JobState::Cancelled);
 }
 
@@ -219,15 +219,15 @@
   Contract contract = TestContract();
   contract.mBatch.mMaxRunningJobs = given.mMaxRunningJobs;
   contract.mBatch.mSharePerWorker = given.mShare;
-  Tell(ContractsChanged{ { contract }, {} });
+  Dispatch(ContractsChanged{ { contract }, {} });
   JobRecord record = TestRecord();
   record.mSpec.mDeclared = given.mDeclared;
-  Tell(JobRead{ kShard, { record, 6 } });
-  EXPECT_TRUE(Tell(Tick{}).empty());
+  Dispatch(JobRead{ kShard, { record, 6 } });
+  EXPECT_TRUE(Dispatch(Tick{}).empty());
   EXPECT_EQ(mScheduler.Explain(kJob).back().mReason, given.mReason);
   mNow += 11s;
-  Beat({});
-  const auto commits = Only<CommitRecord>(Tell(Tick{}));
+  SendHeartbeat({});
+  const auto commits = Only<CommitRecord>(Dispatch(Tick{}));
   ASSERT_EQ(!commits.empty(), given.mParks);
   EXPECT_TRUE(!given.mParks ||
               commits.front().mRecord.mState == JobState::Parked);
@@ -267,29 +267,29 @@
 {
   Contract contract = TestContract();
   contract.mUrgentAllowed = true;
-  Tell(ContractsChanged{ { contract }, {} });
+  Dispatch(ContractsChanged{ { contract }, {} });
   Start();
   TaskReport running = Report(1, TaskState::Running);
   running.mStatus.mReserved = { 60000, 1024, 0 };
   mReserved = running.mStatus.mReserved;
-  Beat({ running });
+  SendHeartbeat({ running });
 
   JobRecord urgent = TestRecord();
   urgent.mSpec.mId = JobIdFor(kCustomer, "urgent");
   urgent.mSpec.mPriority = JobPriority::Urgent;
   urgent.mSpec.mDeclared = { 8000, 1024, 0 };
-  Tell(JobRead{ kShard, { urgent, 9 } });
-  const auto evictions = Only<SendControl>(Tell(Tick{}));
+  Dispatch(JobRead{ kShard, { urgent, 9 } });
+  const auto evictions = Only<SendControl>(Dispatch(Tick{}));
   ASSERT_EQ(evictions.size(), 1U);
   EXPECT_EQ(evictions.front().mControl.mAction, TaskAction::Evict);
   EXPECT_EQ(evictions.front().mControl.mReason, Reason::EvictedForUrgent);
 
   // The room is held until the worker's own count shows it.
   mNow += 1s;
-  EXPECT_TRUE(Only<CommitRecord>(Tell(Tick{})).empty());
+  EXPECT_TRUE(Only<CommitRecord>(Dispatch(Tick{})).empty());
   mReserved = {};
-  Apply(TheCommit(Beat({ Report(1, TaskState::Checkpointed) })));
-  const auto commits = Only<CommitRecord>(Tell(Tick{}));
+  Apply(TheCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
+  const auto commits = Only<CommitRecord>(Dispatch(Tick{}));
   ASSERT_FALSE(commits.empty());
   EXPECT_EQ(commits.front().mRecord.mSpec.mId, urgent.mSpec.mId);
   EXPECT_EQ(commits.front().mRecord.mState, JobState::Assigned);
@@ -301,12 +301,13 @@
   inherited.mState = JobState::Assigned;
   inherited.mEpoch = 4;
   inherited.mAgent = AgentId("agent-lost");
-  Tell(ShardAcquired{ kShard, kGeneration + 1, { { inherited, 9 } }, false });
+  Dispatch(
+    ShardAcquired{ kShard, kGeneration + 1, { { inherited, 9 } }, false });
   mNow += 1h;
-  EXPECT_TRUE(Only<CommitRecord>(Tell(Tick{})).empty());
-  Beat({});
-  auto commits = Only<CommitRecord>(Tell(ShardCleared{ kShard }));
-  for (const auto& commit : Only<CommitRecord>(Tell(Tick{}))) {
+  EXPECT_TRUE(Only<CommitRecord>(Dispatch(Tick{})).empty());
+  SendHeartbeat({});
+  auto commits = Only<CommitRecord>(Dispatch(ShardCleared{ kShard }));
+  for (const auto& commit : Only<CommitRecord>(Dispatch(Tick{}))) {
     commits.push_back(commit);
   }
   ASSERT_FALSE(commits.empty());
@@ -328,7 +329,7 @@
 {
   mScheduler.ExpectInterval(GetParam().mInterval);
   mNow += 10s;
-  EXPECT_EQ(!Only<CommitRecord>(Tell(Tick{})).empty(), GetParam().mPlaced);
+  EXPECT_EQ(!Only<CommitRecord>(Dispatch(Tick{})).empty(), GetParam().mPlaced);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
@@ -339,10 +340,10 @@
 TEST_F(JobSchedulerTest, DisownsATaskOfAnEarlierEpoch)
 {
   Start();
-  Apply(TheCommit(Beat({ Report(1, TaskState::Checkpointed) })));
+  Apply(TheCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
   Start();
   const auto disowned =
-    Only<DisownTasks>(Beat({ Report(1, TaskState::Running) }));
+    Only<DisownTasks>(SendHeartbeat({ Report(1, TaskState::Running) }));
   ASSERT_EQ(disowned.size(), 1U);
   EXPECT_EQ(disowned.front().mKeys.front(), (TaskKey{ kJob, 1 }));
 }
--- a/tests/job/ModelAgent.cpp
+++ b/tests/job/ModelAgent.cpp
@@ -18,7 +18,7 @@
   }
 }
 
-Heartbeat ModelAgent::Beat(Instant aNow)
+Heartbeat ModelAgent::SendHeartbeat(Instant aNow)
 {
   Heartbeat heartbeat;
   heartbeat.mAgent = mId;
@@ -39,10 +39,10 @@
   return heartbeat;
 }
 
-void ModelAgent::TakeReply(std::uint64_t aSequence,
-                           const std::vector<ShardLease>& aLeases,
-                           const std::vector<TaskKey>& aAcknowledged,
-                           const std::vector<TaskKey>& aDisowned)
+void ModelAgent::OnReply(std::uint64_t aSequence,
+                         const std::vector<ShardLease>& aLeases,
+                         const std::vector<TaskKey>& aAcknowledged,
+                         const std::vector<TaskKey>& aDisowned)
 {
   const auto sent = mSentAt.find(aSequence);
   if (sent == mSentAt.end()) {
--- a/tests/job/ModelAgent.h
+++ b/tests/job/ModelAgent.h
@@ -31,11 +31,11 @@
   }
 
   void StepWorker(Instant aNow, Random& aRandom, int aFailPerMille);
-  Heartbeat Beat(Instant aNow);
-  void TakeReply(std::uint64_t aSequence,
-                 const std::vector<ShardLease>& aLeases,
-                 const std::vector<TaskKey>& aAcknowledged,
-                 const std::vector<TaskKey>& aDisowned);
+  Heartbeat SendHeartbeat(Instant aNow);
+  void OnReply(std::uint64_t aSequence,
+               const std::vector<ShardLease>& aLeases,
+               const std::vector<TaskKey>& aAcknowledged,
+               const std::vector<TaskKey>& aDisowned);
   AssignReply Take(const Assign& aAssign, Instant aNow);
   ControlReply Take(const Control& aControl);
 
--- a/tests/job/ModelFleet.cpp
+++ b/tests/job/ModelFleet.cpp
@@ -35,12 +35,12 @@
   StoredJob& job = mRecords[aSpec.mId];
   job.mRecord.mSpec = aSpec;
   job.mRevision = ++mRevision;
-  Tell(mOwner, mEntries[mOwner].mLife, JobRead{ kShard, job });
+  Deliver(mOwner, mEntries[mOwner].mRestarts, JobRead{ kShard, job });
 }
 
 void ModelFleet::Cancel(const JobId& aJob)
 {
-  Tell(mOwner, mEntries[mOwner].mLife, CancelRequested{ aJob });
+  Deliver(mOwner, mEntries[mOwner].mRestarts, CancelRequested{ aJob });
 }
 
 void ModelFleet::Run(Duration aSpan)
@@ -53,7 +53,7 @@
 void ModelFleet::Step()
 {
   mNow += kStep;
-  Break();
+  InjectFaults();
   while (!mQueue.empty() && mQueue.begin()->first <= mNow) {
     const auto work = std::move(mQueue.begin()->second);
     mQueue.erase(mQueue.begin());
@@ -62,7 +62,7 @@
   for (ModelAgent& agent : mAgents) {
     agent.StepWorker(mNow, mRandom, mFaults.mTaskFails);
     if (!agent.Frozen(mNow) && Chance(mRandom, 100)) {
-      Beat(agent);
+      SendHeartbeat(agent);
     }
   }
   for (std::size_t i = 0; i < mEntries.size(); ++i) {
@@ -71,7 +71,7 @@
   CheckPlaces();
 }
 
-void ModelFleet::Break()
+void ModelFleet::InjectFaults()
 {
   ModelAgent& agent = mAgents[mRandom() % mAgents.size()];
   if (Chance(mRandom, mFaults.mAgentFreeze)) {
@@ -91,9 +91,9 @@
   }
   if (Chance(mRandom, mFaults.mEntryCrash)) {
     Entry& entry = mEntries[mRandom() % 2];
-    const std::uint64_t life = entry.mLife + 1;
+    const std::uint64_t life = entry.mRestarts + 1;
     entry = Entry{};
-    entry.mLife = life;
+    entry.mRestarts = life;
     entry.mScheduler = std::make_unique<JobScheduler>(mSettings);
   }
 }
@@ -106,7 +106,7 @@
   }
   // What waited is worked off first: a paused owner does not know better.
   for (const JobEvent& event : std::exchange(entry.mInbox, {})) {
-    Tell(aIndex, entry.mLife, event);
+    Deliver(aIndex, entry.mRestarts, event);
   }
   if (entry.mGeneration != 0) {
     if (entry.mGeneration == mGeneration && mNow < mStoreLeaseUntil) {
@@ -115,12 +115,12 @@
       ListAgain(aIndex);
     } else {
       entry.mGeneration = 0;
-      Tell(aIndex, entry.mLife, ShardLost{ kShard });
+      Deliver(aIndex, entry.mRestarts, ShardLost{ kShard });
     }
   } else if (mNow >= mStoreLeaseUntil) {
     Acquire(aIndex);
   }
-  Tell(aIndex, entry.mLife, Tick{});
+  Deliver(aIndex, entry.mRestarts, Tick{});
 }
 
 /// Hints get lost: the shell lists its shards now and then.
@@ -128,7 +128,7 @@
 {
   if (Chance(mRandom, 10)) {
     for (const auto& [id, job] : mRecords) {
-      Tell(aIndex, mEntries[aIndex].mLife, JobRead{ kShard, job });
+      Deliver(aIndex, mEntries[aIndex].mRestarts, JobRead{ kShard, job });
     }
   }
 }
@@ -151,16 +151,16 @@
   for (const auto& [id, job] : mRecords) {
     acquired.mJobs.push_back(job);
   }
-  Tell(aIndex, entry.mLife, contracts);
-  Tell(aIndex, entry.mLife, acquired);
+  Deliver(aIndex, entry.mRestarts, contracts);
+  Deliver(aIndex, entry.mRestarts, acquired);
 }
 
-void ModelFleet::Tell(std::size_t aIndex,
-                      std::uint64_t aLife,
-                      const JobEvent& aEvent)
+void ModelFleet::Deliver(std::size_t aIndex,
+                         std::uint64_t aLife,
+                         const JobEvent& aEvent)
 {
   Entry& entry = mEntries[aIndex];
-  if (entry.mLife != aLife) {
+  if (entry.mRestarts != aLife) {
     return;
   }
   if (mNow < entry.mPausedUntil) {
@@ -173,13 +173,13 @@
   }
 }
 
-void ModelFleet::Beat(ModelAgent& aAgent)
+void ModelFleet::SendHeartbeat(ModelAgent& aAgent)
 {
-  const Heartbeat heartbeat = aAgent.Beat(mNow);
+  const Heartbeat heartbeat = aAgent.SendHeartbeat(mNow);
   for (std::size_t i = 0; i < mEntries.size(); ++i) {
     if (!Chance(mRandom, mFaults.mHeartbeatLost)) {
-      After(Delay(300), [this, i, life = mEntries[i].mLife, heartbeat] {
-        Tell(i, life, HeartbeatSeen{ heartbeat });
+      After(Delay(300), [this, i, life = mEntries[i].mRestarts, heartbeat] {
+        Deliver(i, life, HeartbeatReceived{ heartbeat });
       });
     }
   }
@@ -189,16 +189,16 @@
 {
   const std::string& job = aBefore.mSpec.mId.Value();
   if (IsFinal(aBefore.mState)) {
-    Violate("final record changed: " + job);
+    AddViolation("final record changed: " + job);
   }
   const bool assigns =
     aAfter.mEpoch == aBefore.mEpoch + 1 && aAfter.mState == JobState::Assigned;
   if (!assigns && aAfter.mEpoch != aBefore.mEpoch) {
-    Violate("epoch moved without an assignment: " + job);
+    AddViolation("epoch moved without an assignment: " + job);
   }
   const bool evicted = aAfter.mEvictions != aBefore.mEvictions;
   if (evicted != (aAfter.mCheckpoint != aBefore.mCheckpoint)) {
-    Violate("eviction without its checkpoint: " + job);
+    AddViolation("eviction without its checkpoint: " + job);
   }
 }
 
@@ -207,7 +207,8 @@
   const JobRecord& record = Record(aStart.mKey.mJob);
   if (record.mEpoch == aStart.mKey.mEpoch &&
       record.mCheckpoint != aStart.mCheckpoint) {
-    Violate("not resumed from its checkpoint: " + aStart.mKey.mJob.Value());
+    AddViolation("not resumed from its checkpoint: " +
+                 aStart.mKey.mJob.Value());
   }
 }
 
@@ -215,7 +216,7 @@
 {
   const JobRecord& record = Record(aKey.mJob);
   if (record.mEpoch == aKey.mEpoch && record.mState == JobState::Assigned) {
-    Violate("acknowledged before it was recorded: " + aKey.mJob.Value());
+    AddViolation("acknowledged before it was recorded: " + aKey.mJob.Value());
   }
 }
 
@@ -233,12 +234,12 @@
 {
   for (const auto& [id, job] : mRecords) {
     if (RunningPlaces(id) > 1) {
-      Violate("runs in two places: " + id.Value());
+      AddViolation("runs in two places: " + id.Value());
     }
   }
   for (const ModelAgent& agent : mAgents) {
     if (!agent.Reserved().FitsIn(agent.mCapacity)) {
-      Violate("over its size: " + agent.mId.Value());
+      AddViolation("over its size: " + agent.mId.Value());
     }
   }
 }
@@ -289,7 +290,7 @@
   return *std::ranges::find(mAgents, aAgent, &ModelAgent::mId);
 }
 
-void ModelFleet::Violate(std::string aWhat)
+void ModelFleet::AddViolation(std::string aWhat)
 {
   if (std::ranges::find(mViolations, aWhat) == mViolations.end()) {
     mViolations.push_back(std::move(aWhat));
--- a/tests/job/ModelFleet.h
+++ b/tests/job/ModelFleet.h
@@ -62,19 +62,19 @@
     std::vector<JobEvent> mInbox; ///< While paused.
     Instant mPausedUntil{};
     Instant mValidUntil{};
-    Generation mGeneration = 0; ///< 0 = believes to own nothing.
-    std::uint64_t mLife = 0;    ///< Raised by a crash.
+    Generation mGeneration = 0;  ///< 0 = believes to own nothing.
+    std::uint64_t mRestarts = 0; ///< Raised by a crash.
     std::map<AgentId, std::vector<TaskKey>> mAcknowledge;
     std::map<AgentId, std::vector<TaskKey>> mDisown;
   };
 
   void Step();
-  void Break();
+  void InjectFaults();
   void StepEntry(std::size_t aIndex);
   void ListAgain(std::size_t aIndex);
   void Acquire(std::size_t aIndex);
-  void Beat(ModelAgent& aAgent);
-  void Tell(std::size_t aIndex, std::uint64_t aLife, const JobEvent& aEvent);
+  void SendHeartbeat(ModelAgent& aAgent);
+  void Deliver(std::size_t aIndex, std::uint64_t aLife, const JobEvent& aEvent);
   void Do(std::size_t aIndex, const CommitRecord& aAction);
   void Do(std::size_t aIndex, const SendAssign& aAction);
   void Do(std::size_t aIndex, const SendControl& aAction);
@@ -91,7 +91,7 @@
   void AfterThaw(ModelAgent& aAgent, Duration aDelay, std::function<void()>);
   Duration Delay(int aMaxMs);
   ModelAgent& Find(const AgentId& aAgent);
-  void Violate(std::string aWhat);
+  void AddViolation(std::string aWhat);
 
   Random mRandom;
   Faults mFaults;
--- a/tests/job/ModelFleetActions.cpp
+++ b/tests/job/ModelFleetActions.cpp
@@ -19,12 +19,12 @@
   const bool owns = entry.mGeneration != 0 && mNow < entry.mValidUntil;
   const auto leases = owns ? aAction.mLeases : std::vector<ShardLease>{};
   if (owns) {
-    Tell(aIndex,
-         entry.mLife,
-         HeartbeatReplySent{ aAction.mAgent,
-                             aAction.mIncarnation,
-                             aAction.mSequence,
-                             mNow + mSettings.mTaskLease });
+    Deliver(aIndex,
+            entry.mRestarts,
+            HeartbeatReplySent{ aAction.mAgent,
+                                aAction.mIncarnation,
+                                aAction.mSequence,
+                                mNow + mSettings.mTaskLease });
   }
   if (Chance(mRandom, mFaults.mHeartbeatLost)) {
     return;
@@ -36,7 +36,7 @@
     if (agent.mIncarnation == aAction.mIncarnation) {
       std::ranges::for_each(acknowledged,
                             [&](const auto& aKey) { CheckAcknowledge(aKey); });
-      agent.TakeReply(aAction.mSequence, leases, acknowledged, disowned);
+      agent.OnReply(aAction.mSequence, leases, acknowledged, disowned);
     }
   };
   AfterThaw(agent, Delay(300), deliver);
@@ -44,9 +44,9 @@
 
 void ModelFleet::Do(std::size_t aIndex, const CommitRecord& aAction)
 {
-  const std::uint64_t life = mEntries[aIndex].mLife;
+  const std::uint64_t life = mEntries[aIndex].mRestarts;
   const auto answer = [this, aIndex, life](CommitDone aDone) {
-    After(Delay(100), [=, this] { Tell(aIndex, life, aDone); });
+    After(Delay(100), [=, this] { Deliver(aIndex, life, aDone); });
   };
   if (Chance(mRandom, mFaults.mStoreNotRun)) {
     answer({ aAction.mToken, CommitOutcome::NotRun, 0 });
@@ -72,7 +72,7 @@
 
 void ModelFleet::Do(std::size_t aIndex, const SendAssign& aAction)
 {
-  const std::uint64_t life = mEntries[aIndex].mLife;
+  const std::uint64_t life = mEntries[aIndex].mRestarts;
   const TaskKey key = aAction.mAssign.mTask.mKey;
   ModelAgent& agent = Find(aAction.mAgent);
   const bool lost = Chance(mRandom, mFaults.mAssignLost);
@@ -84,11 +84,11 @@
     }
     if (reply.mGranted &&
         mStarts.emplace(key, agent.mId).first->second != agent.mId) {
-      Violate("epoch started on two agents: " + key.mJob.Value());
+      AddViolation("epoch started on two agents: " + key.mJob.Value());
     }
     if (!lost) {
       After(Delay(100), [=, this] {
-        Tell(aIndex, life, AssignDone{ key, reply });
+        Deliver(aIndex, life, AssignDone{ key, reply });
       });
     }
   };
@@ -97,7 +97,7 @@
     const auto error = WithVerdict(absl::DeadlineExceededError("no answer"),
                                    Verdict::MayHaveRun);
     After(kCallTimeout, [=, this] {
-      Tell(aIndex, life, AssignDone{ key, error });
+      Deliver(aIndex, life, AssignDone{ key, error });
     });
   }
 }
@@ -105,10 +105,10 @@
 void ModelFleet::Do(std::size_t aIndex, const SendControl& aAction)
 {
   ModelAgent& agent = Find(aAction.mAgent);
-  const std::uint64_t life = mEntries[aIndex].mLife;
+  const std::uint64_t life = mEntries[aIndex].mRestarts;
   AfterThaw(agent, Delay(100), [=, this, &agent] {
     const ControlReply reply = agent.Take(aAction.mControl);
-    Tell(aIndex, life, ControlDone{ aAction.mControl.mKey, reply });
+    Deliver(aIndex, life, ControlDone{ aAction.mControl.mKey, reply });
   });
 }
 
@@ -126,16 +126,16 @@
 
 void ModelFleet::Do(std::size_t aIndex, const ReadJob& aAction)
 {
-  const std::uint64_t life = mEntries[aIndex].mLife;
+  const std::uint64_t life = mEntries[aIndex].mRestarts;
   After(Delay(100), [=, this] {
     const auto found = mRecords.find(aAction.mJob);
     if (Chance(mRandom, mFaults.mStoreNotRun)) {
-      Tell(aIndex, life, JobReadFailed{ kShard, aAction.mJob });
+      Deliver(aIndex, life, JobReadFailed{ kShard, aAction.mJob });
     } else if (found == mRecords.end()) {
-      Tell(aIndex, life, JobMissing{ kShard, aAction.mJob });
+      Deliver(aIndex, life, JobMissing{ kShard, aAction.mJob });
     } else {
       const JobEvent read = JobRead{ kShard, found->second };
-      After(Delay(100), [=, this] { Tell(aIndex, life, read); });
+      After(Delay(100), [=, this] { Deliver(aIndex, life, read); });
     }
   });
 }
--- a/tests/membership/HeartbeatScheduleTest.cpp
+++ b/tests/membership/HeartbeatScheduleTest.cpp
@@ -69,7 +69,7 @@
   std::mt19937_64 random(1);
   HeartbeatSchedule schedule;
   for (int i = 0; i < 100; ++i) {
-    schedule.Measured(kBytes);
+    schedule.RecordExchangeSize(kBytes);
   }
   schedule.SetEntries(EntriesOf(GetParam()), kStart, random);
   std::map<Endpoint, Instant> heard;
@@ -114,7 +114,7 @@
   std::mt19937_64 random(1);
   HeartbeatSchedule schedule;
   schedule.SetEntries(EntriesOf(2), kStart, random);
-  schedule.Hurry(kStart);
+  schedule.MakeAllDue(kStart);
   EXPECT_EQ(schedule.Due(kStart, random).size(), 2U);
   schedule.Due(kStart + seconds(2), random);
   schedule.SetEntries(EntriesOf(3), kStart + seconds(2), random);
--- a/tests/placement/PlacementPolicyTest.cpp
+++ b/tests/placement/PlacementPolicyTest.cpp
@@ -97,7 +97,7 @@
 
 TEST(FairOrder, ServesTheTeamWithTheLeastDominantShare)
 {
-  QuotaBook quotas;
+  QuotaTracker quotas;
   FairOrder order(quotas, { 1000, 1000, 10 });
   for (const char* name : { "cpu", "memory" }) {
     Contract contract;
--- a/tests/placement/FailureJudgeTest.cpp
+++ b/tests/placement/QuarantinePolicyTest.cpp
@@ -1,4 +1,4 @@
-#include "src/core/placement/FailureJudge.h"
+#include "src/core/placement/QuarantinePolicy.h"
 
 #include <gtest/gtest.h>
 
@@ -20,12 +20,12 @@
   bool mQuarantined;
 };
 
-class FailureJudgeTest : public testing::TestWithParam<FailureCase>
+class QuarantinePolicyTest : public testing::TestWithParam<FailureCase>
 {};
 
-TEST_P(FailureJudgeTest, TellsABadWorkerFromABadJob)
+TEST_P(QuarantinePolicyTest, TellsABadWorkerFromABadJob)
 {
-  FailureJudge judge;
+  QuarantinePolicy judge;
   bool quarantined = false;
   const Instant now{ 1000s };
   for (int i = 0; i < 110; ++i) {
@@ -47,7 +47,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
   All,
-  FailureJudgeTest,
+  QuarantinePolicyTest,
   testing::Values(FailureCase{ "AllWell", 3, false, false, false },
                   FailureCase{ "BadWorker", 3, true, false, true },
                   FailureCase{ "BadWorkerOneProgram", 1, true, false, true },
@@ -56,9 +56,9 @@
                   FailureCase{ "Both", 3, true, true, true }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(FailureJudge, BoundsQuarantineAndTriesAgain)
+TEST(QuarantinePolicy, BoundsQuarantineAndTriesAgain)
 {
-  FailureJudge judge;
+  QuarantinePolicy judge;
   const Instant now{ 1000s };
   const ProgramKey key{ CustomerId("c"), "p" };
   const ProgramKey sound{ CustomerId("c"), "never fails elsewhere" };
@@ -71,8 +71,8 @@
     judge.Failed(worker, JobId(std::to_string(i)), key, 100, now);
   }
   EXPECT_EQ(judge.QuarantinedCount(), 20U);
-  EXPECT_TRUE(judge.Readmitted(now + 1min).empty());
-  EXPECT_EQ(judge.Readmitted(now + 2min).size(), 20U);
+  EXPECT_TRUE(judge.EndQuarantines(now + 1min).empty());
+  EXPECT_EQ(judge.EndQuarantines(now + 2min).size(), 20U);
   EXPECT_EQ(judge.QuarantinedCount(), 0U);
   // On probation one failure is enough.
   EXPECT_TRUE(judge.Failed(0, JobId("again"), sound, 100, now + 2min));
--- a/tests/platform/CodecTest.cpp
+++ b/tests/platform/CodecTest.cpp
@@ -40,31 +40,31 @@
 
 TEST(WorkerCodec, ReadsALook)
 {
-  const auto look = ParseLook(
+  const auto poll = ParsePollReply(
     R"({"ClockMs":482113,
         "Running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41,1800]],
         "Ended":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]})");
-  ASSERT_TRUE(look.ok());
-  EXPECT_EQ(look->mClock, 482113);
-  ASSERT_EQ(look->mRunning.size(), 1U);
-  EXPECT_EQ(look->mRunning[0],
+  ASSERT_TRUE(poll.ok());
+  EXPECT_EQ(poll->mClock, 482113);
+  ASSERT_EQ(poll->mRunning.size(), 1U);
+  EXPECT_EQ(poll->mRunning[0],
             (cell::RunningTask{ kTask, 2, "00000bb87a21d94b", 41, 1800 }));
-  ASSERT_EQ(look->mEnded.size(), 1U);
-  EXPECT_EQ(look->mEnded[0].mNumber, 58);
-  EXPECT_EQ(look->mEnded[0].mEnd, cell::RunEnd::Done);
+  ASSERT_EQ(poll->mEnded.size(), 1U);
+  EXPECT_EQ(poll->mEnded[0].mNumber, 58);
+  EXPECT_EQ(poll->mEnded[0].mEnd, cell::RunEnd::Done);
 }
 
-class BadLooks : public testing::TestWithParam<const char*>
+class BadPollReplies : public testing::TestWithParam<const char*>
 {};
 
-TEST_P(BadLooks, AreErrors)
+TEST_P(BadPollReplies, AreErrors)
 {
-  EXPECT_FALSE(ParseLook(GetParam()).ok());
+  EXPECT_FALSE(ParsePollReply(GetParam()).ok());
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  BadLooks,
+  BadPollReplies,
   testing::Values("",
                   "[]",
                   R"({"ClockMs":"x"})",
@@ -78,11 +78,11 @@
   EXPECT_EQ(FormatStart({ kTask, 2, "text", "", "", 486000, 7 }),
             R"({"DeadlineMs":486000,"Fence":7,"Run":2,"Spec":"text",)"
             R"("Task":"5c0e7a21d94b36f8.0.1.17"})");
-  cell::PollCall look;
-  look.mFence = 7;
-  look.mAcknowledged = 57;
-  look.mWait = std::chrono::milliseconds(1000);
-  EXPECT_EQ(FormatLook(look), R"({"Acked":57,"Fence":7,"WaitMs":1000})");
+  cell::PollCall poll;
+  poll.mFence = 7;
+  poll.mAcknowledged = 57;
+  poll.mWait = std::chrono::milliseconds(1000);
+  EXPECT_EQ(FormatPoll(poll), R"({"Acked":57,"Fence":7,"WaitMs":1000})");
 }
 
 struct RefusalCase
--- a/tests/platform/ForeignHeartbeatTest.cpp
+++ b/tests/platform/ForeignHeartbeatTest.cpp
@@ -47,10 +47,10 @@
 }
 
 /// Fields that a worker may leave out.
-class SpareField : public testing::TestWithParam<const char*>
+class OptionalField : public testing::TestWithParam<const char*>
 {};
 
-TEST_P(SpareField, MayLack)
+TEST_P(OptionalField, MayLack)
 {
   Json::Value body = ValidBody();
   body.removeMember(GetParam());
@@ -58,7 +58,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
-                         SpareField,
+                         OptionalField,
                          testing::Values("Addr",
                                          "Version",
                                          "Slots",
@@ -67,38 +67,38 @@
                                          "ClockMs"));
 
 /// What another writer may have made of one field.
-struct Damage
+struct FieldMutation
 {
   const char* mName;
   std::function<void(Json::Value&, const char*)> mApply;
-  bool mOfAnyField = true; ///< Else of the needed ones only.
+  bool mAppliesToOptional = true; ///< Else of the needed ones only.
 };
 
-void PrintTo(const Damage& aDamage, std::ostream* aOut)
+void PrintTo(const FieldMutation& aMutation, std::ostream* aOut)
 {
-  *aOut << aDamage.mName;
+  *aOut << aMutation.mName;
 }
 
 template<typename Value>
-std::function<void(Json::Value&, const char*)> Becomes(Value aValue)
+std::function<void(Json::Value&, const char*)> SetTo(Value aValue)
 {
   return [aValue](Json::Value& aBody, const char* aField) {
     aBody[aField] = aValue;
   };
 }
 
-const char* const kNeeded[] = { "Service",
-                                "Zone",
-                                "State",
-                                "CallSeq",
-                                "Capacity" };
+const char* const kRequired[] = { "Service",
+                                  "Zone",
+                                  "State",
+                                  "CallSeq",
+                                  "Capacity" };
 const char* const kOther[] = { "Addr",       "Version", "Slots",
                                "ColdLeftMs", "Labels",  "ClockMs" };
 
-class DamagedField : public testing::TestWithParam<Damage>
+class MutatedField : public testing::TestWithParam<FieldMutation>
 {};
 
-TEST_P(DamagedField, NamesNoWorker)
+TEST_P(MutatedField, NamesNoWorker)
 {
   const auto refused = [](const char* aField) {
     Json::Value body = ValidBody();
@@ -107,10 +107,10 @@
     EXPECT_TRUE(absl::IsInvalidArgument(message.status()))
       << aField << ": " << message.status();
   };
-  for (const char* field : kNeeded) {
+  for (const char* field : kRequired) {
     refused(field);
   }
-  if (GetParam().mOfAnyField) {
+  if (GetParam().mAppliesToOptional) {
     for (const char* field : kOther) {
       refused(field);
     }
@@ -119,22 +119,22 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  DamagedField,
+  MutatedField,
   testing::Values(
-    Damage{ "Missing",
-            [](Json::Value& aBody, const char* aField) {
-              aBody.removeMember(aField);
-            },
-            false },
-    Damage{ "Null", Becomes(Json::Value()), false },
-    Damage{ "Flag", Becomes(true) },
-    Damage{ "Object", Becomes(Json::Value(Json::objectValue)) },
-    Damage{ "Negative", Becomes(-1) },
-    Damage{ "Beyond64Bits", Becomes(1e30) },
-    Damage{ "Fraction", Becomes(0.5), false },
-    Damage{ "EmptyText", Becomes(""), false },
-    Damage{ "Array", Becomes(Json::Value(Json::arrayValue)), false },
-    Damage{ "LongText", Becomes(std::string(1'000'000, 'x')) }),
+    FieldMutation{ "Missing",
+                   [](Json::Value& aBody, const char* aField) {
+                     aBody.removeMember(aField);
+                   },
+                   false },
+    FieldMutation{ "Null", SetTo(Json::Value()), false },
+    FieldMutation{ "Flag", SetTo(true) },
+    FieldMutation{ "Object", SetTo(Json::Value(Json::objectValue)) },
+    FieldMutation{ "Negative", SetTo(-1) },
+    FieldMutation{ "Beyond64Bits", SetTo(1e30) },
+    FieldMutation{ "Fraction", SetTo(0.5), false },
+    FieldMutation{ "EmptyText", SetTo(""), false },
+    FieldMutation{ "Array", SetTo(Json::Value(Json::arrayValue)), false },
+    FieldMutation{ "LongText", SetTo(std::string(1'000'000, 'x')) }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 struct WholeBody
--- a/tests/retry/RetryPolicyTest.cpp
+++ b/tests/retry/RetryPolicyTest.cpp
@@ -33,7 +33,7 @@
 
 FailedAttempt WithEarlier(FailedAttempt aAttempt, Verdict aEarlier)
 {
-  aAttempt.mEarlier = aEarlier;
+  aAttempt.mEarlierVerdict = aEarlier;
   return aAttempt;
 }
 
@@ -54,7 +54,7 @@
   const char* mName;
   FailedAttempt mAttempt;
   bool mIsRetried;
-  bool mIsToldWhen;
+  bool mHasRetryAfter;
   Verdict mVerdict;
 };
 
@@ -75,7 +75,7 @@
   ASSERT_EQ(std::holds_alternative<Retry>(decision), GetParam().mIsRetried);
   if (const auto* answer = std::get_if<GiveUp>(&decision)) {
     EXPECT_EQ(answer->mVerdict, GetParam().mVerdict);
-    EXPECT_EQ(answer->mRetryAfter.has_value(), GetParam().mIsToldWhen);
+    EXPECT_EQ(answer->mRetryAfter.has_value(), GetParam().mHasRetryAfter);
   }
 }
 
@@ -130,8 +130,9 @@
 RC_GTEST_PROP(RetryPolicyProperty, NeverRepeatsWhatMayHaveRun, ())
 {
   FailedAttempt attempt = AttemptOf(Verdict::MayHaveRun, false);
-  attempt.mEarlier = *rc::gen::element(Verdict::NotRun, Verdict::MayHaveRun);
-  if (attempt.mEarlier == Verdict::MayHaveRun) {
+  attempt.mEarlierVerdict =
+    *rc::gen::element(Verdict::NotRun, Verdict::MayHaveRun);
+  if (attempt.mEarlierVerdict == Verdict::MayHaveRun) {
     attempt.mVerdict = *rc::gen::element(Verdict::NotRun, Verdict::MayHaveRun);
   }
   attempt.mReason = static_cast<Reason>(*rc::gen::inRange(0, 28));
@@ -154,7 +155,7 @@
   const int duration = *rc::gen::inRange(1, 10);
   int retries = 0;
   for (int i = 0; i < requests; ++i) {
-    budget.FirstAttempt();
+    budget.OnFirstAttempt();
     const Duration now = Duration(seconds(duration)) * i / requests;
     retries += budget.TryTake(kStart + now) ? 1 : 0;
   }
--- a/tests/routing/KeyedPickTest.cpp
+++ b/tests/routing/KeyedPickTest.cpp
@@ -57,7 +57,7 @@
     const auto choice =
       other.Pick(mDirectory.Table(), KeyedRequest(key), kWarm, mRandom);
     EXPECT_EQ(HomeOf(key), std::get<Picked>(choice).mAgent->mAgent);
-    EXPECT_TRUE(std::get<Picked>(choice).mAskFirst.empty());
+    EXPECT_TRUE(std::get<Picked>(choice).mRevokeFirst.empty());
     ++counts[HomeOf(key)];
   }
   EXPECT_EQ(counts.size(), 11U);
@@ -72,8 +72,8 @@
   Change(home, ServingState::Draining, 1);
   const auto picked = std::get<Picked>(Pick("key"));
   EXPECT_NE(picked.mAgent->mAgent, home);
-  ASSERT_EQ(picked.mAskFirst.size(), 1U);
-  EXPECT_EQ(picked.mAskFirst[0].mAgent->mAgent, home);
+  ASSERT_EQ(picked.mRevokeFirst.size(), 1U);
+  EXPECT_EQ(picked.mRevokeFirst[0].mAgent->mAgent, home);
 }
 
 TEST_F(Keyed, RefusesForAWindowWhereTheHomeWasLost)
@@ -188,14 +188,14 @@
     for (int attempt = 0; attempt < 3; ++attempt) {
       PickRequest request = KeyedRequest(aKey);
       request.mExcluded = excluded;
-      request.mKeyPassedOn = isPassedOn;
+      request.mKeyRevoked = isPassedOn;
       const auto choice =
         mRouter.Pick(mDirectories[aEntry].Table(), request, mNow, mRandom);
       const auto* picked = std::get_if<Picked>(&choice);
-      if (picked == nullptr || !Promise(picked->mAskFirst, aKey)) {
+      if (picked == nullptr || !Promise(picked->mRevokeFirst, aKey)) {
         return;
       }
-      Agent* agent = Reach(*picked->mAgent);
+      Agent* agent = FindIncarnation(*picked->mAgent);
       if (agent == nullptr) {
         return;
       }
@@ -234,28 +234,28 @@
     for (int i = 0; i < kAgents; ++i) {
       // Entry e hears a change up to 2 s late.
       if (std::uniform_int_distribution(0, 3)(mRandom) == 0 ||
-          mNow >= mHeard[aEntry][i] + seconds(2)) {
+          mNow >= mDeliveredAt[aEntry][i] + seconds(2)) {
         mDirectories[aEntry].Apply(
           HeartbeatOf(
             i, mAgents[i].mState, ++mSequence, mAgents[i].mIncarnation),
           mNow);
-        mHeard[aEntry][i] = mNow;
+        mDeliveredAt[aEntry][i] = mNow;
       }
     }
     mDirectories[aEntry].Advance(mNow);
   }
 
   /// Null when that incarnation is gone.
-  Agent* Reach(const RoutableAgent& aAgent)
+  Agent* FindIncarnation(const RoutableAgent& aAgent)
   {
     Agent& agent = mAgents[std::stoi(aAgent.mAgent.Value().substr(6))];
     return agent.mIncarnation == aAgent.mIncarnation ? &agent : nullptr;
   }
 
-  bool Promise(const std::vector<AskFirst>& aAsked, const std::string& aKey)
+  bool Promise(const std::vector<RevokeTarget>& aAsked, const std::string& aKey)
   {
-    for (const AskFirst& asked : aAsked) {
-      Agent* agent = Reach(*asked.mAgent);
+    for (const RevokeTarget& asked : aAsked) {
+      Agent* agent = FindIncarnation(*asked.mAgent);
       if (agent == nullptr || agent->mRan.contains(aKey)) {
         return false;
       }
@@ -271,7 +271,7 @@
   Instant mNow = kStart;
   std::vector<Agent> mAgents;
   AgentDirectory mDirectories[kEntries];
-  std::map<int, std::map<int, Instant>> mHeard;
+  std::map<int, std::map<int, Instant>> mDeliveredAt;
   std::uint64_t mSequence = 0;
   Router mRouter{ FailureDomainId("domain-0") };
   std::map<std::string, int> mRuns;
--- a/tests/routing/OutlierDetectorTest.cpp
+++ b/tests/routing/OutlierDetectorTest.cpp
@@ -18,7 +18,7 @@
 
 HealthState StateOf(const RoutableAgent& aAgent)
 {
-  return aAgent.mGauges->mHealth.mState.load();
+  return aAgent.mRoutingState->mHealth.mState.load();
 }
 
 std::size_t CountEjected(const ServiceTable& aService)
@@ -58,11 +58,11 @@
       for (int i = 0; i < 100; ++i) {
         const bool fails = isFirst && i * GetParam().mFailuresInTen % 10 >=
                                         10 - GetParam().mFailuresInTen;
-        detector.Finished(*agent,
-                          fails ? Outcome::Failure : Outcome::Success,
-                          isFirst ? GetParam().mLatency : milliseconds(10),
-                          false,
-                          kWarm);
+        detector.OnFinished(*agent,
+                            fails ? Outcome::Failure : Outcome::Success,
+                            isFirst ? GetParam().mLatency : milliseconds(10),
+                            false,
+                            kWarm);
       }
     }
     for (const auto& event : detector.Evaluate(*table, kWarm)) {
@@ -101,7 +101,7 @@
     const auto agents = service.Routable();
     const auto& agent =
       *agents[*rc::gen::inRange<std::size_t>(0, agents.size())];
-    detector.Finished(
+    detector.OnFinished(
       agent,
       *rc::gen::element(
         Outcome::Failure, Outcome::Failure, Outcome::Success, Outcome::Neutral),
@@ -122,7 +122,7 @@
           Instant aNow)
 {
   for (int i = 0; i < 3; ++i) {
-    aDetector.Finished(aAgent, Outcome::Failure, Duration(0), false, aNow);
+    aDetector.OnFinished(aAgent, Outcome::Failure, Duration(0), false, aNow);
   }
 }
 
@@ -201,9 +201,9 @@
   {
     const RequestInFlight abandoned(
       std::move(*Probe(kWarm + seconds(2))), mDetector, kWarm);
-    EXPECT_EQ(mAgent.mGauges->mLoad.InFlight(), 1);
+    EXPECT_EQ(mAgent.mRoutingState->mLoad.InFlight(), 1);
   }
-  EXPECT_EQ(mAgent.mGauges->mLoad.InFlight(), 0);
+  EXPECT_EQ(mAgent.mRoutingState->mLoad.InFlight(), 0);
   EXPECT_TRUE(Probe(kWarm + seconds(2)).has_value());
 }
 
--- a/tests/routing/RouterTest.cpp
+++ b/tests/routing/RouterTest.cpp
@@ -120,7 +120,7 @@
   for (int i = 0; i < 6; ++i) {
     const auto load = i < 3 ? GetParam().mLocalLoad : GetParam().mRemoteLoad;
     directory.Find(HeartbeatOf(i).mAgent)
-      ->mGauges->mLoad.Report({ load, 8, 0 }, kWarm);
+      ->mRoutingState->mLoad.Report({ load, 8, 0 }, kWarm);
   }
   const Router router(FailureDomainId("domain-0"));
   std::mt19937_64 random(1);
@@ -149,7 +149,7 @@
   std::mt19937_64 random(1);
   for (int i = 0; i < 3; ++i) {
     directory.Find(HeartbeatOf(i).mAgent)
-      ->mGauges->mLoad.Report({ 8, 8, 16 }, kWarm);
+      ->mRoutingState->mLoad.Report({ 8, 8, 16 }, kWarm);
   }
   const auto table = directory.Table();
   for (int i = 0; i < 100; ++i) {
@@ -157,7 +157,7 @@
     EXPECT_EQ(AgentOf(choice)->mAgent, HeartbeatOf(3).mAgent);
   }
   directory.Find(HeartbeatOf(3).mAgent)
-    ->mGauges->mLoad.Report({ 8, 8, 17 }, kWarm);
+    ->mRoutingState->mLoad.Report({ 8, 8, 17 }, kWarm);
   const auto choice = router.Pick(table, RequestFor(), kWarm, random);
   EXPECT_EQ(std::get<NoChoice>(choice).mReason, Reason::BackendServersBusy);
 }
@@ -184,37 +184,37 @@
   EXPECT_GT(late, 400);
 }
 
-struct FiguresCase
+struct LoadHeaderCase
 {
   const char* mText;
-  std::optional<LoadFigures> mFigures;
+  std::optional<LoadSnapshot> mSnapshot;
 };
 
-void PrintTo(const FiguresCase& aCase, std::ostream* aStream)
+void PrintTo(const LoadHeaderCase& aCase, std::ostream* aStream)
 {
   *aStream << aCase.mText;
 }
 
-class LoadHeader : public testing::TestWithParam<FiguresCase>
+class LoadHeader : public testing::TestWithParam<LoadHeaderCase>
 {};
 
 TEST_P(LoadHeader, IsParsedStrictly)
 {
-  EXPECT_EQ(ParseLoadFigures(GetParam().mText), GetParam().mFigures);
+  EXPECT_EQ(ParseLoadSnapshot(GetParam().mText), GetParam().mSnapshot);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   All,
   LoadHeader,
-  testing::Values(FiguresCase{ "3/8/5", LoadFigures{ 3, 8, 5 } },
-                  FiguresCase{ "0/0/0", LoadFigures{} },
-                  FiguresCase{ "", std::nullopt },
-                  FiguresCase{ "3/8", std::nullopt },
-                  FiguresCase{ "3/8/", std::nullopt },
-                  FiguresCase{ "3/8/5/1", std::nullopt },
-                  FiguresCase{ "-1/8/5", std::nullopt },
-                  FiguresCase{ "3 /8/5", std::nullopt },
-                  FiguresCase{ "99999999999/8/5", std::nullopt }));
+  testing::Values(LoadHeaderCase{ "3/8/5", LoadSnapshot{ 3, 8, 5 } },
+                  LoadHeaderCase{ "0/0/0", LoadSnapshot{} },
+                  LoadHeaderCase{ "", std::nullopt },
+                  LoadHeaderCase{ "3/8", std::nullopt },
+                  LoadHeaderCase{ "3/8/", std::nullopt },
+                  LoadHeaderCase{ "3/8/5/1", std::nullopt },
+                  LoadHeaderCase{ "-1/8/5", std::nullopt },
+                  LoadHeaderCase{ "3 /8/5", std::nullopt },
+                  LoadHeaderCase{ "99999999999/8/5", std::nullopt }));
 
 } // namespace
 } // namespace foxtailbarrow
--- a/tests/scheduler/JobRequestHandlerTest.cpp
+++ b/tests/scheduler/JobRequestHandlerTest.cpp
@@ -88,7 +88,7 @@
   net::FiberRuntime mRuntime{ 1 };
   MemoryStore mMemory;
   SilentStore mStore;
-  PulsedStore mPulsed;
+  HealthTrackingStore mPulsed;
   net::HttpClient mClient;
   net::RpcClient mRpc;
   SchedulerSettings mSettings;
--- a/tests/scheduler/SilentPeerTest.cpp
+++ b/tests/scheduler/SilentPeerTest.cpp
@@ -42,7 +42,7 @@
   net::FiberRuntime runtime(1);
   MemoryStore memory;
   SilentStore store(memory);
-  PulsedStore pulsed(store);
+  HealthTrackingStore pulsed(store);
   net::HttpClient client(runtime);
   net::RpcClient rpc(client);
   SchedulerSettings settings;
--- a/tests/store/BatchCommitterTest.cpp
+++ b/tests/store/BatchCommitterTest.cpp
@@ -62,7 +62,7 @@
     }
     records.push_back(Record(key, "new"));
   }
-  const auto outcomes = mCommitter.Settle(records);
+  const auto outcomes = mCommitter.CommitAll(records);
   ASSERT_EQ(outcomes.size(), writes);
   for (std::size_t index = 0; index < writes; ++index) {
     const absl::Status status = outcomes[index].status();
@@ -96,7 +96,7 @@
     records.push_back(Record("/r/" + std::to_string(index), "new"));
     records.back().mGuard = index % 2 == 0 ? held : broken;
   }
-  const auto outcomes = mCommitter.Settle(records);
+  const auto outcomes = mCommitter.CommitAll(records);
   for (int index = 0; index < 100; ++index) {
     const absl::Status status = outcomes[index].status();
     EXPECT_EQ(status.ok(), index % 2 == 0) << status;
@@ -109,7 +109,7 @@
 {
   std::vector<RecordWrite> records = { Record("/a", "1"), Record("/b", "2") };
   records[0].mWrite.mLease = 99;
-  const auto outcomes = mCommitter.Settle(records);
+  const auto outcomes = mCommitter.CommitAll(records);
   EXPECT_TRUE(absl::IsNotFound(outcomes[0].status()));
   EXPECT_TRUE(outcomes[1].ok());
 }
@@ -119,7 +119,7 @@
   const std::vector<RecordWrite> records = { Record("/a", "1"),
                                              Record("/b", "2") };
   mStore.SetFaults({ .mLoseReplies = 1 });
-  const auto outcomes = mCommitter.Settle(records);
+  const auto outcomes = mCommitter.CommitAll(records);
   ASSERT_TRUE(outcomes[0].ok()) << outcomes[0].status();
   EXPECT_EQ(*outcomes[0], mStore.Read("/a")->mModRevision);
   EXPECT_EQ(*outcomes[1], *outcomes[0]);
@@ -132,7 +132,7 @@
   const Revision seeded = Seed("/a");
   const RecordWrite remove{ { "/a", std::nullopt, 0 }, seeded, std::nullopt };
   mStore.SetFaults({ .mLoseReplies = 1 });
-  EXPECT_TRUE(mCommitter.Settle({ &remove, 1 })[0].ok());
+  EXPECT_TRUE(mCommitter.CommitAll({ &remove, 1 })[0].ok());
   EXPECT_EQ(mStore.Counts().Count(StoreCall::Commit), 2U);
 }
 
@@ -142,7 +142,7 @@
                                              Record("/taken", "2") };
   Seed("/taken");
   mStore.SetFaults({ .mLoseReplies = 1 });
-  const auto outcomes = mCommitter.Settle(records);
+  const auto outcomes = mCommitter.CommitAll(records);
   EXPECT_TRUE(outcomes[0].ok()) << outcomes[0].status();
   EXPECT_TRUE(absl::IsAborted(outcomes[1].status()));
   EXPECT_EQ(VerdictOf(outcomes[1].status()), Verdict::NotRun);
@@ -153,7 +153,7 @@
   const std::vector<RecordWrite> records = { Record("/taken", "1") };
   Seed("/taken");
   mStore.SetFaults({ .mLoseReplies = 1 });
-  const auto outcomes = mCommitter.Settle(records);
+  const auto outcomes = mCommitter.CommitAll(records);
   EXPECT_TRUE(absl::IsAborted(outcomes[0].status()));
   EXPECT_EQ(VerdictOf(outcomes[0].status()), Verdict::MayHaveRun);
 }
@@ -163,7 +163,7 @@
   mStore.SetFaults({ .mOutage = true });
   const std::vector<RecordWrite> records = { Record("/a", "1"),
                                              Record("/b", "2") };
-  for (const auto& outcome : mCommitter.Settle(records)) {
+  for (const auto& outcome : mCommitter.CommitAll(records)) {
     EXPECT_TRUE(absl::IsUnavailable(outcome.status()));
     EXPECT_EQ(VerdictOf(outcome.status()), Verdict::NotRun);
   }
--- a/tests/store/BatchWriterTest.cpp
+++ b/tests/store/BatchWriterTest.cpp
@@ -158,17 +158,17 @@
   EXPECT_TRUE(absl::IsNotFound(store.Read("/a").status()));
 }
 
-/// What each write, known by its unique value, was told.
-struct Told
+/// What each write, known by its unique value, was reported.
+struct WriteOutcome
 {
   absl::StatusOr<Revision> mOutcome;
 };
 
-/// Owners that race for a few keys over an unreliable store.
-class Race
+/// Owners that owners for a few keys over an unreliable store.
+class ConcurrentOwners
 {
 public:
-  explicit Race(std::uint32_t aSeed)
+  explicit ConcurrentOwners(std::uint32_t aSeed)
     : mRandom(aSeed)
     , mUnreliable(mStore, aSeed)
   {
@@ -186,7 +186,7 @@
     for (auto& fiber : fibers) {
       fiber.join();
     }
-    mUnreliable.Deliver();
+    mUnreliable.DeliverDelayed();
   }
 
   std::map<std::string, std::vector<Revision>> Applied()
@@ -206,7 +206,10 @@
     return applied;
   }
 
-  const std::map<std::string, Told>& Outcomes() const { return mOutcomes; }
+  const std::map<std::string, WriteOutcome>& Outcomes() const
+  {
+    return mOutcomes;
+  }
 
 private:
   void WriteSome(BatchWriter& aWriter, int aOwner)
@@ -226,25 +229,25 @@
   std::mt19937 mRandom;
   MemoryStore mStore;
   UnreliableStore mUnreliable;
-  std::map<std::string, Told> mOutcomes;
+  std::map<std::string, WriteOutcome> mOutcomes;
 };
 
 RC_GTEST_PROP(BatchWriterProperty,
               NeitherDoublesAWriteNorLosesOneNorDeniesIt,
               (std::uint32_t aSeed))
 {
-  Race race(aSeed);
-  race.Run();
-  const auto applied = race.Applied();
+  ConcurrentOwners owners(aSeed);
+  owners.Run();
+  const auto applied = owners.Applied();
   for (const auto& [value, revisions] : applied) {
     RC_ASSERT(revisions.size() == 1U);
-    RC_ASSERT(VerdictOf(race.Outcomes().at(value).mOutcome.status()) !=
+    RC_ASSERT(VerdictOf(owners.Outcomes().at(value).mOutcome.status()) !=
               Verdict::NotRun);
   }
-  for (const auto& [value, told] : race.Outcomes()) {
-    if (told.mOutcome.ok()) {
+  for (const auto& [value, reported] : owners.Outcomes()) {
+    if (reported.mOutcome.ok()) {
       RC_ASSERT(applied.contains(value));
-      RC_ASSERT(applied.at(value).front() == *told.mOutcome);
+      RC_ASSERT(applied.at(value).front() == *reported.mOutcome);
     }
   }
 }
--- a/tests/store/EtcdHarness.cpp
+++ b/tests/store/EtcdHarness.cpp
@@ -18,7 +18,7 @@
   {
     mRuntime.RunAndWait(aBody);
   }
-  void RunBeside(std::function<void()> aBody) override
+  void RunConcurrently(std::function<void()> aBody) override
   {
     mRuntime.Spawn(std::move(aBody));
   }
--- a/tests/store/KeyValueTableTest.cpp
+++ b/tests/store/KeyValueTableTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "src/platform/store/FaultGate.h"
+#include "src/platform/store/FaultInjector.h"
 #include "src/platform/store/KeyValueTable.h"
 #include "tests/store/NamedCase.h"
 
@@ -85,14 +85,14 @@
   EXPECT_EQ(mTable.LatestRevision(), before);
 }
 
-TEST(FaultGate, FillsItsCeilingsWithTime)
+TEST(FaultInjector, FillsItsCeilingsWithTime)
 {
-  FaultGate gate;
+  FaultInjector injector;
   Instant now{};
-  gate.Set({ .mWritesPerSecond = 10 }, now);
+  injector.Set({ .mWritesPerSecond = 10 }, now);
   const auto takeAll = [&] {
     int taken = 0;
-    while (gate.Decide(StoreCall::Commit, now) == CallFate::Proceed) {
+    while (injector.Decide(StoreCall::Commit, now) == FaultDecision::Proceed) {
       ++taken;
     }
     return taken;
@@ -102,7 +102,7 @@
   EXPECT_EQ(takeAll(), 5);
   now += 1h;
   EXPECT_EQ(takeAll(), 10);
-  EXPECT_EQ(gate.Decide(StoreCall::Read, now), CallFate::Proceed);
+  EXPECT_EQ(injector.Decide(StoreCall::Read, now), FaultDecision::Proceed);
 }
 
 } // namespace
--- a/tests/store/MemoryHarness.cpp
+++ b/tests/store/MemoryHarness.cpp
@@ -14,7 +14,7 @@
 
   Store& Client() override { return mBackend; }
   void Run(const std::function<void()>& aBody) override { aBody(); }
-  void RunBeside(std::function<void()> aBody) override
+  void RunConcurrently(std::function<void()> aBody) override
   {
     mThreads.emplace_back(std::move(aBody));
   }
--- a/tests/store/StoreConformanceTest.cpp
+++ b/tests/store/StoreConformanceTest.cpp
@@ -157,7 +157,7 @@
   constexpr int kRacers = 8;
   mHarness->Run([&] {
     for (int racer = 0; racer < kRacers; ++racer) {
-      mHarness->RunBeside([&, racer] {
+      mHarness->RunConcurrently([&, racer] {
         const auto result = Put("/race", std::to_string(racer));
         wins += result.ok() && result->mApplied ? 1 : 0;
         ++ended;
@@ -213,7 +213,7 @@
     const Revision start = Put("/w/a", "0")->mRevision;
     const Revision second = Put("/w/a", "1", start)->mRevision;
     ASSERT_TRUE(Put("/other", "x").ok());
-    mHarness->RunBeside([&, start] {
+    mHarness->RunConcurrently([&, start] {
       const auto collect = [&](const std::vector<StoreEvent>& aEvents) {
         seen.insert(seen.end(), aEvents.begin(), aEvents.end());
         return seen.size() < 4;
@@ -246,7 +246,7 @@
   std::atomic<bool> open = false;
   std::atomic<bool> broken = false;
   mHarness->Run([&] {
-    mHarness->RunBeside([&] {
+    mHarness->RunConcurrently([&] {
       const auto endless = [&](const std::vector<StoreEvent>&) {
         return open = true;
       };
--- a/tests/store/StoreHarness.h
+++ b/tests/store/StoreHarness.h
@@ -23,7 +23,7 @@
   virtual void Run(const std::function<void()>& aBody) = 0;
 
   /// Runs a second body beside the first; joined at the end of the test.
-  virtual void RunBeside(std::function<void()> aBody) = 0;
+  virtual void RunConcurrently(std::function<void()> aBody) = 0;
 
   void SetFaults(const StoreFaults& aFaults) { mBackend.SetFaults(aFaults); }
   void Advance(Duration aSpan) { mSkipped += aSpan.count(); }
--- a/tests/store/UnreliableStore.h
+++ b/tests/store/UnreliableStore.h
@@ -26,7 +26,7 @@
   absl::StatusOr<StoreTransactionResult> Commit(
     const StoreTransaction& aTransaction) override
   {
-    Disturb();
+    InterleaveAndDeliver();
     switch (mRandom() % 8) {
       case 0:
         return WithVerdict(absl::UnavailableError("down"), Verdict::NotRun);
@@ -44,7 +44,7 @@
 
   absl::StatusOr<StoreEntry> Read(std::string_view aKey) override
   {
-    Disturb();
+    InterleaveAndDeliver();
     if (mRandom() % 8 == 0) {
       return WithVerdict(absl::UnavailableError("down"), Verdict::NotRun);
     }
@@ -52,7 +52,7 @@
   }
 
   /// Lets every delayed transaction arrive.
-  void Deliver()
+  void DeliverDelayed()
   {
     for (const StoreTransaction& transaction : std::exchange(mDelayed, {})) {
       mStore.Commit(transaction).IgnoreError();
@@ -67,13 +67,13 @@
   }
 
   /// Gives other fibers their turn, so that calls interleave.
-  void Disturb()
+  void InterleaveAndDeliver()
   {
     for (auto turns = mRandom() % 3; turns > 0; --turns) {
       boost::this_fiber::yield();
     }
     if (mRandom() % 4 == 0) {
-      Deliver();
+      DeliverDelayed();
     }
   }
 
--- a/tests/store/WatchFeedTest.cpp
+++ b/tests/store/WatchFeedTest.cpp
@@ -95,15 +95,15 @@
       EXPECT_GT(change.mModRevision, mRevisions[change.mKey]);
       mRevisions[change.mKey] = change.mModRevision;
       mLatest = change.mModRevision;
-      mSeen[change.mKey] = change.mValue.value_or("(deleted)");
+      mReceived[change.mKey] = change.mValue.value_or("(deleted)");
     }
   }
 
-  bool EventuallySees(const std::map<std::string, std::string>& aExpected)
+  bool EventuallyReceived(const std::map<std::string, std::string>& aExpected)
   {
     return Eventually([&] {
       const std::lock_guard lock(mMutex);
-      return mSeen == aExpected;
+      return mReceived == aExpected;
     });
   }
 
@@ -111,7 +111,7 @@
   std::mutex mMutex;
   Revision mLatest = 0;
   std::map<std::string, Revision> mRevisions;
-  std::map<std::string, std::string> mSeen;
+  std::map<std::string, std::string> mReceived;
   WatchFeed mFeed{ mStore,
                    "/c/",
                    [this](const auto& aChanges) { Receive(aChanges); },
@@ -126,19 +126,19 @@
     std::mt19937 random(1);
     mFeed.Run(random);
   });
-  EXPECT_TRUE(EventuallySees({ { "/c/a", "1" } }));
+  EXPECT_TRUE(EventuallyReceived({ { "/c/a", "1" } }));
   Put("/c/b", "2");
   Put("/other", "x");
-  EXPECT_TRUE(EventuallySees({ { "/c/a", "1" }, { "/c/b", "2" } }));
+  EXPECT_TRUE(EventuallyReceived({ { "/c/a", "1" }, { "/c/b", "2" } }));
   EXPECT_EQ(mFeed.Staleness(MonotonicNow() + 1h), Duration::zero());
   mStore.SetFaults({ .mOutage = true });
   EXPECT_TRUE(
     Eventually([&] { return mFeed.Staleness(MonotonicNow() + 1h) > 1h; }));
-  EXPECT_TRUE(EventuallySees({ { "/c/a", "1" }, { "/c/b", "2" } }));
+  EXPECT_TRUE(EventuallyReceived({ { "/c/a", "1" }, { "/c/b", "2" } }));
   mStore.SetFaults({});
   Put("/c/a", std::nullopt);
   Put("/c/b", "3");
-  EXPECT_TRUE(EventuallySees({ { "/c/a", "(deleted)" }, { "/c/b", "3" } }));
+  EXPECT_TRUE(EventuallyReceived({ { "/c/a", "(deleted)" }, { "/c/b", "3" } }));
   EXPECT_GE(mFeed.Counters().mBreaks, 1U);
   mFeed.Stop();
   mStore.Close();
