--- a/src/core/cell/OverTarget.h
+++ b/src/core/cell/OverTarget.h
@@ -12,7 +12,7 @@
 {
   std::string mImage;
   Duration mOver{};         ///< How long it has been over the target.
-  double mLatencyShare = 0; ///< Smoothed tail latency by its target.
+  double mLatencyShare = 0; ///< Tail latency / target, smoothed.
   /// Colocated best-effort images, each with the throttle of its task in
   /// percent.
   std::vector<std::string> mColocated;
--- a/tests/cell/ThrottleControllerTest.cpp
+++ b/tests/cell/ThrottleControllerTest.cpp
@@ -141,7 +141,7 @@
 INSTANTIATE_TEST_SUITE_P(
   Table,
   ThrottleAtStartTest,
-  testing::Values(StartCase{ "Calm", 9, 3, "heavy", false },
+  testing::Values(StartCase{ "UnderTarget", 9, 3, "heavy", false },
                   StartCase{ "Over", 40, 1, "heavy", true },
                   StartCase{ "OverButHarmless", 40, 1, "light", false },
                   StartCase{ "OverForLong", 40, 9, "light", true }),
--- a/tests/load/CrashingLoadTest.cpp
+++ b/tests/load/CrashingLoadTest.cpp
@@ -73,7 +73,7 @@
   Table,
   CrashingLoadTest,
   testing::Values(CrashingLoad{ "OneIn100Of64", 64, 0.01, false },
-                  CrashingLoad{ "OneIn100Of64BesideARack", 64, 0.01, true },
+                  CrashingLoad{ "OneIn100Of64WithARackCrash", 64, 0.01, true },
                   CrashingLoad{ "OneIn100Of160", 160, 0.01, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
--- a/tests/load/LoadReplayTest.cpp
+++ b/tests/load/LoadReplayTest.cpp
@@ -35,7 +35,7 @@
 INSTANTIATE_TEST_SUITE_P(
   Table,
   LoadGainTest,
-  testing::Values(GainCase{ "WorkersAreFilledAboveWhatIsLeft",
+  testing::Values(GainCase{ "WorkersAreFilledBeyondFreeCapacity",
                             [](LoadPolicy& aPolicy) {
                               aPolicy.mCell.mMaxBestEffortRatio = 1.0;
                             },
@@ -45,7 +45,7 @@
                               aPolicy.mCell.mMaxBestEffortRatio = 1.8;
                             },
                             0.02 },
-                  GainCase{ "RoomIsPlannedNearTheTarget",
+                  GainCase{ "CapacityIsPlannedNearTheTarget",
                             [](LoadPolicy& aPolicy) {
                               aPolicy.mCell.mPlannedLatencyShare = 0.65;
                             },
@@ -55,7 +55,7 @@
                               aPolicy.mCell.mPlannedLatencyShare = 1.0;
                             },
                             0.02 },
-                  GainCase{ "OnlyWhatPressesIsHeldDown",
+                  GainCase{ "OnlyInterferingTasksAreThrottled",
                             [](LoadPolicy& aPolicy) {
                               aPolicy.mThrottle.mHarmlessWeight = 0.01;
                             },
@@ -67,7 +67,7 @@
                                 milliseconds(1800);
                             },
                             0.01 },
-                  GainCase{ "ASwingIsNotTakenForPressure",
+                  GainCase{ "ASwingIsNotMistakenForInterference",
                             [](LoadPolicy& aPolicy) {
                               constexpr double kNone = 1e-7;
                               InterferenceSettings& learning =
--- a/tests/load/ServingTargetTest.cpp
+++ b/tests/load/ServingTargetTest.cpp
@@ -16,7 +16,7 @@
 class ServingTargetTest : public testing::TestWithParam<ColocatedWorkerPattern>
 {};
 
-TEST_P(ServingTargetTest, NoTaskStaysOverItsTargetBecauseOfColocatedTasks)
+TEST_P(ServingTargetTest, NoTaskStaysOverItsTargetByWhatRunsBesideIt)
 {
   double longest = 0;
   double over = 0;
@@ -41,13 +41,13 @@
   ServingTargetTest,
   testing::Values(
     ColocatedWorkerPattern{ .mName = "InTime", .mPollInterval = 0.1 },
-    ColocatedWorkerPattern{ .mName = "SlowLooks" },
+    ColocatedWorkerPattern{ .mName = "SlowPolls" },
     ColocatedWorkerPattern{ .mName = "RoughFigures", .mNoise = 0.2 },
     ColocatedWorkerPattern{ .mName = "ShortTasks", .mTaskLength = 0.7 },
-    ColocatedWorkerPattern{ .mName = "LateLooks",
+    ColocatedWorkerPattern{ .mName = "LatePolls",
                             .mLatePolls = 0.3,
                             .mTaskLength = 2 },
-    ColocatedWorkerPattern{ .mName = "LatePaces", .mLateThrottles = 0.1 },
+    ColocatedWorkerPattern{ .mName = "LateThrottles", .mLateThrottles = 0.1 },
     ColocatedWorkerPattern{ .mName = "RoughAndLate",
                             .mNoise = 0.2,
                             .mLatePolls = 0.3,
