--- a/src/core/admission/AdmissionDecision.cpp
+++ b/src/core/admission/AdmissionDecision.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-constexpr double kSpread = 0.5;
+constexpr double kMaxJitterRatio = 0.5;
 
 } // namespace
 
 Duration WithJitter(Duration aWait, double aJitter)
 {
   const auto wait = static_cast<double>(aWait.count());
-  return Duration(static_cast<Duration::rep>(wait * (1 + kSpread * aJitter)));
+  return Duration(
+    static_cast<Duration::rep>(wait * (1 + kMaxJitterRatio * aJitter)));
 }
 
 } // namespace foxtailbarrow
--- a/src/core/admission/AdmissionDecision.h
+++ b/src/core/admission/AdmissionDecision.h
@@ -7,21 +7,21 @@
 
 namespace foxtailbarrow {
 
-/// The request may go on. Tell CustomerAdmission::Finish() when it has ended.
+/// The request may proceed. Call CustomerAdmission::Finish() when it has ended.
 struct Admit
 {};
 
-/// The request is given up and did not run: answer the caller now.
+/// The request is refused and did not run: answer the caller now.
 struct Refuse
 {
   Reason mReason = Reason::Overload;
-  Duration mRetryAfter{}; ///< When the caller may try again.
+  Duration mRetryAfter{}; ///< Delay before the caller may retry.
 };
 
 using AdmissionDecision = std::variant<Admit, Refuse>;
 
-/// Spreads the returns of refused callers over half as long again. `aJitter` is
-/// uniform in 0..1.
+/// Adds up to 50% to `aWait`, so that callers refused at the same time do not
+/// retry at the same time. `aJitter` is uniform in 0..1.
 Duration WithJitter(Duration aWait, double aJitter);
 
 } // namespace foxtailbarrow
--- a/src/core/admission/ConcurrencyGate.cpp
+++ b/src/core/admission/ConcurrencyGate.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// A new interval counts for an eighth.
+/// Weight of a new interval in the moving average: one eighth.
 constexpr std::int64_t kSmoothing = 8;
-/// A pause between two loads says nothing about how fast requests end.
+/// Microseconds. Longer intervals are idle periods, which do not show how fast
+/// requests complete.
 constexpr std::int64_t kMaxInterval = 10'000'000;
 
 } // namespace
@@ -33,7 +34,7 @@
   if (last == 0) {
     return;
   }
-  // Two threads may overwrite each other's mean; it stays an estimate.
+  // Concurrent updates may be lost, which is acceptable for an estimate.
   const std::int64_t interval =
     std::clamp<std::int64_t>(now - last, 1, kMaxInterval);
   const std::int64_t mean = mMeanInterval.load(std::memory_order_relaxed);
--- a/src/core/admission/ConcurrencyGate.h
+++ b/src/core/admission/ConcurrencyGate.h
@@ -7,18 +7,18 @@
 
 namespace foxtailbarrow {
 
-/// Counts the requests in progress of one customer at one entry, for several
-/// threads without a lock. Learns how fast they end.
+/// Limits the concurrent requests of one customer at one entry and estimates
+/// how fast they complete. Thread-safe and lock-free.
 class ConcurrencyGate
 {
 public:
-  /// Counts one more, unless `aLimit` are in progress.
+  /// Admits one more request unless `aLimit` are in progress.
   bool TryEnter(std::int64_t aLimit);
 
-  /// One ended.
+  /// A request completed.
   void Leave(Instant aNow);
 
-  /// One that entered was not started after all.
+  /// Reverts a TryEnter() whose request was not started.
   void UndoEnter();
 
   std::int64_t InProgress() const
@@ -26,7 +26,8 @@
     return mInProgress.load(std::memory_order_relaxed);
   }
 
-  /// Mean time between two ends of late; kDefaultInterval before the first.
+  /// Moving average of the time between two completions; kDefaultInterval until
+  /// there were two.
   Duration MeanInterval() const;
 
   static constexpr Duration kDefaultInterval = std::chrono::milliseconds(100);
--- a/src/core/admission/CustomerAdmission.cpp
+++ b/src/core/admission/CustomerAdmission.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Rates are shared in thousandths of a request a second.
+/// Rates are split in units of a thousandth of a request per second.
 constexpr double kRateUnits = 1000.0;
 
-/// No caller is asked back sooner than this, to bound the load of retries.
+/// Lower bound of the Retry-After, which limits the load caused by retries.
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(10);
 
 AdmissionDecision RefuseFor(Reason aReason,
--- a/src/core/admission/CustomerAdmission.h
+++ b/src/core/admission/CustomerAdmission.h
@@ -8,22 +8,22 @@
 
 namespace foxtailbarrow {
 
-/// What the decision on one request depends on, besides the contract.
+/// Inputs of an admission decision besides the contract and the share.
 struct AdmissionRequest
 {
   Instant mNow{};
   Instant mDeadline = Instant::max();
-  Duration mExpectedWait{}; ///< Before it starts, once admitted; 0 = none.
+  Duration mExpectedWait{}; ///< From admission to start; 0 = none.
   double mJitter = 0;       ///< Uniform in 0..1, drawn by the caller.
 };
 
-/// Decides whether a request of one customer may enter at this entry, by the
-/// entry's shares of the contract's concurrency and rate. For several threads
-/// without a lock; keep one object a customer as long as requests are in
-/// progress, also across changes of its contract.
+/// Admits or refuses requests of one customer at this entry, by the entry's
+/// shares of the contract's concurrency and rate. Thread-safe and lock-free.
+/// Keep one object per customer while requests are in progress, also across
+/// changes of its contract.
 ///
-/// Requests admitted under a larger share run on when the share shrinks; no new
-/// one enters until their number is below it.
+/// When the share shrinks, admitted requests continue, and no new one is
+/// admitted until their number is below the share.
 class CustomerAdmission
 {
 public:
@@ -31,7 +31,7 @@
                            const ShareAllocation& aAllocation,
                            const AdmissionRequest& aRequest);
 
-  /// An admitted request has ended, with whatever outcome.
+  /// An admitted request has ended, whatever its outcome.
   void Finish(Instant aNow) { mGate.Leave(aNow); }
 
   std::int64_t InProgress() const { return mGate.InProgress(); }
@@ -41,9 +41,9 @@
   TokenBucket mBucket;
 };
 
-/// This entry's part of the contract's rate and burst. A burst share is at
-/// least 1 where the rate share is above 0, so that tokens can be taken one at
-/// a time; all bursts together are at most the contract's plus one an entry.
+/// This entry's share of the contract's rate and burst. The burst share is at
+/// least 1, since tokens are taken one at a time; the shares of all entries add
+/// up to at most the contract's burst plus one per entry.
 BucketLimit RateShare(const Contract& aContract,
                       const ShareAllocation& aAllocation,
                       Instant aNow);
--- a/src/core/admission/DequeueRate.cpp
+++ b/src/core/admission/DequeueRate.cpp
@@ -14,7 +14,8 @@
 void DequeueRate::OnDequeued(Instant aNow, bool aBacklog)
 {
   if (mHadBacklog) {
-    // A plain mean at first, then one of about the last kSampleWindow.
+    // Arithmetic mean of the first kSampleWindow samples, then a moving average
+    // over about as many.
     mSamples = std::min(mSamples + 1, kSampleWindow);
     const auto newest = static_cast<double>((aNow - mLast).count());
     const double step = (newest - mMeanMicros) / mSamples;
--- a/src/core/admission/DequeueRate.h
+++ b/src/core/admission/DequeueRate.h
@@ -4,19 +4,19 @@
 
 namespace foxtailbarrow {
 
-/// Learns the mean time between two requests that leave a queue, counting only
-/// the times at which others were waiting: then it is the time that the backend
-/// servers need for one.
+/// Estimates the mean time between two dequeued requests. Counts an interval
+/// only if the queue was not empty at its start, since it then shows how fast
+/// the backend servers take requests.
 class DequeueRate
 {
 public:
-  /// A request leaves at `aNow`; `aBacklog`: others stay behind.
+  /// A request was dequeued at `aNow`; `aBacklog`: the queue is not empty.
   void OnDequeued(Instant aNow, bool aBacklog);
 
-  /// kDefaultInterval until two have left from a backlog.
+  /// kDefaultInterval before the first sample.
   Duration Interval() const;
 
-  /// Enough have left for the mean to mean something.
+  /// The mean covers a full sample window.
   bool HasEnoughSamples() const { return mSamples == kSampleWindow; }
 
   static constexpr Duration kDefaultInterval = std::chrono::milliseconds(1);
--- a/src/core/admission/FairBand.cpp
+++ b/src/core/admission/FairBand.cpp
@@ -37,19 +37,19 @@
   flow.mTag = tag + 1 / flow.mWeight;
   mOrder.emplace(flow.mTag, customer);
   if (flow.mRequests.empty()) {
-    Close(customer);
+    RemoveFlow(customer);
   }
   return request;
 }
 
-void FairBand::Close(const CustomerId& aCustomer)
+void FairBand::RemoveFlow(const CustomerId& aCustomer)
 {
   const auto found = mFlows.find(aCustomer);
   mOrder.erase({ found->second.mTag, aCustomer });
   mWeights -= found->second.mWeight;
   mFlows.erase(found);
   if (mFlows.empty()) {
-    mWeights = 0; // rounding errors do not pile up
+    mWeights = 0; // do not accumulate rounding errors
   }
 }
 
@@ -67,7 +67,7 @@
   heaviest->second.mRequests.pop_back();
   --mSize;
   if (heaviest->second.mRequests.empty()) {
-    Close(request.mCustomer);
+    RemoveFlow(request.mCustomer);
   }
   return request;
 }
@@ -76,8 +76,8 @@
                                   std::size_t aPosition,
                                   Duration aInterval) const
 {
-  // What the customer got of late says more than its weight, since others come
-  // and go.
+  // The measured rate is more accurate than the weights, since other customers
+  // come and go.
   if (aFlow.mRate.HasEnoughSamples()) {
     return aFlow.mRate.Interval() * static_cast<Duration::rep>(aPosition + 1);
   }
@@ -115,9 +115,9 @@
 {
   const Flow* flow = Find(aCustomer);
   const double weights = mWeights + (flow == nullptr ? aWeight : 0);
-  const double part = static_cast<double>(aCapacity) * aWeight / weights;
+  const double share = static_cast<double>(aCapacity) * aWeight / weights;
   const std::size_t held = flow == nullptr ? 0 : flow->mRequests.size();
-  return static_cast<double>(held) >= part;
+  return static_cast<double>(held) >= share;
 }
 
 std::vector<std::pair<QueuedRequest, Duration>>
@@ -125,15 +125,15 @@
 {
   std::vector<std::pair<QueuedRequest, Duration>> taken;
   std::vector<CustomerId> emptied;
-  const Duration ahead = aInterval * static_cast<Duration::rep>(aAhead);
+  const Duration waitAhead = aInterval * static_cast<Duration::rep>(aAhead);
   for (auto& [customer, flow] : mFlows) {
     std::deque<QueuedRequest> kept;
     for (QueuedRequest& request : flow.mRequests) {
-      // The first of a flow may start with the next slot.
+      // The first request of a flow may get the next free slot.
       const Duration wait =
-        ahead + (kept.empty()
-                   ? Duration::zero()
-                   : WaitAtPosition(flow, kept.size() - 1, aInterval));
+        waitAhead + (kept.empty()
+                       ? Duration::zero()
+                       : WaitAtPosition(flow, kept.size() - 1, aInterval));
       if (request.mDeadline <= aNow || wait >= request.mDeadline - aNow) {
         taken.emplace_back(std::move(request), wait);
       } else {
@@ -147,7 +147,7 @@
   }
   mSize -= taken.size();
   std::for_each(emptied.begin(), emptied.end(), [this](const auto& aCustomer) {
-    Close(aCustomer);
+    RemoveFlow(aCustomer);
   });
   return taken;
 }
--- a/src/core/admission/FairBand.h
+++ b/src/core/admission/FairBand.h
@@ -13,10 +13,10 @@
 
 namespace foxtailbarrow {
 
-/// Requests of one priority in the order of self-clocked fair queueing: each
-/// customer with requests waiting gets service in proportion to its weight, and
-/// its own requests stay in order. A customer that was idle has saved up
-/// nothing.
+/// Queue of the requests of one priority, ordered by self-clocked fair
+/// queueing: customers with queued requests are served in proportion to their
+/// weights, and the requests of each in FIFO order. An idle customer
+/// accumulates no credit.
 class FairBand
 {
 public:
@@ -25,22 +25,23 @@
   /// The band must not be empty.
   QueuedRequest Pop(Instant aNow);
 
-  /// Takes the newest request of the customer with the longest queue for its
-  /// weight. The band must not be empty.
+  /// Removes the newest request of the customer whose queue is the longest in
+  /// proportion to its weight. The band must not be empty.
   QueuedRequest TakeNewestOfLargest();
 
-  /// Takes every request that would start after its deadline, given the time
-  /// between two starts and the requests of a higher band that go first.
+  /// Removes the requests that would start after their deadlines and returns
+  /// them with their expected waits. `aInterval` is the time between two
+  /// starts, `aAhead` the number of requests in a higher band, which go first.
   std::vector<std::pair<QueuedRequest, Duration>> TakeLate(Instant aNow,
                                                            Duration aInterval,
                                                            std::size_t aAhead);
 
-  /// Until a further request of this customer would start.
+  /// Time until a further request of this customer would start.
   Duration ExpectedWait(const CustomerId& aCustomer,
                         double aWeight,
                         Duration aInterval) const;
 
-  /// True when the customer has more than its fair part of a full queue.
+  /// True when the customer holds at least its fair share of a full queue.
   bool ExceedsFairShare(const CustomerId& aCustomer,
                         double aWeight,
                         std::size_t aCapacity) const;
@@ -52,11 +53,11 @@
   {
     std::deque<QueuedRequest> mRequests;
     double mWeight = 1;
-    double mTag = 0;   ///< Virtual time at which the first one is due.
-    DequeueRate mRate; ///< Of this customer alone, since its queue was empty.
+    double mTag = 0;   ///< Virtual finish time of the first request.
+    DequeueRate mRate; ///< Of this customer, since its queue was last empty.
   };
 
-  /// Of a request with `aPosition` others of its customer before it.
+  /// Wait of a request with `aPosition` others of its customer ahead.
   Duration WaitAtPosition(const Flow& aFlow,
                           std::size_t aPosition,
                           Duration aInterval) const;
@@ -65,9 +66,9 @@
                          double aWeights,
                          Duration aInterval) const;
   const Flow* Find(const CustomerId& aCustomer) const;
-  void Close(const CustomerId& aCustomer);
+  void RemoveFlow(const CustomerId& aCustomer);
 
-  absl::flat_hash_map<CustomerId, Flow> mFlows; ///< With requests waiting.
+  absl::flat_hash_map<CustomerId, Flow> mFlows; ///< With queued requests.
   absl::btree_set<std::pair<double, CustomerId>> mOrder;
   double mVirtualNow = 0;
   double mWeights = 0; ///< Sum over mFlows.
--- a/src/core/admission/FairQueue.cpp
+++ b/src/core/admission/FairQueue.cpp
@@ -9,18 +9,17 @@
 
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(10);
 
-/// A request is only queued when it would start in time even if the wait were
-/// half as long again as estimated: the estimate is from the last few dozen
-/// starts, and a refusal on arrival is worth more to the caller than one after
-/// a wait.
+/// Adds a margin of half the estimated wait: the estimate covers only the last
+/// few dozen starts, and a refusal on arrival is more useful to the caller than
+/// one after a wait.
 bool StartsInTime(Duration aWait, Duration aRemaining)
 {
   return aWait + aWait / 2 < aRemaining;
 }
 
-QueueRefusal GiveUp(const QueuedRequest& aRequest,
-                    Reason aReason,
-                    Duration aWait)
+QueueRefusal MakeRefusal(const QueuedRequest& aRequest,
+                         Reason aReason,
+                         Duration aWait)
 {
   const Duration wait = std::max(aWait, kMinRetryAfter);
   return { aRequest.mHandle, { aReason, WithJitter(wait, aRequest.mJitter) } };
@@ -60,7 +59,7 @@
   const Duration wait = ExpectedWait(aRequest);
   if (aRequest.mDeadline <= aNow ||
       !StartsInTime(wait, aRequest.mDeadline - aNow)) {
-    return { GiveUp(aRequest, Reason::DeadlineTooShort, wait) };
+    return { MakeRefusal(aRequest, Reason::DeadlineTooShort, wait) };
   }
   if (Size() < mSettings.mCapacity) {
     Push(std::move(aRequest));
@@ -72,21 +71,21 @@
 QueueRefusal FairQueue::EvictOrRefuse(QueuedRequest aRequest)
 {
   const Duration interval = mRate.Interval();
-  // Latency-critical requests take the room of batch before their own.
-  const bool takesFromOwn = aRequest.mBatch || mBatch.Size() == 0;
-  const bool isOver =
-    takesFromOwn && BandOf(aRequest).ExceedsFairShare(aRequest.mCustomer,
-                                                      aRequest.mWeight,
-                                                      mSettings.mCapacity);
-  const bool onlyCritical = aRequest.mBatch && mBatch.Size() == 0;
-  if (isOver || onlyCritical) {
-    return GiveUp(aRequest, Reason::Overload, ExpectedWait(aRequest));
+  // Latency-critical requests displace batch requests first.
+  const bool evictsFromOwnBand = aRequest.mBatch || mBatch.Size() == 0;
+  const bool exceedsShare =
+    evictsFromOwnBand && BandOf(aRequest).ExceedsFairShare(aRequest.mCustomer,
+                                                           aRequest.mWeight,
+                                                           mSettings.mCapacity);
+  const bool hasNoBatchToEvict = aRequest.mBatch && mBatch.Size() == 0;
+  if (exceedsShare || hasNoBatchToEvict) {
+    return MakeRefusal(aRequest, Reason::Overload, ExpectedWait(aRequest));
   }
   FairBand& source = mBatch.Size() > 0 ? mBatch : mCritical;
-  const QueuedRequest victim = source.TakeNewestOfLargest();
+  const QueuedRequest evicted = source.TakeNewestOfLargest();
   Push(std::move(aRequest));
-  return GiveUp(
-    victim, Reason::Overload, interval * static_cast<Duration::rep>(Size()));
+  return MakeRefusal(
+    evicted, Reason::Overload, interval * static_cast<Duration::rep>(Size()));
 }
 
 QueuePop FairQueue::Pop(Instant aNow)
@@ -97,7 +96,7 @@
       mCritical.Size() > 0 ? mCritical.Pop(aNow) : mBatch.Pop(aNow);
     if (request.mDeadline <= aNow) {
       pop.mRefused.push_back(
-        GiveUp(request, Reason::DeadlineTooShort, ExpectedWait(request)));
+        MakeRefusal(request, Reason::DeadlineTooShort, ExpectedWait(request)));
       continue;
     }
     pop.mNext = std::move(request);
@@ -112,13 +111,13 @@
 {
   std::vector<QueueRefusal> refusals;
   const Duration interval = mRate.Interval();
-  const auto take = [&](FairBand& aBand, std::size_t aAhead) {
+  const auto refuseLate = [&](FairBand& aBand, std::size_t aAhead) {
     for (const auto& [request, wait] : aBand.TakeLate(aNow, interval, aAhead)) {
-      refusals.push_back(GiveUp(request, Reason::DeadlineTooShort, wait));
+      refusals.push_back(MakeRefusal(request, Reason::DeadlineTooShort, wait));
     }
   };
-  take(mCritical, 0);
-  take(mBatch, mCritical.Size());
+  refuseLate(mCritical, 0);
+  refuseLate(mBatch, mCritical.Size());
   return refusals;
 }
 
--- a/src/core/admission/FairQueue.h
+++ b/src/core/admission/FairQueue.h
@@ -6,31 +6,32 @@
 
 namespace foxtailbarrow {
 
-/// Decides which request gets the next free slot when there are more requests
-/// than slots: fair among customers by weight, latency-critical before batch,
-/// bounded. One object a service; not for several threads at once.
+/// Bounded queue that decides which request gets the next free slot:
+/// latency-critical before batch, and weighted fair among customers. One object
+/// per service; not thread-safe.
 ///
-/// Promises: a request that is given up is named at once, with the time at
-/// which its caller may come back: on arrival when it could not start before
-/// its deadline or its customer holds more than its part of a full queue; later
-/// when the queue turns out slower (Sweep()) or a customer below its part needs
-/// the room. No request is both refused and handed out.
+/// Guarantees: a refused request is reported at once with a Retry-After. It is
+/// refused on arrival if it could not start before its deadline or its customer
+/// exceeds its fair share of a full queue, and later if the queue drains more
+/// slowly than expected (Sweep()) or its place is needed by a latency-critical
+/// request or a customer below its fair share. No request is both refused and
+/// dequeued.
 class FairQueue
 {
 public:
   explicit FairQueue(QueueSettings aSettings);
 
-  /// Queues a request. Returns those given up: none, this one or another.
+  /// Queues a request. Returns the refused requests: none, this or another one.
   std::vector<QueueRefusal> Offer(Instant aNow, QueuedRequest aRequest);
 
-  /// A slot is free.
+  /// Dequeues the request that gets a free slot.
   QueuePop Pop(Instant aNow);
 
-  /// Gives up the requests that cannot start before their deadlines any more.
-  /// Call every few milliseconds while Size() > 0; costs O(Size()).
+  /// Refuses the requests that can no longer start before their deadlines. Call
+  /// every few milliseconds while Size() > 0; costs O(Size()).
   std::vector<QueueRefusal> Sweep(Instant aNow);
 
-  /// Until a further request of this customer would start.
+  /// Time until `aRequest` would start if it were queued now.
   Duration ExpectedWait(const QueuedRequest& aRequest) const;
 
   std::size_t Size() const { return mCritical.Size() + mBatch.Size(); }
--- a/src/core/admission/FifoQueue.cpp
+++ b/src/core/admission/FifoQueue.cpp
@@ -9,8 +9,8 @@
 {
 }
 
-QueueRefusal FifoQueue::GiveUp(const QueuedRequest& aRequest,
-                               Reason aReason) const
+QueueRefusal FifoQueue::MakeRefusal(const QueuedRequest& aRequest,
+                                    Reason aReason) const
 {
   const Duration wait =
     mRate.Interval() * static_cast<Duration::rep>(mRequests.size() + 1);
@@ -20,10 +20,10 @@
 std::vector<QueueRefusal> FifoQueue::Offer(Instant aNow, QueuedRequest aRequest)
 {
   if (aRequest.mDeadline <= aNow) {
-    return { GiveUp(aRequest, Reason::DeadlineTooShort) };
+    return { MakeRefusal(aRequest, Reason::DeadlineTooShort) };
   }
   if (mRequests.size() >= mSettings.mCapacity) {
-    return { GiveUp(aRequest, Reason::Overload) };
+    return { MakeRefusal(aRequest, Reason::Overload) };
   }
   mRequests.push_back(std::move(aRequest));
   return {};
@@ -36,7 +36,7 @@
     QueuedRequest request = std::move(mRequests.front());
     mRequests.pop_front();
     if (request.mDeadline <= aNow) {
-      pop.mRefused.push_back(GiveUp(request, Reason::DeadlineTooShort));
+      pop.mRefused.push_back(MakeRefusal(request, Reason::DeadlineTooShort));
       continue;
     }
     pop.mNext = std::move(request);
--- a/src/core/admission/FifoQueue.h
+++ b/src/core/admission/FifoQueue.h
@@ -7,9 +7,9 @@
 
 namespace foxtailbarrow {
 
-/// Baseline beside FairQueue: first come, first served, bounded; refuses an
-/// arrival when it is full and drops a request only when its turn comes after
-/// its deadline.
+/// Bounded FIFO queue, the baseline for FairQueue. Refuses new requests when it
+/// is full, and drops a queued request only when it reaches the front after its
+/// deadline.
 class FifoQueue
 {
 public:
@@ -21,7 +21,7 @@
   std::size_t Size() const { return mRequests.size(); }
 
 private:
-  QueueRefusal GiveUp(const QueuedRequest& aRequest, Reason aReason) const;
+  QueueRefusal MakeRefusal(const QueuedRequest& aRequest, Reason aReason) const;
 
   QueueSettings mSettings;
   std::deque<QueuedRequest> mRequests;
--- a/src/core/admission/QueuedRequest.h
+++ b/src/core/admission/QueuedRequest.h
@@ -10,25 +10,25 @@
 
 namespace foxtailbarrow {
 
-/// A request that waits for a slot.
+/// A request waiting for a slot.
 struct QueuedRequest
 {
-  std::uint64_t mHandle = 0; ///< The shell's own name for it.
+  std::uint64_t mHandle = 0; ///< Identifies the request to the caller.
   CustomerId mCustomer;
   double mWeight = 1; ///< Of the customer, above 0: its contract's concurrency.
   Instant mDeadline = Instant::max();
-  bool mBatch = false; ///< Waits behind every latency-critical request.
+  bool mBatch = false; ///< Served after all latency-critical requests.
   double mJitter = 0;  ///< Uniform in 0..1, for Retry-After.
 };
 
-/// A request that is given up: to be answered now.
+/// A refused request, to be answered now.
 struct QueueRefusal
 {
   std::uint64_t mHandle = 0;
   Refuse mRefuse;
 };
 
-/// What a queue hands out for a slot that became free.
+/// Result of dequeuing a request for a free slot.
 struct QueuePop
 {
   std::optional<QueuedRequest> mNext; ///< None when the queue is empty.
--- a/src/core/admission/ShareAllocation.h
+++ b/src/core/admission/ShareAllocation.h
@@ -7,8 +7,8 @@
 
 namespace foxtailbarrow {
 
-/// What an entry may count on at the moment when it decides on a request:
-/// immutable, so that request threads read one snapshot. Made by
+/// The shares of the limits that an entry may use when it decides on a request.
+/// Immutable, so that request threads read one consistent value. Made by
 /// ShareAllocator.
 struct ShareAllocation
 {
@@ -16,22 +16,22 @@
   std::int32_t mSlots = 1;
   std::optional<std::int32_t> mSlot; ///< Own share slot, 0..mSlots-1.
   Instant mStandingUntil{};
-  std::int32_t mLiveEntries =
-    0;                    ///< Entries of the roster, the own one included.
-  std::int32_t mRank = 0; ///< Own place among them by id, 0..mLiveEntries-1.
-  Instant mLeaseFrom{};   ///< The lease part counts from here
-  Instant mLeaseUntil{};  ///< until here, this instant excluded.
+  std::int32_t mLiveEntries = 0; ///< In the roster, including this one.
+  std::int32_t mRank = 0; ///< Rank of this entry by id, 0..mLiveEntries-1.
+  Instant mLeaseFrom{};   ///< Start of the lease part.
+  Instant mLeaseUntil{};  ///< End of the lease part, exclusive.
 };
 
-/// `aAmount` over `aParts`, the remainder to the first parts: the sum over all
-/// places is exactly `aAmount`. More parts and a later place never give more,
-/// which the proof in docs/design/0003-limit-shares.md rests on.
+/// Part `aIndex` of `aAmount` split into `aParts`, the remainder going to the
+/// first parts: all parts add up to exactly `aAmount`. More parts or a larger
+/// index never give more, which the proof in docs/design/0003-limit-shares.md
+/// relies on.
 std::int64_t SplitEvenly(std::int64_t aAmount,
                          std::int32_t aParts,
                          std::int32_t aIndex);
 
-/// How much of a limit that holds for the whole fleet this entry may use now.
-/// The sum over all entries never exceeds the limit. Units are the limit's.
+/// How much of a fleet-wide limit this entry may use now, in the limit's units.
+/// The sum over all entries never exceeds the limit.
 std::int64_t UsableShare(std::int64_t aLimit,
                          const ShareAllocation& aAllocation,
                          Instant aNow);
--- a/src/core/admission/ShareAllocator.cpp
+++ b/src/core/admission/ShareAllocator.cpp
@@ -60,14 +60,14 @@
     const ShareSlot& slot = aSlots[static_cast<std::size_t>(i)];
     if (Owns(slot)) {
       mAllocation.mSlot = i;
-      // Without a roster key others could not tell that the owner is alive.
+      // Without a roster key other entries cannot tell that the owner is alive.
       if (mJoined) {
         mAllocation.mStandingUntil = aStarted + mSettings.mStandingValidity;
       }
       break;
     }
-    // A slot of this entry's former incarnation goes before any free one, so
-    // that one entry never holds two.
+    // A slot of this entry's previous incarnation is preferred to a free one,
+    // so that one entry never holds two.
     const bool isOwn = slot.mOwner && slot.mOwner->mEntry == mSelf.mEntry &&
                        slot.mOwner->mIncarnation < mSelf.mIncarnation;
     if (isOwn || (!claim && IsFree(slot, aStarted))) {
@@ -94,8 +94,8 @@
                                     std::span<const ShareSlot> aSlots,
                                     std::span<const EntryId> aLive)
 {
-  // An entry that was in touch with the store between two readings stays in
-  // the roster for its lease; readings further apart than that could miss it.
+  // An entry that reached the store between two readings stays in the roster
+  // for its lease; readings further apart than that could miss it.
   if (aAnswered - mLastRead > mSettings.mValidity) {
     mOwnerAbsentSince.clear();
   }
--- a/src/core/admission/ShareAllocator.h
+++ b/src/core/admission/ShareAllocator.h
@@ -23,14 +23,14 @@
   bool operator==(const ShareOwner&) const = default;
 };
 
-/// A share slot as the store holds it. No owner: the key does not exist.
+/// A share slot as stored. Without an owner the key does not exist.
 struct ShareSlot
 {
   std::optional<ShareOwner> mOwner;
   Revision mModRevision = 0;
 };
 
-/// Write to make by compare-and-swap: take slot `mSlot` if its key is still at
+/// Compare-and-swap to perform: claim slot `mSlot` if its key is still at
 /// `mModRevision` (0 = does not exist).
 struct SlotClaim
 {
@@ -38,42 +38,42 @@
   Revision mModRevision = 0;
 };
 
-/// Decides how much of every contract's limits this entry may use, without a
-/// central counter.
+/// Computes this entry's share of every contract's limits without a central
+/// counter.
 ///
 /// Inputs: what the entry read from the store, with the time at which the call
-/// STARTED, since the answer may have waited. Outputs: a ShareAllocation to
-/// publish and the share slot to claim.
+/// started, since the answer may have been delayed. Outputs: a ShareAllocation
+/// to publish and the share slot to claim.
 ///
-/// Promises: the usable shares of all entries together never exceed a limit,
-/// with entries that join, die, freeze or are cut off, and with a store that
-/// is away, as long as clocks run within 1% of each other. A frozen entry that
-/// wakes finds its parts lapsed by its own clock.
+/// Guarantees: the usable shares of all entries together never exceed a limit,
+/// even if entries join, crash, freeze or are partitioned, or the store is
+/// unavailable, as long as clock rates differ by less than 1%. An entry that
+/// resumes after a freeze sees by its own clock that its shares have expired.
 class ShareAllocator
 {
 public:
   ShareAllocator(ShareSettings aSettings, ShareOwner aSelf);
 
-  /// The own roster key was written under a new store lease; `aConfirmed` is
-  /// when the answer arrived. Others may use the roster without it until then.
+  /// This entry's roster key was written under a new store lease; `aConfirmed`
+  /// is when the answer arrived. Until then other entries may read a roster
+  /// without it.
   void OnJoined(Instant aConfirmed);
 
-  /// The own store lease lapsed or was given up.
+  /// This entry's store lease expired or was released.
   void OnLeft();
 
-  /// A keep-alive and then a listing of the roster succeeded.
+  /// A keep-alive, followed by a listing of the roster, succeeded.
   void OnRoster(Instant aStarted, std::span<const EntryId> aLive);
 
-  /// The slots were read, in order, all mSlots of them; returns the claim to
-  /// make, if any. `aLive` is the roster of the same time. The claim takes
-  /// effect here only when a later listing shows it.
-  /// Standing parts count from `aStarted`; `aAnswered` is now.
+  /// All mSlots slots were read, in order, with the roster `aLive`. Returns the
+  /// claim to make, if any; it takes effect here only when a later listing
+  /// shows it. The standing part is valid from `aStarted`; `aAnswered` is now.
   std::optional<SlotClaim> OnSlots(Instant aStarted,
                                    Instant aAnswered,
                                    std::span<const ShareSlot> aSlots,
                                    std::span<const EntryId> aLive);
 
-  /// Before the slot is released for good: it is not used from now on.
+  /// Call before the slot is released for good: it is no longer used.
   void OnReleased();
 
   const ShareAllocation& Allocation() const { return mAllocation; }
@@ -91,8 +91,8 @@
   bool mJoined = false;
   bool mReleased = false;
   ShareAllocation mAllocation;
-  /// Owners of slots that are not in the roster, and since when without a
-  /// gap in which they could have been there.
+  /// Owners of slots that are not in the roster, and since when, without a gap
+  /// between readings in which they could have been present.
   absl::flat_hash_map<EntryId, Instant> mOwnerAbsentSince;
   Instant mLastRead{};
 };
--- a/src/core/admission/ShareSettings.h
+++ b/src/core/admission/ShareSettings.h
@@ -6,22 +6,22 @@
 
 namespace foxtailbarrow {
 
-/// Numbers that all entries of a fleet must agree on.
+/// Settings that must be the same at all entries of a fleet.
 struct ShareSettings
 {
-  /// Part of each limit that is split over the share slots, in thousandths.
+  /// Part of each limit that is split among the share slots, in thousandths.
   std::int32_t mStandingPermille = 500;
-  /// Share slots: the number of entries planned for the whole fleet.
+  /// Number of share slots: the planned number of entries of the fleet.
   std::int32_t mSlots = 3;
   /// How long a roster may be used, from the start of the renewal that read it.
-  /// Below the store lease of the roster key, clock error included.
+  /// Must be below the store lease of the roster key, including clock error.
   Duration mValidity = std::chrono::seconds(3);
-  /// On top of the validity: how much longer a new entry waits.
+  /// Added to mValidity for the time that a new entry waits.
   Duration mMargin = std::chrono::seconds(1);
-  /// How long a slot may be used without contact to the store.
+  /// How long a slot may be used without contact with the store.
   Duration mStandingValidity = std::chrono::minutes(110);
-  /// How long others leave the slot of a vanished entry alone. Above
-  /// mStandingValidity, clock error included.
+  /// How long other entries wait before they claim the slot of an absent entry.
+  /// Must be above mStandingValidity, including clock error.
   Duration mReclaimDelay = std::chrono::minutes(120);
 };
 
--- a/src/core/admission/TokenBucket.cpp
+++ b/src/core/admission/TokenBucket.cpp
@@ -9,12 +9,12 @@
 
 constexpr double kNanosPerSecond = 1e9;
 constexpr std::int64_t kNanosPerMicro = 1000;
-/// Longer intervals would overflow with a large burst; one token a day.
+/// One token per day; longer intervals would overflow with a large burst.
 constexpr double kMaxInterval = 86'400e9;
-/// 73 years: beyond it, the sum with a time would overflow.
+/// 73 years; a larger tolerance would overflow when added to a time.
 constexpr double kMaxTolerance = 0x1p61;
 
-/// Nanoseconds a token, rounded up so that the rate is never exceeded.
+/// Nanoseconds per token, rounded up so that the rate is never exceeded.
 std::int64_t IntervalOf(const BucketLimit& aLimit)
 {
   return static_cast<std::int64_t>(
--- a/tests/admission/AdmissionTest.cpp
+++ b/tests/admission/AdmissionTest.cpp
@@ -14,8 +14,8 @@
 
 constexpr Instant kStart{ seconds(1000) };
 
-/// The whole of each limit.
-ShareAllocation Everything()
+/// A share that covers every limit completely.
+ShareAllocation FullShare()
 {
   ShareAllocation basis;
   basis.mStandingPermille = 0;
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(TokenBucket, HandsOutEachTokenOnceToSeveralThreads)
+TEST(TokenBucket, GivesEachTokenToOneThread)
 {
   TokenBucket bucket;
   std::atomic<int> taken = 0;
@@ -95,17 +95,17 @@
 class Decisions : public testing::TestWithParam<DecisionCase>
 {};
 
-TEST_P(Decisions, FallAsTheContractSays)
+TEST_P(Decisions, FollowTheContract)
 {
   const DecisionCase& test = GetParam();
   CustomerAdmission admission;
   for (int i = 0; i < test.mBefore; ++i) {
     admission.Decide(
-      test.mContract, Everything(), { .mNow = test.mRequest.mNow });
+      test.mContract, FullShare(), { .mNow = test.mRequest.mNow });
   }
   const std::int64_t before = admission.InProgress();
   const auto decision =
-    admission.Decide(test.mContract, Everything(), test.mRequest);
+    admission.Decide(test.mContract, FullShare(), test.mRequest);
   if (test.mReason == Reason::None) {
     EXPECT_TRUE(std::holds_alternative<Admit>(decision));
     EXPECT_EQ(admission.InProgress(), before + 1);
@@ -171,7 +171,7 @@
                                 Reason::DeadlineTooShort,
                                 milliseconds(60) }));
 
-TEST(ConcurrencyGate, LearnsHowFastRequestsEnd)
+TEST(ConcurrencyGate, EstimatesTheCompletionInterval)
 {
   ConcurrencyGate gate;
   Instant now = kStart;
--- a/tests/admission/FairQueueTest.cpp
+++ b/tests/admission/FairQueueTest.cpp
@@ -67,16 +67,16 @@
       }
       RC_ASSERT(queue.Size() <= 8u);
     }
-    std::size_t open = 0;
+    std::size_t unanswered = 0;
     for (const auto& [name, times] : answers) {
       RC_ASSERT(times <= 1);
-      open += times == 0 ? 1 : 0;
+      unanswered += times == 0 ? 1 : 0;
     }
-    RC_ASSERT(open == queue.Size());
+    RC_ASSERT(unanswered == queue.Size());
   }));
 }
 
-TEST(FairQueue, ServesCustomersByWeightWhateverTheyOffer)
+TEST(FairQueue, ServesCustomersByWeightWhateverTheirLoad)
 {
   FairQueue queue({ 2000 });
   for (std::uint64_t i = 0; i < 1000; ++i) {
@@ -106,7 +106,7 @@
   EXPECT_EQ(queue.Pop(kStart).mNext->mHandle, 1u);
 }
 
-TEST(FairQueue, MakesRoomAtTheCostOfTheFlood)
+TEST(FairQueue, EvictsFromTheCustomerOverItsShare)
 {
   FairQueue queue({ 4 });
   for (std::uint64_t i = 1; i <= 4; ++i) {
@@ -118,21 +118,21 @@
   EXPECT_EQ(queue.Offer(kStart, Request(6, "flood")).at(0).mHandle, 6u);
 }
 
-TEST(FairQueue, RefusesAtOnceWhatCannotStartInTime)
+TEST(FairQueue, RefusesOnArrivalWhatCannotStartInTime)
 {
   FairQueue queue({ 1000 });
   for (std::uint64_t i = 1; i <= 100; ++i) {
     queue.Offer(kStart, Request(i, "a"));
   }
-  QueuedRequest hurried = Request(101, "a");
-  hurried.mDeadline = kStart + milliseconds(50);
-  const auto refused = queue.Offer(kStart, hurried);
+  QueuedRequest urgent = Request(101, "a");
+  urgent.mDeadline = kStart + milliseconds(50);
+  const auto refused = queue.Offer(kStart, urgent);
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_EQ(refused[0].mRefuse.mReason, Reason::DeadlineTooShort);
   EXPECT_EQ(refused[0].mRefuse.mRetryAfter, milliseconds(101));
 }
 
-TEST(FairQueue, SweepsRequestsThatASlowerDrainLeavesHopeless)
+TEST(FairQueue, SweepsRequestsThatBecomeLate)
 {
   FairQueue queue({ 1000 });
   for (std::uint64_t i = 1; i <= 500; ++i) {
@@ -143,7 +143,7 @@
   EXPECT_TRUE(queue.Sweep(kStart).empty());
   Instant now = kStart;
   for (int i = 0; i < 40; ++i) {
-    now += milliseconds(10); // ten times slower than assumed
+    now += milliseconds(10); // ten times slower than the default interval
     queue.Pop(now);
   }
   const std::size_t before = queue.Size();
--- a/tests/admission/LimitShareTest.cpp
+++ b/tests/admission/LimitShareTest.cpp
@@ -21,7 +21,7 @@
   RC_ASSERT(model.RunWithin(kLimits, kSteps));
 }
 
-/// A setting that breaks the rule; the model has to notice.
+/// A setting that violates the invariant; the model must detect it.
 struct Mutation
 {
   const char* mName;
@@ -36,15 +36,15 @@
 class LimitShareMutations : public testing::TestWithParam<Mutation>
 {};
 
-TEST_P(LimitShareMutations, AreNoticed)
+TEST_P(LimitShareMutations, AreDetected)
 {
   ModelSettings settings;
   GetParam().mApply(settings);
-  bool isNoticed = false;
-  for (std::uint64_t seed = 1; seed <= 300 && !isNoticed; ++seed) {
-    isNoticed = !ShareModel(settings, seed).RunWithin(kLimits, kSteps);
+  bool isDetected = false;
+  for (std::uint64_t seed = 1; seed <= 300 && !isDetected; ++seed) {
+    isDetected = !ShareModel(settings, seed).RunWithin(kLimits, kSteps);
   }
-  EXPECT_TRUE(isNoticed);
+  EXPECT_TRUE(isDetected);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -60,34 +60,34 @@
                s.mShares.mReclaimDelay = seconds(5);
              } }));
 
-TEST(LimitShare, IsUsedWholeWhenAllIsWell)
+TEST(LimitShare, CanBeUsedCompletely)
 {
-  std::int64_t best = 0;
+  std::int64_t maxUse = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ShareModel model({}, seed);
     model.RunWithin({ 1000 }, kSteps);
-    best = std::max(best, model.BestUse());
+    maxUse = std::max(maxUse, model.MaxUse());
   }
-  EXPECT_EQ(best, 1000);
+  EXPECT_EQ(maxUse, 1000);
 }
 
-RC_GTEST_PROP(SplitEvenly, SumsToTheAmountAndNeverGrowsWithPartsOrPlace, ())
+RC_GTEST_PROP(SplitEvenly, SumsToTheAmountAndNeverGrowsWithPartsOrIndex, ())
 {
   const auto amount = *rc::gen::inRange<std::int64_t>(0, 10'000);
   const auto parts = *rc::gen::inRange<std::int32_t>(1, 50);
-  const auto place = *rc::gen::inRange<std::int32_t>(0, parts);
+  const auto index = *rc::gen::inRange<std::int32_t>(0, parts);
   std::int64_t sum = 0;
   for (std::int32_t i = 0; i < parts; ++i) {
     sum += SplitEvenly(amount, parts, i);
   }
   RC_ASSERT(sum == amount);
   const auto more = *rc::gen::inRange<std::int32_t>(0, 50);
-  const auto later = *rc::gen::inRange<std::int32_t>(0, more + 1);
-  RC_ASSERT(SplitEvenly(amount, parts + more, place + later) <=
-            SplitEvenly(amount, parts, place));
+  const auto laterIndex = *rc::gen::inRange<std::int32_t>(0, more + 1);
+  RC_ASSERT(SplitEvenly(amount, parts + more, index + laterIndex) <=
+            SplitEvenly(amount, parts, index));
 }
 
-/// One entry alone, by hand.
+/// A single entry with scripted readings of the store.
 class SingleAllocator : public testing::Test
 {
 protected:
@@ -127,11 +127,11 @@
 TEST_F(SingleAllocator, FallsBackToTheStandingPartInAnOutage)
 {
   Renew(3);
-  EXPECT_EQ(Share(3), 15); // has not waited out the older rosters yet
+  EXPECT_EQ(Share(3), 15); // older rosters may still be in use
   Renew(5);
   EXPECT_EQ(Share(5), 60);
   EXPECT_EQ(Share(7), 60);
-  EXPECT_EQ(Share(8), 15); // an outage since second 5
+  EXPECT_EQ(Share(8), 15); // no renewal since second 5
   EXPECT_EQ(Share(3600), 15);
   EXPECT_EQ(Share(5 + 110 * 60), 0);
 }
@@ -146,7 +146,7 @@
   EXPECT_EQ(claim->mModRevision, 9);
 }
 
-TEST_F(SingleAllocator, TakesAVanishedEntrysSlotOnlyAfterTheHold)
+TEST_F(SingleAllocator, ClaimsAnAbsentEntrysSlotOnlyAfterTheReclaimDelay)
 {
   mSlots[1].mOwner = ShareOwner{ EntryId("y"), 1 };
   mSlots[2].mOwner = ShareOwner{ EntryId("x"), 1 };
@@ -156,7 +156,7 @@
   EXPECT_TRUE(ClaimAt(7200));
 }
 
-TEST_F(SingleAllocator, StartsTheHoldAnewAfterAGapInWhichTheOwnerCouldBeBack)
+TEST_F(SingleAllocator, RestartsTheReclaimDelayAfterAGapBetweenReadings)
 {
   mSlots[1].mOwner = ShareOwner{ EntryId("y"), 1 };
   mSlots[2].mOwner = ShareOwner{ EntryId("x"), 1 };
@@ -164,7 +164,7 @@
   EXPECT_FALSE(ClaimAt(7200));
 }
 
-TEST(ShareOwner, SurvivesTheStore)
+TEST(ShareOwner, RoundTripsThroughJson)
 {
   const ShareOwner owner{ EntryId("entry-1"), 1'700'000'000'000'000 };
   EXPECT_EQ(*FromJsonText<ShareOwner>(ToJsonText(owner)), owner);
--- a/tests/admission/ShareModel.h
+++ b/tests/admission/ShareModel.h
@@ -11,12 +11,13 @@
 
 namespace foxtailbarrow {
 
-/// Numbers of the model that a mutation may spoil.
+/// Settings of the model, which a mutation may change.
 struct ModelSettings
 {
   ModelSettings()
   {
-    // Shorter than in the product, so that schedules reach the end of a hold.
+    // Shorter than the defaults, so that runs reach the end of the reclaim
+    // delay.
     mShares.mStandingValidity = std::chrono::seconds(36);
     mShares.mReclaimDelay = std::chrono::seconds(40);
   }
@@ -25,9 +26,9 @@
   Duration mStoreLease = std::chrono::seconds(4);
 };
 
-/// Entries, each with a clock of its own that is up to 1% wrong, and a store,
-/// in virtual time under a random schedule: joins, deaths, freezes, cut-offs,
-/// outages, slow and lost answers, releases. Names the worst use of a limit.
+/// Simulates entries, each with a clock that runs up to 1% fast or slow, and a
+/// store, in virtual time under a random schedule of joins, crashes, freezes,
+/// partitions, store outages, delayed and lost answers, and releases.
 class ShareModel
 {
 public:
@@ -45,7 +46,7 @@
       Step();
       for (const std::int64_t limit : aLimits) {
         const std::int64_t used = Used(limit);
-        mBestUse = std::max(mBestUse, limit == 1000 ? used : 0);
+        mMaxUse = std::max(mMaxUse, limit == 1000 ? used : 0);
         if (used > limit) {
           return false;
         }
@@ -54,8 +55,8 @@
     return true;
   }
 
-  /// Most of the limit 1000 that was usable at any time.
-  std::int64_t BestUse() const { return mBestUse; }
+  /// Largest share of the limit 1000 that was usable at any time.
+  std::int64_t MaxUse() const { return mMaxUse; }
 
 private:
   enum class Call
@@ -78,10 +79,10 @@
     ShareAllocator mAllocator;
     double mRate = 1;
     bool mFrozen = false;
-    bool mCutOff = false;
+    bool mPartitioned = false;
     bool mJoined = false;
     Call mCall = Call::None;
-    bool mHandled = false; ///< The store has acted; the answer is on its way.
+    bool mHandled = false; ///< Executed by the store; the answer is pending.
     bool mSucceeded = false;
     Instant mStarted{};
     std::vector<EntryId> mLive;
@@ -102,7 +103,7 @@
 
   Instant Local(const Entry& aEntry) const
   {
-    // Every clock reads differently; differences are all that counts.
+    // Clocks run at different rates; only differences of readings matter.
     const auto ticks = static_cast<double>(mNow.count()) * aEntry.mRate;
     return Instant(Duration(static_cast<Duration::rep>(ticks)));
   }
@@ -134,22 +135,22 @@
   {
     const EntryId id("e" + std::to_string(Draw(5)));
     const auto found = mEntries.find(id);
-    const int what = Draw(200);
-    if (what < 12 && found == mEntries.end()) {
+    const int event = Draw(200);
+    if (event < 12 && found == mEntries.end()) {
       Start(id);
-    } else if (what < 14) {
+    } else if (event < 14) {
       mOutage = !mOutage;
-    } else if (what == 14) {
+    } else if (event == 14) {
       mNow += std::chrono::seconds(Draw(60));
     } else if (found == mEntries.end()) {
       return;
-    } else if (what < 17) {
+    } else if (event < 17) {
       mEntries.erase(found);
-    } else if (what < 22) {
+    } else if (event < 22) {
       found->second->mFrozen = !found->second->mFrozen;
-    } else if (what < 26) {
-      found->second->mCutOff = !found->second->mCutOff;
-    } else if (what < 28) {
+    } else if (event < 26) {
+      found->second->mPartitioned = !found->second->mPartitioned;
+    } else if (event < 28) {
       Release(*found->second);
       mEntries.erase(found);
     }
@@ -190,7 +191,7 @@
 
   void TryHandle(Entry& aEntry)
   {
-    if (aEntry.mCutOff || mOutage) {
+    if (aEntry.mPartitioned || mOutage) {
       aEntry.mCall = Call::None;
       return;
     }
@@ -272,7 +273,7 @@
   std::map<EntryId, std::unique_ptr<Entry>> mEntries;
   std::map<EntryId, RosterKey> mRoster;
   std::vector<ShareSlot> mSlots;
-  std::int64_t mBestUse = 0;
+  std::int64_t mMaxUse = 0;
 };
 
 } // namespace foxtailbarrow
