--- a/src/core/routing/AgentHealth.h
+++ b/src/core/routing/AgentHealth.h
@@ -11,11 +11,11 @@
 enum class HealthState : std::uint8_t
 {
   Admitted,
-  Ejected, ///< Gets nothing until its time is over, then single probes.
+  Ejected, ///< Gets nothing until the ejection ends, then single probes.
 };
 
-/// What one entry saw of the answers of one agent incarnation. The counts are
-/// written by every request; the state is changed by OutlierDetector alone.
+/// Health of one agent incarnation as observed by one entry. The counts are
+/// updated by every request, the state only by OutlierDetector.
 struct AgentHealth
 {
   // Counts.
@@ -28,13 +28,15 @@
   std::atomic<HealthState> mState{ HealthState::Admitted };
   std::atomic<Instant> mEjectedUntil{ Instant{} };
   std::atomic<Instant> mReadmittedAt{ Instant::min() };
-  std::atomic<Duration> mEjectionTime{ Duration{} }; ///< Of the latest.
-  std::atomic<Reason> mReason{ Reason::None };       ///< Of the latest.
+  /// Length of the latest ejection.
+  std::atomic<Duration> mEjectionTime{ Duration{} };
+  /// Reason of the latest ejection.
+  std::atomic<Reason> mReason{ Reason::None };
   /// Until then a probe may be in flight and no other is sent.
   std::atomic<Instant> mProbeUntil{ Instant::min() };
   std::atomic<std::uint32_t> mProbeSuccesses{ 0 };
 
-  // Touched by OutlierDetector::Evaluate() alone.
+  // Used only by OutlierDetector::Evaluate().
   std::uint32_t mSlowWindows = 0; ///< In a row.
   Duration mMeanLatency{};        ///< Of the latest window; 0 = none yet.
 };
--- a/src/core/routing/AgentRoutingState.h
+++ b/src/core/routing/AgentRoutingState.h
@@ -5,8 +5,8 @@
 
 namespace foxtailbarrow {
 
-/// The changing part of what an entry knows of one agent incarnation. Shared by
-/// all routing tables that list it, so a new table loses nothing.
+/// Mutable state that an entry keeps about one agent incarnation. Shared by all
+/// routing tables that list it, so that it survives a change of table.
 struct AgentRoutingState
 {
   LoadEstimator mLoad;
--- a/src/core/routing/Candidate.h
+++ b/src/core/routing/Candidate.h
@@ -4,17 +4,17 @@
 
 namespace foxtailbarrow {
 
-/// A backend server that may be taken. No agent: none may.
+/// A backend server that can be picked; empty when there is none.
 struct Candidate
 {
   const RoutableAgent* mAgent = nullptr;
-  double mLoad = 0.0; ///< Requests per slot with this one, in slow start more.
+  double mLoad = 0.0; ///< Requests per slot including this one.
   bool mIsProbe = false;
 
   explicit operator bool() const { return mAgent != nullptr; }
 };
 
-/// The less loaded one; the left one when equal.
+/// The less loaded candidate; `aLeft` when equal.
 inline Candidate Better(const Candidate& aLeft, const Candidate& aRight)
 {
   if (!aLeft || !aRight) {
--- a/src/core/routing/CandidateCheck.cpp
+++ b/src/core/routing/CandidateCheck.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// A probe is due when the ejection is over and no other probe runs. Requests
-/// that are not idempotent wait for twice the time, so that where there are
-/// others, those do the probing.
+/// A probe is due when the ejection is over and no other probe is in flight.
+/// Requests that are not idempotent wait twice as long, so that idempotent
+/// ones, if there are any, do the probing.
 bool IsProbeDue(const AgentHealth& aHealth, bool aIdempotent, Instant aNow)
 {
   const Instant until = aHealth.mEjectedUntil.load(std::memory_order_relaxed);
--- a/src/core/routing/CandidateCheck.h
+++ b/src/core/routing/CandidateCheck.h
@@ -6,9 +6,8 @@
 
 namespace foxtailbarrow {
 
-/// Decides whether one backend server may take a request now, and how loaded it
-/// is. Not taken: one that is excluded, full, or ejected, unless its probe is
-/// due.
+/// Checks whether a backend server can take a request now, and computes its
+/// load. One that is excluded, full, or ejected without a probe due cannot.
 class CandidateCheck
 {
 public:
@@ -17,12 +16,12 @@
   {
   }
 
-  /// An empty candidate when it may not be taken.
+  /// Returns an empty candidate when it cannot take the request.
   Candidate Examine(const PickContext& aContext,
                     const RoutableAgent& aAgent) const;
 
-  /// To be called for the candidate that was chosen; false when it is a probe
-  /// and another thread sends one already.
+  /// Call for the picked candidate. Returns false when it is a probe and
+  /// another thread already sends one.
   bool Claim(const Candidate& aCandidate, Instant aNow) const;
 
   const RouterSettings& Settings() const { return mSettings; }
--- a/src/core/routing/Choice.h
+++ b/src/core/routing/Choice.h
@@ -11,35 +11,35 @@
 
 namespace foxtailbarrow {
 
-/// An agent to ask by `agent.revoke` whether a request ran there.
+/// An agent that must promise by `agent.revoke` not to run the request.
 struct RevokeTarget
 {
   RoutableAgentPointer mAgent;
 
-  /// Where it answers that it promised before, the request may have run at an
+  /// If it answers that it had promised before, the request may have run on an
   /// agent that is not asked: refuse with Reason::KeyHolderLost.
   bool mMustBeFirstPromise = false;
 };
 
 struct Picked
 {
-  RoutableAgentPointer mAgent; ///< Keeps its whole routing table alive.
+  RoutableAgentPointer mAgent; ///< Keeps its routing table alive.
 
-  /// The request may go to mAgent only when each of these answered NotRun.
-  /// Empty but for keyed requests when agents change or are busy.
+  /// The request may be sent to mAgent only after each of these answered
+  /// NotRun. Used only for keyed requests while agents change or are busy.
   std::vector<RevokeTarget> mRevokeFirst;
 
-  /// The one request that tries an ejected agent again.
+  /// True for the single request that probes an ejected agent.
   bool mIsProbe = false;
 };
 
-/// Nothing to send the request to: it is answered now.
+/// No agent can take the request: answer it now.
 struct NoChoice
 {
   Reason mReason = Reason::NoBackendServer;
-  Verdict mVerdict = Verdict::NotRun; ///< Earlier attempts not counted.
+  Verdict mVerdict = Verdict::NotRun; ///< Without earlier attempts.
 
-  /// When a new attempt makes sense; none when the caller must find out first
+  /// Delay before a new attempt; none when the caller must first find out
   /// whether its request ran.
   std::optional<Duration> mRetryAfter;
 };
--- a/src/core/routing/CopyLimit.cpp
+++ b/src/core/routing/CopyLimit.cpp
@@ -11,7 +11,7 @@
 
 using Agents = std::vector<RoutableAgentPointer>;
 
-/// The first by id, in the order that a service table keeps.
+/// The first `aCount` agents by id, in the order of a service table.
 Agents FirstById(Agents aAgents, std::size_t aCount)
 {
   std::ranges::sort(aAgents, {}, [](const RoutableAgentPointer& aAgent) {
@@ -31,7 +31,8 @@
   Agents serving = FirstById(aService.mServing, aCopies);
   Agents suspect =
     FirstById(aService.mSuspect, aCopies - std::min(aCopies, serving.size()));
-  // Agents keep the health of their whole service; this one is not judged.
+  // Agents keep the health of their full service; that of this one is not
+  // evaluated.
   return BuildServiceTable(aName,
                            std::move(serving),
                            std::move(suspect),
@@ -43,7 +44,7 @@
 
 ServiceId LimitedService(const ServiceId& aService, const CustomerId& aCustomer)
 {
-  // '#' is in no id, so that the name is that of no other service.
+  // Ids do not contain '#', so no other service has this name.
   return ServiceId(aService.Value() + "#" + aCustomer.Value());
 }
 
--- a/src/core/routing/CopyLimit.h
+++ b/src/core/routing/CopyLimit.h
@@ -7,8 +7,8 @@
 #include "foxtailbarrow/Id.h"
 #include "src/core/routing/RoutingTable.h"
 
-/// Decides which copies of a backend server a customer's requests may use, when
-/// more serve than its contract pays for.
+/// Restricts a customer's requests to some of the copies of a backend server
+/// when more are serving than its contract allows.
 namespace foxtailbarrow {
 
 /// How many copies of a service one customer may use.
@@ -19,16 +19,16 @@
   std::int32_t mMaxCopies = 0;
 };
 
-/// Name under which a customer's part of a service stands in a limited table.
+/// Id of the service in a limited table that holds only the copies that the
+/// customer may use.
 ServiceId LimitedService(const ServiceId& aService,
                          const CustomerId& aCustomer);
 
-/// The table with, for each customer whose allowance is below the number of
-/// routable copies, a further service of LimitedService() that holds only the
-/// allowed ones: those with the least ids, so that every entry with the same
-/// table chooses the same. Entries whose tables differ for a moment may use
-/// different copies in that moment. Returns `aTable` itself when nothing is
-/// limited.
+/// Returns the table with an additional service, LimitedService(), for each
+/// customer whose allowance is below the number of routable copies. It holds
+/// the allowed copies with the smallest ids, so that entries with equal tables
+/// choose the same ones. While tables differ, entries may use different copies.
+/// Returns `aTable` itself when nothing is limited.
 std::shared_ptr<const RoutingTable> LimitCopies(
   std::shared_ptr<const RoutingTable> aTable,
   std::span<const CopyAllowance> aAllowances);
--- a/src/core/routing/EjectionEvent.h
+++ b/src/core/routing/EjectionEvent.h
@@ -6,7 +6,7 @@
 
 namespace foxtailbarrow {
 
-/// A change made by OutlierDetector, worth a line in the log.
+/// An ejection or readmission by OutlierDetector, to be logged.
 struct EjectionEvent
 {
   AgentId mAgent;
--- a/src/core/routing/KeyedPick.cpp
+++ b/src/core/routing/KeyedPick.cpp
@@ -25,43 +25,45 @@
   const PickRequest& request = aContext.mRequest;
   const std::uint64_t key = HashOf(request);
   const Instant windowStart = aContext.mNow - mSettings.mWindow;
-  KeyedChoice place;
-  // Since then, the candidate or one after it was there to take the key.
-  Instant heldSince = Instant::max();
+  KeyedChoice choice;
+  // Since then the candidate, or an agent after it, could have taken the key.
+  Instant takeableSince = Instant::max();
   std::optional<Member> member;
-  while (heldSince > windowStart) {
+  while (takeableSince > windowStart) {
     member = Next(aContext, key, member);
     if (!member.has_value()) {
       break;
     }
     const RoutableAgent& agent = *member->mAgent;
     const bool isServing = member->mState == MemberState::Serving;
-    const bool isNewcomer =
+    const bool isNew =
       isServing && agent.mKnownSince > aContext.mNow - mSettings.mJoinDelay;
-    const bool cameLater = place.mCandidate && agent.mKnownSince >= heldSince;
-    if (cameLater || (isNewcomer && !request.mKeyRevoked)) {
+    const bool joinedLater =
+      choice.mCandidate && agent.mKnownSince >= takeableSince;
+    if (joinedLater || (isNew && !request.mKeyRevoked)) {
       continue;
     }
-    if (isNewcomer || member->mState == MemberState::Lost) {
+    if (isNew || member->mState == MemberState::Lost) {
       return { {}, {}, true };
     }
-    if (!place.mCandidate && isServing) {
-      place.mCandidate = mCheck.Examine(aContext, agent);
+    if (!choice.mCandidate && isServing) {
+      choice.mCandidate = mCheck.Examine(aContext, agent);
     }
-    if (place.mCandidate.mAgent != &agent) {
-      place.mRevokeFirst.push_back({ &agent, bool(place.mCandidate) });
+    if (choice.mCandidate.mAgent != &agent) {
+      choice.mRevokeFirst.push_back({ &agent, bool(choice.mCandidate) });
     }
-    if (place.mCandidate && isServing) {
-      heldSince = agent.mKnownSince;
+    if (choice.mCandidate && isServing) {
+      takeableSince = agent.mKnownSince;
     }
-    const std::size_t most = place.mCandidate ? mSettings.mMaxRevokesBefore +
-                                                  mSettings.mMaxRevokesAfter
-                                              : mSettings.mMaxRevokesBefore;
-    if (place.mRevokeFirst.size() > most) {
+    const std::size_t maxTargets =
+      choice.mCandidate
+        ? mSettings.mMaxRevokesBefore + mSettings.mMaxRevokesAfter
+        : mSettings.mMaxRevokesBefore;
+    if (choice.mRevokeFirst.size() > maxTargets) {
       return {};
     }
   }
-  return place;
+  return choice;
 }
 
 std::optional<KeyedPick::Member> KeyedPick::Next(
--- a/src/core/routing/KeyedPick.h
+++ b/src/core/routing/KeyedPick.h
@@ -11,14 +11,14 @@
 
 namespace foxtailbarrow {
 
-/// An agent that must promise first; see RevokeTarget.
+/// An agent that must promise not to run the key; see RevokeTarget.
 struct KeyedRevokeTarget
 {
   const RoutableAgent* mAgent = nullptr;
   bool mMustBeFirstPromise = false;
 };
 
-/// Where a keyed request may run.
+/// Where a keyed request can run.
 struct KeyedChoice
 {
   Candidate mCandidate; ///< Empty: none can take it now.
@@ -26,30 +26,31 @@
   bool mKeyHolderLost = false;
 };
 
-/// Decides which agent gets a request that has an idempotency key and is not
-/// idempotent, such that the caller's own second attempt, at whichever entry,
-/// meets the agent that knows the first.
+/// Picks the agent for a request that has an idempotency key and is not
+/// idempotent, such that the caller's retry, at any entry, reaches the agent
+/// that knows the first attempt.
 ///
-/// Every agent has a score for the key (rendezvous hash); by falling score they
-/// form the key's order, which is the same at every entry. Rule: a key may run
-/// on an agent only when every agent before it in the order, and every other
-/// that was in its place within the window, has promised never to run it
-/// (`agent.revoke` answered NotRun). An agent that is gone cannot promise: its
-/// keys are refused until the window is over.
+/// Every agent has a score for the key (rendezvous hashing). Sorted by falling
+/// score, the agents form the key's order, which is the same at every entry.
+/// Rule: a key may run on an agent only when every agent before it in the
+/// order, and every other one that was in its place within the window, has
+/// promised never to run it (`agent.revoke` answered NotRun). A lost agent
+/// cannot promise: its keys are refused until the window is over.
 ///
-/// The entry keeps no state for it; agents keep the keys, bounded. The cost of
-/// a choice is a pass over the service's scores.
+/// The entry keeps no state for this; agents keep a bounded number of keys. A
+/// pick costs a pass over the service's scores.
 ///
-/// A newcomer takes keys only once every entry knows it, since an entry that
-/// does not cannot ask it. A second attempt that meets a promise goes on in the
-/// order to the agent that the first went to; where that may be a newcomer, or
-/// an agent past one that passed the key on, it is refused instead.
+/// A new agent takes keys only once every entry knows it, since an entry that
+/// does not know it cannot ask it. A retry that is refused because of a promise
+/// continues in the order to the agent that got the first attempt. Where that
+/// may be a new agent, or an agent after one that revoked the key earlier, it
+/// is refused instead.
 ///
-/// Survives: agents that start, drain, restart or die, and entries whose tables
-/// differ by less than half the join delay. Does not survive: an agent that one
-/// entry reaches and another has not heard for longer than the time until Gone
-/// plus the window; an entry, or a service, that starts within the window of a
-/// change.
+/// Tolerates agents that start, drain, restart or crash, and entries whose
+/// tables differ by less than half the join delay. Does not tolerate an agent
+/// that one entry reaches and from which another has received nothing for
+/// longer than the time until Gone plus the window, nor an entry or a service
+/// that starts within the window of a change.
 class KeyedPick
 {
 public:
@@ -72,14 +73,14 @@
   enum class MemberState : std::uint8_t
   {
     Serving,
-    Reachable, ///< Suspect or draining: can be asked, gets nothing new.
+    Reachable, ///< Suspect or draining: can be asked, takes no new keys.
     Lost,
   };
 
   struct Member
   {
     std::uint64_t mScore = 0;
-    std::size_t mIndex = 0; ///< Orders equal scores.
+    std::size_t mIndex = 0; ///< Tie-breaker for equal scores.
     const RoutableAgent* mAgent = nullptr;
     MemberState mState = MemberState::Serving;
 
--- a/src/core/routing/KeyedSettings.h
+++ b/src/core/routing/KeyedSettings.h
@@ -9,23 +9,23 @@
 /// Settings of requests with an idempotency key that are not idempotent.
 struct KeyedSettings
 {
-  /// How long after an attempt a second one under its key is recognised when
-  /// agents came or went meanwhile. While none does, it is recognised for as
-  /// long as the agent remembers keys. At most that time.
+  /// How long a retry under the same key is recognised if agents joined or left
+  /// after the first attempt. Otherwise it is recognised for as long as agents
+  /// remember keys, which this must not exceed.
   Duration mWindow = std::chrono::seconds(30);
 
-  /// A newcomer takes keys only when it was known for this long: at least twice
-  /// the time in which all entries hear of it.
+  /// A new agent takes keys only after it was known for this long: at least
+  /// twice the time until all entries know it.
   Duration mJoinDelay = std::chrono::seconds(5);
 
-  /// Agents before the one that takes the key that are asked for one request:
+  /// Maximum number of agents before the picked one that are asked per request:
   /// full, ejected, draining or suspect ones. Beyond it the request is refused,
   /// so that an overload does not multiply messages.
   std::size_t mMaxRevokesBefore = 3;
 
-  /// Agents after it that are asked, since they may have held its place within
-  /// the window. In a fleet whose n agents all started within it, ln(n) on
-  /// average.
+  /// Maximum number of agents after it that are asked, since they may have been
+  /// in its place within the window: ln(n) on average in a fleet whose n agents
+  /// all started within it.
   std::size_t mMaxRevokesAfter = 24;
 };
 
--- a/src/core/routing/LeastLoadedPick.h
+++ b/src/core/routing/LeastLoadedPick.h
@@ -11,10 +11,11 @@
 
 namespace foxtailbarrow {
 
-/// The policy: of two random backend servers of the entry's own failure domain
-/// the less loaded one, unless one drawn from all is less loaded by a margin.
-/// Where a few draws find none that may be taken, a bounded scan decides. An
-/// ejected one whose time is over gets one request at a time as a probe.
+/// Power of two choices: picks the less loaded of two random backend servers of
+/// the entry's own failure domain, unless one drawn from all domains is less
+/// loaded by a margin. Falls back to a bounded scan when a few draws find none
+/// that can take the request. A server whose ejection is over gets one request
+/// at a time as a probe.
 class LeastLoadedPick
 {
 public:
--- a/src/core/routing/LoadEstimator.h
+++ b/src/core/routing/LoadEstimator.h
@@ -8,21 +8,21 @@
 
 namespace foxtailbarrow {
 
-/// Requests believed to be at one backend server.
+/// Estimated number of requests at one backend server.
 struct LoadEstimate
 {
-  double mRequests = 0.0; ///< In slots and waiting.
+  double mRequests = 0.0; ///< In slots or waiting.
   double mSlots = 1.0;    ///< At least 1.
 };
 
-/// What one entry knows of the load of one agent incarnation: its own requests
-/// in flight, exact, and the agent's latest report, late. All methods are
-/// callable from any thread at any time; none blocks.
+/// Estimates the load of one agent incarnation from this entry's own requests
+/// in flight, which are exact, and the agent's latest report, which is delayed.
+/// Thread-safe and lock-free.
 ///
-/// A report covers this entry's requests and those of other entries. The part
-/// beyond this entry's own at the time of the report is taken as the others'
-/// and fades linearly to nothing over the fade time, since an old report says
-/// nothing of what is there now.
+/// A report covers the requests of all entries. What exceeds this entry's own
+/// at the time of the report is attributed to other entries and decays linearly
+/// to zero over the decay time, since an old report does not describe the
+/// current load.
 class LoadEstimator
 {
 public:
@@ -35,14 +35,14 @@
     return mInFlight.load(std::memory_order_relaxed);
   }
 
-  void Report(const LoadSnapshot& aFigures, Instant aNow);
+  void Report(const LoadSnapshot& aLoad, Instant aNow);
 
-  LoadEstimate Estimate(Instant aNow, Duration aFade) const;
+  LoadEstimate Estimate(Instant aNow, Duration aDecay) const;
 
 private:
   std::atomic<std::int32_t> mInFlight{ 0 };
-  /// Others' requests, slots and time in milliseconds in one word, so that a
-  /// reader never mixes two reports.
+  /// Other entries' requests, slots, and time in milliseconds, packed in one
+  /// word so that a reader never mixes two reports.
   std::atomic<std::uint64_t> mReport{ std::uint64_t{ 1 } << 32 };
 };
 
--- a/src/core/routing/LoadSnapshot.cpp
+++ b/src/core/routing/LoadSnapshot.cpp
@@ -11,11 +11,10 @@
   return { aReport.mSlotsInUse, aReport.mSlots, aReport.mWaiting };
 }
 
-std::string ToString(const LoadSnapshot& aFigures)
+std::string ToString(const LoadSnapshot& aLoad)
 {
-  return std::to_string(aFigures.mSlotsInUse) + '/' +
-         std::to_string(aFigures.mSlots) + '/' +
-         std::to_string(aFigures.mWaiting);
+  return std::to_string(aLoad.mSlotsInUse) + '/' +
+         std::to_string(aLoad.mSlots) + '/' + std::to_string(aLoad.mWaiting);
 }
 
 std::optional<LoadSnapshot> ParseLoadSnapshot(std::string_view aText)
--- a/src/core/routing/LoadSnapshot.h
+++ b/src/core/routing/LoadSnapshot.h
@@ -9,8 +9,8 @@
 
 namespace foxtailbarrow {
 
-/// How busy a backend server is, as its agent saw it when it sent this. Source:
-/// heartbeats and the header `Foxtailbarrow-Load` of answers.
+/// Load of a backend server as reported by its agent in heartbeats and in the
+/// response header `Foxtailbarrow-Load`.
 struct LoadSnapshot
 {
   std::int32_t mSlotsInUse = 0;
@@ -22,10 +22,10 @@
 
 LoadSnapshot ToLoadSnapshot(const LoadReport& aReport);
 
-/// Text of the header `Foxtailbarrow-Load`: "slotsInUse/slots/waiting".
-std::string ToString(const LoadSnapshot& aFigures);
+/// Value of the header `Foxtailbarrow-Load`: "slotsInUse/slots/waiting".
+std::string ToString(const LoadSnapshot& aLoad);
 
-/// Reverse of ToString(); nullopt for any other text or a negative number.
+/// Inverse of ToString(); nullopt for any other text or a negative number.
 std::optional<LoadSnapshot> ParseLoadSnapshot(std::string_view aText);
 
 } // namespace foxtailbarrow
--- a/src/core/routing/Outcome.h
+++ b/src/core/routing/Outcome.h
@@ -4,11 +4,11 @@
 
 namespace foxtailbarrow {
 
-/// How a request sent to an agent ended, as far as it tells about the agent.
+/// How a request sent to an agent ended, with regard to the agent's health.
 enum class Outcome : std::uint8_t
 {
-  Success, ///< A whole answer of the backend server, other than 5xx.
-  Failure, ///< No connection, timeout, cut answer, or a 5xx.
+  Success, ///< A complete response of the backend server, other than 5xx.
+  Failure, ///< No connection, timeout, truncated response, or a 5xx.
   Neutral, ///< Refused for load or limits, or abandoned by the caller.
 };
 
--- a/src/core/routing/OutlierDetector.cpp
+++ b/src/core/routing/OutlierDetector.cpp
@@ -10,7 +10,7 @@
 
 constexpr auto kRelaxed = std::memory_order_relaxed;
 
-/// A median over fewer agents says little.
+/// A median over fewer agents is not meaningful.
 constexpr std::size_t kMinAgentsForMedian = 3;
 
 bool IsEjected(const AgentHealth& aHealth)
@@ -146,9 +146,9 @@
   for (const auto& [id, service] : aTable.All()) {
     EvaluateService(*service, aNow);
     const std::lock_guard lock(service->mHealth->mMutex);
-    auto& fresh = service->mHealth->mEvents;
-    events.insert(events.end(), fresh.begin(), fresh.end());
-    fresh.clear();
+    auto& newEvents = service->mHealth->mEvents;
+    events.insert(events.end(), newEvents.begin(), newEvents.end());
+    newEvents.clear();
   }
   return events;
 }
@@ -181,8 +181,8 @@
     const std::lock_guard lock(aService.mHealth->mMutex);
     aService.mHealth->mEjected = ejected.size();
   }
-  // Agents left since: the share that remains ejected must not exceed the
-  // bound.
+  // Agents may have left since: the remaining ejected share must not exceed
+  // the limit.
   for (std::size_t i = limit; i < ejected.size(); ++i) {
     Readmit(*ejected[i], aNow);
   }
--- a/src/core/routing/OutlierDetector.h
+++ b/src/core/routing/OutlierDetector.h
@@ -13,19 +13,19 @@
 
 namespace foxtailbarrow {
 
-/// Decides which agents get no requests because they fail or are slow, as seen
-/// by this entry alone. Inputs: the outcomes of requests, and a tick. Output:
+/// Ejects agents that fail or are slow, as observed by this entry alone.
+/// Inputs: the outcomes of requests, and periodic calls of Evaluate(). Output:
 /// the state in AgentHealth, which the routing policy reads.
 ///
-/// Promises:
-/// - An ejection never brings the ejected agents of a service above the share
-///   in the settings (rounded down), so a fault that all share ejects few.
-/// - An ejected agent is tried again by single probes after a time that doubles
-///   with each ejection in a row, and readmitted, at slow start, after enough
-///   probes succeeded.
+/// Guarantees:
+/// - An ejection never raises the ejected share of a service's agents above the
+///   setting (rounded down), so that a common fault ejects only a few.
+/// - An ejected agent is probed by single requests after a time that doubles
+///   with each consecutive ejection, and readmitted, with slow start, after
+///   enough probes succeeded.
 ///
-/// Survives: a failed rack, one slow or failing backend server, agents that
-/// leave while ejected, probes whose outcome never comes (Neutral).
+/// Tolerates a failed rack, a slow or failing backend server, agents that leave
+/// while ejected, and probes whose outcome is never reported (Neutral).
 class OutlierDetector
 {
 public:
@@ -34,22 +34,22 @@
   {
   }
 
-  /// Takes in the outcome of one request. Callable from any thread; takes a
-  /// short lock only when it ejects or readmits.
+  /// Records the outcome of one request. Thread-safe; locks briefly, and only
+  /// to change an ejection.
   void OnFinished(const RoutableAgent& aAgent,
                   Outcome aOutcome,
                   Duration aLatency,
                   bool aWasProbe,
                   Instant aNow) const;
 
-  /// Judges the agents whose window has enough requests and starts a new one.
-  /// One thread, about once a second, with the newest table. Returns what
-  /// changed since the last call, by OnFinished() too.
+  /// Evaluates the agents whose window has enough requests and starts a new
+  /// window. Call from one thread about once a second with the newest table.
+  /// Returns all changes since the last call, also those by OnFinished().
   std::vector<EjectionEvent> Evaluate(const RoutingTable& aTable,
                                       Instant aNow) const;
 
 private:
-  /// What was counted of an agent up to now.
+  /// Counts of an agent's completed window.
   struct ClosedWindow
   {
     const RoutableAgent* mAgent = nullptr;
--- a/src/core/routing/PickContext.h
+++ b/src/core/routing/PickContext.h
@@ -9,7 +9,7 @@
 
 namespace foxtailbarrow {
 
-/// One choice as the policies see it.
+/// Inputs of one pick, as passed to the policies.
 struct PickContext
 {
   const ServiceTable& mService;
--- a/src/core/routing/PickRequest.h
+++ b/src/core/routing/PickRequest.h
@@ -7,7 +7,8 @@
 
 namespace foxtailbarrow {
 
-/// What the choice of a backend server depends on. Views must outlive the call.
+/// Properties of a request that the pick depends on. Views must outlive the
+/// call.
 struct PickRequest
 {
   ServiceId mService;
@@ -15,8 +16,8 @@
   std::string_view mIdempotencyKey; ///< Empty = none.
   bool mIdempotent = false;
 
-  /// An agent refused the key since it had promised not to run it: NotRun with
-  /// Reason::DuplicateRequest.
+  /// An agent refused the key because it had promised not to run it (NotRun
+  /// with Reason::DuplicateRequest).
   bool mKeyRevoked = false;
   std::span<const AgentId> mExcluded; ///< Tried before; never picked again.
 };
--- a/src/core/routing/RandomPick.h
+++ b/src/core/routing/RandomPick.h
@@ -6,7 +6,7 @@
 
 namespace foxtailbarrow {
 
-/// Baseline: any routable backend server, each with the same probability.
+/// Baseline: picks uniformly among the routable backend servers.
 struct RandomPick
 {
   const RoutableAgent* Pick(const PickContext& aContext,
--- a/src/core/routing/RequestInFlight.h
+++ b/src/core/routing/RequestInFlight.h
@@ -10,9 +10,9 @@
 
 namespace foxtailbarrow {
 
-/// One request sent to a picked agent. Counts in its load from construction to
-/// destruction; without Finish() it ends as Neutral, so an abandoned request
-/// leaves nothing behind. Use on one thread.
+/// One request sent to a picked agent. Counts towards the agent's load until
+/// Finish(); if destroyed before that, it ends as Neutral, so that an abandoned
+/// request does not stay counted. Not thread-safe.
 class RequestInFlight
 {
 public:
@@ -25,7 +25,7 @@
   RequestInFlight(const RequestInFlight&) = delete;
   RequestInFlight& operator=(const RequestInFlight&) = delete;
 
-  /// To be called once, with the load that came with the answer, if any.
+  /// Call once, with the load reported in the response, if any.
   void Finish(Outcome aOutcome,
               Instant aNow,
               std::optional<LoadSnapshot> aLoad = std::nullopt);
--- a/src/core/routing/RoundRobinPick.h
+++ b/src/core/routing/RoundRobinPick.h
@@ -10,7 +10,7 @@
 
 namespace foxtailbarrow {
 
-/// Baseline: one routable backend server after the other. Copies share the
+/// Baseline: picks the routable backend servers in turn. Copies share the
 /// position.
 class RoundRobinPick
 {
--- a/src/core/routing/RoutableAgent.h
+++ b/src/core/routing/RoutableAgent.h
@@ -12,7 +12,8 @@
 
 namespace foxtailbarrow {
 
-/// An agent as requests are routed to it. Immutable but for its gauges.
+/// An agent that requests can be routed to. Immutable except for mRoutingState
+/// and mServiceHealth.
 struct RoutableAgent
 {
   AgentId mAgent;
@@ -22,7 +23,7 @@
   RackId mRack;
   FailureDomainId mFailureDomain;
   Instant mServingSince{}; ///< Start of its slow start.
-  Instant mKnownSince{};   ///< For keys; the minimum when before this entry.
+  Instant mKnownSince{};   ///< For keys; the minimum in an entry's first view.
   std::uint64_t mHash = 0; ///< Of mAgent; the same in every process.
   std::shared_ptr<AgentRoutingState> mRoutingState;
   std::shared_ptr<ServiceHealth> mServiceHealth;
--- a/src/core/routing/Router.cpp
+++ b/src/core/routing/Router.cpp
@@ -21,16 +21,18 @@
   return aCandidate;
 }
 
-/// Shares the table's reference count, which is the calling thread's own.
-RoutableAgentPointer Hold(const std::shared_ptr<const RoutingTable>& aTable,
-                          const RoutableAgent* aAgent)
+/// Pointer that shares the table's reference count, which belongs to the
+/// calling thread.
+RoutableAgentPointer ShareOwnership(
+  const std::shared_ptr<const RoutingTable>& aTable,
+  const RoutableAgent* aAgent)
 {
   return { aTable, aAgent };
 }
 
-NoChoice Refuse(Reason aReason, Duration aLeast, absl::BitGenRef aRandom)
+NoChoice Refuse(Reason aReason, Duration aMinimum, absl::BitGenRef aRandom)
 {
-  return { aReason, Verdict::NotRun, Jitter(aLeast, aLeast * 2, aRandom) };
+  return { aReason, Verdict::NotRun, Jitter(aMinimum, aMinimum * 2, aRandom) };
 }
 
 } // namespace
@@ -72,26 +74,28 @@
   if (!candidate) {
     return Refuse(Reason::BackendServersBusy, kBusyRetryAfter, aRandom);
   }
-  return Picked{ Hold(aTable, candidate.mAgent), {}, candidate.mIsProbe };
+  return Picked{ ShareOwnership(aTable, candidate.mAgent),
+                 {},
+                 candidate.mIsProbe };
 }
 
 Choice Router::PickKeyed(const std::shared_ptr<const RoutingTable>& aTable,
                          const PickContext& aContext,
                          absl::BitGenRef aRandom) const
 {
-  const KeyedChoice place = mKeyed.Pick(aContext);
-  if (place.mKeyHolderLost) {
+  const KeyedChoice keyed = mKeyed.Pick(aContext);
+  if (keyed.mKeyHolderLost) {
     return NoChoice{ Reason::KeyHolderLost, Verdict::MayHaveRun, std::nullopt };
   }
-  if (!place.mCandidate || !mKeyed.Claim(place.mCandidate, aContext.mNow)) {
+  if (!keyed.mCandidate || !mKeyed.Claim(keyed.mCandidate, aContext.mNow)) {
     return Refuse(Reason::BackendServersBusy, kBusyRetryAfter, aRandom);
   }
-  Picked picked{ Hold(aTable, place.mCandidate.mAgent),
+  Picked picked{ ShareOwnership(aTable, keyed.mCandidate.mAgent),
                  {},
-                 place.mCandidate.mIsProbe };
-  for (const KeyedRevokeTarget& ask : place.mRevokeFirst) {
+                 keyed.mCandidate.mIsProbe };
+  for (const KeyedRevokeTarget& ask : keyed.mRevokeFirst) {
     picked.mRevokeFirst.push_back(
-      { Hold(aTable, ask.mAgent), ask.mMustBeFirstPromise });
+      { ShareOwnership(aTable, ask.mAgent), ask.mMustBeFirstPromise });
   }
   return picked;
 }
--- a/src/core/routing/Router.h
+++ b/src/core/routing/Router.h
@@ -19,13 +19,13 @@
 
 using RoutingPolicy = std::variant<LeastLoadedPick, RandomPick, RoundRobinPick>;
 
-/// Decides which backend server gets a request. Inputs: a routing table, the
-/// request, the time and random bits. Output: an agent, or the final answer
-/// that there is none. Callable from any thread.
+/// Picks the backend server for a request. Inputs: a routing table, the
+/// request, the time and random bits. Output: an agent, or a refusal.
+/// Thread-safe.
 ///
-/// Promises: never picks an agent that is draining, gone or excluded; under the
-/// least-loaded policy never one that is full, nor an ejected one but as a
-/// probe; the cost of a choice does not grow with the number of agents, but
+/// Guarantees: never picks an agent that is draining, lost or excluded; the
+/// least-loaded policy never picks one that is full, and an ejected one only as
+/// a probe. The cost of a pick does not grow with the number of agents, except
 /// for keyed requests that are not idempotent (KeyedPick).
 class Router
 {
--- a/src/core/routing/RouterSettings.h
+++ b/src/core/routing/RouterSettings.h
@@ -9,29 +9,29 @@
 /// Settings of the least-loaded policy. Loads are requests per slot.
 struct RouterSettings
 {
-  /// Requests waiting per slot beyond which a backend server is full: what an
+  /// Waiting requests per slot beyond which a backend server is full: what an
   /// agent admits by default (SlotGateLimits).
   double mMaxWaitingPerSlot = 2.0;
 
-  /// A backend server of another failure domain is taken when its load is
-  /// lower by at least this.
+  /// A backend server of another failure domain is picked only if its load is
+  /// lower by more than this.
   double mDomainMargin = 0.25;
 
-  /// Reports of other entries' load count less with age and nothing beyond.
+  /// Age at which the reported load of other entries has decayed to zero.
   Duration mReportDecay = std::chrono::seconds(2);
 
   /// A new or readmitted backend server counts as more loaded for this long.
   Duration mSlowStart = std::chrono::seconds(10);
-  double mSlowStartShare = 0.1; ///< Share of its full weight at the start.
+  double mSlowStartShare = 0.1; ///< Minimum weight; the full weight is 1.
 
-  /// A probe whose outcome is not reported by then counts as ended.
+  /// A probe without a reported outcome counts as ended after this time.
   Duration mProbeTimeout = std::chrono::seconds(30);
 
-  /// Random draws for one request before it scans.
+  /// Maximum random draws before a scan, for the own domain and for all each.
   std::size_t mMaxDraws = 6;
 
-  /// Backend servers looked at by a scan, which bounds the cost of a choice
-  /// when nearly all are full.
+  /// Maximum number of backend servers that a scan checks, which bounds the
+  /// cost of a pick when nearly all are full.
   std::size_t mMaxScan = 64;
 };
 
--- a/src/core/routing/RoutingTable.h
+++ b/src/core/routing/RoutingTable.h
@@ -24,8 +24,8 @@
   std::size_t mEnd = 0;
 };
 
-/// An agent incarnation that got requests until lately. Requests with an
-/// idempotency key that went there may be repeated by their callers.
+/// An agent incarnation that got requests until recently. Callers may retry the
+/// requests with an idempotency key that were sent to it.
 struct FormerAgent
 {
   RoutableAgentPointer mAgent;
@@ -40,7 +40,7 @@
   std::vector<RoutableAgentPointer> mServing; ///< By failure domain, then id.
   std::vector<std::uint64_t> mServingHashes;  ///< In the order of mServing.
   std::vector<DomainRange> mDomains;          ///< Ranges of Routable().
-  std::vector<RoutableAgentPointer> mSuspect; ///< Silent; used when alone.
+  std::vector<RoutableAgentPointer> mSuspect; ///< Silent; used if none serves.
   std::vector<FormerAgent> mFormer;
   std::shared_ptr<ServiceHealth> mHealth;
 
@@ -51,13 +51,13 @@
     return mServing.empty() ? mSuspect : mServing;
   }
 
-  /// Routable agents in the failure domain; empty where there are none.
+  /// Routable agents in the failure domain; empty when there are none.
   std::span<const RoutableAgentPointer> InDomain(
     const FailureDomainId& aDomain) const;
 };
 
-/// All services as of one moment. Immutable; published to the request path by
-/// a Snapshot<RoutingTable>.
+/// All services at one point in time. Immutable; published to the request path
+/// by a Snapshot<RoutingTable>.
 class RoutingTable
 {
 public:
@@ -79,7 +79,7 @@
   Services mServices;
 };
 
-/// Indexes the agents, which are sorted by failure domain, then id.
+/// Builds an indexed table. Agents must be sorted by failure domain, then id.
 std::shared_ptr<const ServiceTable> BuildServiceTable(
   ServiceId aService,
   std::vector<RoutableAgentPointer> aServing,
--- a/src/core/routing/ServiceHealth.h
+++ b/src/core/routing/ServiceHealth.h
@@ -11,15 +11,15 @@
 namespace foxtailbarrow {
 
 /// Ejections among the agents of one service, shared by all its routing tables.
-/// Changed by OutlierDetector alone.
+/// Changed only by OutlierDetector, except for mAgents.
 struct ServiceHealth
 {
-  /// Taken for an ejection or readmission only, never across I/O.
+  /// Held briefly to change or read ejections, never across I/O.
   std::mutex mMutex;
-  std::size_t mEjected = 0;           ///< Routable agents now ejected.
+  std::size_t mEjected = 0;           ///< Ejected routable agents.
   std::vector<EjectionEvent> mEvents; ///< Not yet returned by Evaluate().
 
-  /// Agents in the newest routing table; the ejected share refers to it.
+  /// Agents in the newest routing table, to which the ejected share refers.
   std::atomic<std::uint32_t> mAgents{ 0 };
 };
 
--- a/src/core/routing/StableHash.h
+++ b/src/core/routing/StableHash.h
@@ -5,7 +5,7 @@
 
 namespace foxtailbarrow {
 
-/// Spreads the bits of a number (finalizer of SplitMix64).
+/// Mixes the bits of a number (finalizer of SplitMix64).
 constexpr std::uint64_t MixBits(std::uint64_t aValue)
 {
   aValue += 0x9e3779b97f4a7c15ULL;
@@ -14,8 +14,8 @@
   return aValue ^ (aValue >> 31);
 }
 
-/// Hash of a text that is the same in every process and release, unlike
-/// absl::Hash (FNV-1a, mixed). Processes must agree on it.
+/// Hash of a string (FNV-1a, mixed) that, unlike absl::Hash, is the same in
+/// every process and release. Processes must agree on it.
 constexpr std::uint64_t StableHash(std::string_view aText)
 {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
--- a/tests/routing/CopyLimitTest.cpp
+++ b/tests/routing/CopyLimitTest.cpp
@@ -29,7 +29,7 @@
 class CopyLimitTable : public testing::TestWithParam<LimitCase>
 {};
 
-TEST_P(CopyLimitTable, LeavesACustomerNoMoreCopiesThanItsContractAllows)
+TEST_P(CopyLimitTable, UsesNoMoreCopiesThanTheContractAllows)
 {
   auto directory = DirectoryOf(GetParam().mServing);
   const CopyAllowance allowance{ kCustomer, kService, GetParam().mMaxCopies };
@@ -61,7 +61,7 @@
                                          LimitCase{ 6, 1, 1 },
                                          LimitCase{ 6, 0, 0 }));
 
-TEST(CopyLimit, ChoosesTheSameCopiesWhateverTheOrder)
+TEST(CopyLimit, ChoosesTheSameCopiesInAnyOrder)
 {
   const CopyAllowance allowance{ kCustomer, kService, 3 };
   AgentDirectory backward;
--- a/tests/routing/KeyedPickTest.cpp
+++ b/tests/routing/KeyedPickTest.cpp
@@ -32,7 +32,7 @@
     return mRouter.Pick(mDirectory.Table(), KeyedRequest(aKey), aNow, mRandom);
   }
 
-  AgentId HomeOf(std::string_view aKey, Instant aNow = kWarm)
+  AgentId AgentFor(std::string_view aKey, Instant aNow = kWarm)
   {
     return std::get<Picked>(Pick(aKey, aNow)).mAgent->mAgent;
   }
@@ -48,7 +48,7 @@
   std::mt19937_64 mRandom{ 1 };
 };
 
-TEST_F(Keyed, HasOneHomeAtEveryEntry)
+TEST_F(Keyed, GoesToTheSameAgentAtEveryEntry)
 {
   const Router other(FailureDomainId("domain-2"));
   std::map<AgentId, int> counts;
@@ -56,9 +56,9 @@
     const std::string key = "key-" + std::to_string(i);
     const auto choice =
       other.Pick(mDirectory.Table(), KeyedRequest(key), kWarm, mRandom);
-    EXPECT_EQ(HomeOf(key), std::get<Picked>(choice).mAgent->mAgent);
+    EXPECT_EQ(AgentFor(key), std::get<Picked>(choice).mAgent->mAgent);
     EXPECT_TRUE(std::get<Picked>(choice).mRevokeFirst.empty());
-    ++counts[HomeOf(key)];
+    ++counts[AgentFor(key)];
   }
   EXPECT_EQ(counts.size(), 11U);
   for (const auto& [agent, count] : counts) {
@@ -66,37 +66,37 @@
   }
 }
 
-TEST_F(Keyed, AsksTheDrainingHomeFirst)
+TEST_F(Keyed, AsksTheDrainingAgentFirst)
 {
-  const AgentId home = HomeOf("key");
-  Change(home, ServingState::Draining, 1);
+  const AgentId agent = AgentFor("key");
+  Change(agent, ServingState::Draining, 1);
   const auto picked = std::get<Picked>(Pick("key"));
-  EXPECT_NE(picked.mAgent->mAgent, home);
+  EXPECT_NE(picked.mAgent->mAgent, agent);
   ASSERT_EQ(picked.mRevokeFirst.size(), 1U);
-  EXPECT_EQ(picked.mRevokeFirst[0].mAgent->mAgent, home);
+  EXPECT_EQ(picked.mRevokeFirst[0].mAgent->mAgent, agent);
 }
 
-TEST_F(Keyed, RefusesForAWindowWhereTheHomeWasLost)
+TEST_F(Keyed, RefusesForAWindowAfterItsAgentWasLost)
 {
-  const AgentId home = HomeOf("key");
-  Change(home, ServingState::Serving, 2);
+  const AgentId agent = AgentFor("key");
+  Change(agent, ServingState::Serving, 2);
   const auto refusal = std::get<NoChoice>(Pick("key"));
   EXPECT_EQ(refusal.mReason, Reason::KeyHolderLost);
   EXPECT_EQ(refusal.mVerdict, Verdict::MayHaveRun);
   EXPECT_FALSE(refusal.mRetryAfter.has_value());
   for (seconds age(1); age <= seconds(31); ++age) {
     for (int i = 0; i < 11; ++i) {
-      const bool isHome = HeartbeatOf(i).mAgent == home;
+      const bool isLost = HeartbeatOf(i).mAgent == agent;
       const auto heartbeat =
-        HeartbeatOf(i, ServingState::Serving, 2 + age.count(), isHome ? 2 : 1);
+        HeartbeatOf(i, ServingState::Serving, 2 + age.count(), isLost ? 2 : 1);
       mDirectory.Apply(heartbeat, kWarm + age);
     }
     mDirectory.Advance(kWarm + age);
   }
-  EXPECT_EQ(HomeOf("key", kWarm + seconds(31)), home);
+  EXPECT_EQ(AgentFor("key", kWarm + seconds(31)), agent);
 }
 
-/// A fleet whose agents come one after another, to an entry that runs already.
+/// A fleet whose agents start one after another while the entry is running.
 struct YoungFleetCase
 {
   const char* mName;
@@ -111,7 +111,7 @@
 class YoungFleet : public testing::TestWithParam<YoungFleetCase>
 {};
 
-TEST_P(YoungFleet, RefusesNoKeyWhileNobodyLeaves)
+TEST_P(YoungFleet, RefusesNoKeyWhileNoAgentLeaves)
 {
   AgentDirectory directory;
   Heartbeat other = HeartbeatOf(99);
@@ -142,8 +142,8 @@
                   YoungFleetCase{ "Slowly", milliseconds(2500) }),
   [](const auto& aInfo) { return aInfo.param.mName; });
 
-/// Agents with their keys, and entries with tables of different ages, around
-/// the real directory and router. An attempt follows KeyedPick's rule.
+/// Simulates agents that store keys, and entries whose routing tables differ in
+/// age, with the real directory and router. Attempts follow KeyedPick's rule.
 class KeyedFleet
 {
 public:
@@ -158,11 +158,11 @@
       mAgents.push_back(
         { 1, i < kAtStart ? ServingState::Serving : ServingState::Starting });
     }
-    Sleep(seconds(40));
+    AdvanceTime(seconds(40));
   }
 
-  /// Time passes; heartbeats reach each entry with its own delay.
-  void Sleep(Duration aTime)
+  /// Advances the time; each entry receives heartbeats with its own delay.
+  void AdvanceTime(Duration aTime)
   {
     constexpr milliseconds kStep(500);
     for (const Instant end = mNow + aTime; mNow < end; mNow += kStep) {
@@ -184,11 +184,11 @@
   void Attempt(int aEntry, const std::string& aKey)
   {
     std::vector<AgentId> excluded;
-    bool isPassedOn = false;
+    bool isRevoked = false;
     for (int attempt = 0; attempt < 3; ++attempt) {
       PickRequest request = KeyedRequest(aKey);
       request.mExcluded = excluded;
-      request.mKeyRevoked = isPassedOn;
+      request.mKeyRevoked = isRevoked;
       const auto choice =
         mRouter.Pick(mDirectories[aEntry].Table(), request, mNow, mRandom);
       const auto* picked = std::get_if<Picked>(&choice);
@@ -209,7 +209,7 @@
         ++mRuns[aKey];
         return;
       }
-      isPassedOn = isPassedOn || agent->mPromised.contains(aKey);
+      isRevoked = isRevoked || agent->mPromised.contains(aKey);
       excluded.push_back(picked->mAgent->mAgent);
     }
   }
@@ -232,7 +232,7 @@
   void Deliver(int aEntry)
   {
     for (int i = 0; i < kAgents; ++i) {
-      // Entry e hears a change up to 2 s late.
+      // Each entry receives a change up to 2 s late.
       if (std::uniform_int_distribution(0, 3)(mRandom) == 0 ||
           mNow >= mDeliveredAt[aEntry][i] + seconds(2)) {
         mDirectories[aEntry].Apply(
@@ -245,7 +245,7 @@
     mDirectories[aEntry].Advance(mNow);
   }
 
-  /// Null when that incarnation is gone.
+  /// Null when that incarnation has ended.
   Agent* FindIncarnation(const RoutableAgent& aAgent)
   {
     Agent& agent = mAgents[std::stoi(aAgent.mAgent.Value().substr(6))];
@@ -277,7 +277,7 @@
   std::map<std::string, int> mRuns;
 };
 
-RC_GTEST_PROP(KeyedProperty, RunsAKeyOnceWhateverAgentsDo, ())
+RC_GTEST_PROP(KeyedProperty, RunsAKeyAtMostOnceWhateverAgentsDo, ())
 {
   KeyedFleet fleet(*rc::gen::arbitrary<unsigned>());
   const auto agent = rc::gen::inRange(0, KeyedFleet::kAgents);
@@ -291,7 +291,7 @@
       fleet.Restart(*agent);
     } else if (event < 6) {
       const milliseconds pause(*rc::gen::inRange(0, 4'000));
-      fleet.Sleep(pause);
+      fleet.AdvanceTime(pause);
       elapsed += pause;
     } else {
       fleet.Attempt(*rc::gen::inRange(0, KeyedFleet::kEntries),
--- a/tests/routing/OutlierDetectorTest.cpp
+++ b/tests/routing/OutlierDetectorTest.cpp
@@ -116,7 +116,7 @@
   }
 }
 
-/// Fails agent 0 until it is ejected.
+/// Reports failures of the agent until it is ejected.
 void Fail(const OutlierDetector& aDetector,
           const RoutableAgent& aAgent,
           Instant aNow)
@@ -129,7 +129,7 @@
 class Readmission : public testing::Test
 {
 protected:
-  /// Picks until a probe comes; null when none does within many choices.
+  /// Picks until it gets a probe; nullopt when 200 picks return none.
   std::optional<Picked> Probe(Instant aNow, bool aIdempotent = true)
   {
     PickRequest request = RequestFor();
--- a/tests/routing/RouterTest.cpp
+++ b/tests/routing/RouterTest.cpp
@@ -44,15 +44,15 @@
   const auto table = directory.Table();
   const Router router(FailureDomainId("elsewhere"), PolicyOf(GetParam()));
   std::mt19937_64 random(1);
-  std::set<AgentId> seen;
+  std::set<AgentId> pickedAgents;
   for (int i = 0; i < 500; ++i) {
     const Choice choice = router.Pick(table, RequestFor(), kWarm, random);
-    seen.insert(AgentOf(choice)->mAgent);
+    pickedAgents.insert(AgentOf(choice)->mAgent);
   }
-  EXPECT_EQ(seen.size(), 9U);
+  EXPECT_EQ(pickedAgents.size(), 9U);
 }
 
-TEST_P(EveryPolicy, RefusesAtOnceWhereNothingServes)
+TEST_P(EveryPolicy, RefusesWhenNoAgentIsServing)
 {
   AgentDirectory directory = DirectoryOf(1);
   directory.Apply(HeartbeatOf(0, ServingState::Draining, 2), kStart);
@@ -70,7 +70,7 @@
 
 INSTANTIATE_TEST_SUITE_P(All, EveryPolicy, testing::Values(0U, 1U, 2U));
 
-RC_GTEST_PROP(RouterProperty, NeverPicksDrainingGoneOrExcluded, ())
+RC_GTEST_PROP(RouterProperty, NeverPicksDrainingLostOrExcluded, ())
 {
   const int count = *rc::gen::inRange(1, 12);
   AgentDirectory directory = DirectoryOf(count);
@@ -142,7 +142,7 @@
                   PreferenceCase{ "RemoteBusier", 8, 16, true }),
   [](const auto& aInfo) { return aInfo.param.mName; });
 
-TEST(LeastLoadedPick, SkipsFullOnesAndRefusesWhenAllAre)
+TEST(LeastLoadedPick, SkipsFullAgentsAndRefusesWhenAllAreFull)
 {
   AgentDirectory directory = DirectoryOf(4);
   const Router router(FailureDomainId("domain-0"));
--- a/tests/routing/RoutingFixture.h
+++ b/tests/routing/RoutingFixture.h
@@ -11,7 +11,7 @@
 
 inline const ServiceId kService("trips");
 
-/// Any fixed time: decisions depend on differences alone.
+/// Arbitrary fixed time: decisions depend only on differences.
 inline constexpr Instant kStart{ std::chrono::hours(1) };
 
 /// Heartbeat of agent `aNumber`: three to a rack, failure domains in turn.
@@ -35,7 +35,7 @@
   return heartbeat;
 }
 
-/// A directory that heard `aCount` serving agents, all at kStart.
+/// A directory that received a heartbeat of `aCount` serving agents at kStart.
 inline AgentDirectory DirectoryOf(int aCount, DirectorySettings aSettings = {})
 {
   AgentDirectory directory(aSettings);
--- a/tests/routing/SnapshotTest.cpp
+++ b/tests/routing/SnapshotTest.cpp
@@ -9,7 +9,7 @@
 namespace foxtailbarrow {
 namespace {
 
-TEST(Snapshot, ShowsTheNewestAndKeepsWhatIsHeld)
+TEST(Snapshot, LoadsTheNewestValueAndKeepsHeldOnes)
 {
   Snapshot<int> snapshot(std::make_shared<int>(1));
   const auto held = snapshot.Load();
@@ -18,7 +18,7 @@
   EXPECT_EQ(*held, 1);
 }
 
-TEST(Snapshot, FreesTheOldValueOnceNobodyCanSeeIt)
+TEST(Snapshot, FreesTheOldValueOnceItIsUnreferenced)
 {
   auto first = std::make_shared<int>(1);
   const std::weak_ptr<int> watch = first;
@@ -31,7 +31,7 @@
   EXPECT_TRUE(watch.expired());
 }
 
-TEST(Snapshot, KeepsSeveralApart)
+TEST(Snapshot, KeepsInstancesSeparate)
 {
   Snapshot<int> one(std::make_shared<int>(1));
   auto two = std::make_unique<Snapshot<int>>(std::make_shared<int>(2));
@@ -40,7 +40,7 @@
   EXPECT_EQ(*one.Load() + *two->Load(), 5);
 }
 
-TEST(Snapshot, NeverGoesBackInAnyThread)
+TEST(Snapshot, NeverLoadsAnOlderValueInAnyThread)
 {
   constexpr int kLast = 20'000;
   Snapshot<int> snapshot(std::make_shared<int>(0));
@@ -48,10 +48,10 @@
   std::vector<std::thread> readers;
   for (int i = 0; i < 3; ++i) {
     readers.emplace_back([&] {
-      for (int seen = 0; seen < kLast;) {
+      for (int newest = 0; newest < kLast;) {
         const int next = *snapshot.Load();
-        stepsBack += next < seen ? 1 : 0;
-        seen = next;
+        stepsBack += next < newest ? 1 : 0;
+        newest = next;
       }
     });
   }
