--- a/src/core/base/EnumText.h
+++ b/src/core/base/EnumText.h
@@ -8,7 +8,7 @@
 
 namespace foxtailbarrow {
 
-/// Two-way table between the variants of an enum class and their texts.
+/// Maps the values of an enum class to their texts and back.
 template<typename Enum, std::size_t Size>
 class EnumText
 {
@@ -20,7 +20,7 @@
   {
   }
 
-  /// "unknown" for a variant outside the table.
+  /// "unknown" for a value outside the table.
   constexpr std::string_view Text(Enum aValue) const
   {
     for (const auto& [value, text] : mRows) {
--- a/src/core/base/Snapshot.h
+++ b/src/core/base/Snapshot.h
@@ -14,9 +14,9 @@
 /// values, any number of threads read the newest.
 ///
 /// Load() costs one atomic read of a version and a reference count that only
-/// the calling thread's readers share: each thread keeps a handle of its own
-/// with a reference count of its own, and renews it, under a short lock, only
-/// after a Publish().
+/// the calling thread's readers share: each thread keeps its own handle with
+/// its own reference count, and renews it under a short lock only after a
+/// Publish().
 ///
 /// A loaded value stays valid as long as the returned pointer is held, also
 /// while a fiber is suspended, and never changes. It is freed once no returned
@@ -40,7 +40,7 @@
   Snapshot& operator=(const Snapshot&) = delete;
 
   /// Replaces the value. Loads that begin after the return see it. Callable
-  /// from any thread; concurrent publishers need an order of their own.
+  /// from any thread; concurrent publishers must order their calls.
   void Publish(Pointer aNext)
   {
     {
@@ -48,7 +48,7 @@
       mState->mValue.swap(aNext);
       mState->mVersion.fetch_add(1, std::memory_order_release);
     }
-    // The old value is dropped here, outside the lock.
+    // The old value is released here, outside the lock.
   }
 
   /// The newest value. Never null.
@@ -70,13 +70,13 @@
     {
     }
 
-    std::mutex mMutex; ///< Never held across a suspension.
+    std::mutex mMutex; ///< Never held while a fiber is suspended.
     Pointer mValue;
     std::atomic<std::uint64_t> mVersion{ 1 };
   };
 
-  /// One thread's view of one Snapshot. The weak pointer keeps the State's
-  /// memory reserved, so its address names it even after its end.
+  /// One thread's handle of one Snapshot. The weak pointer keeps the State's
+  /// memory allocated, so that its address is not reused after its end.
   struct Handle
   {
     std::weak_ptr<State> mOwner;
--- a/src/core/base/SuspendDetector.h
+++ b/src/core/base/SuspendDetector.h
@@ -7,33 +7,35 @@
 
 namespace foxtailbarrow {
 
-/// Finds out that the machine was suspended, by a clock that stands still
-/// meanwhile. Pure. What ends by a lease is judged by BootClock and needs no
-/// more; this is for what a process believes until it hears otherwise.
+/// Detects that the machine was suspended, by comparing the boot clock with the
+/// steady clock, which is stopped meanwhile. Leases do not need it, since they
+/// expire by BootClock; it is for state that a process assumes to be valid
+/// until it is notified otherwise.
 class SuspendDetector
 {
 public:
-  /// Nothing of ours is believed for less than 2 s without a word, so that a
-  /// shorter suspension changes nothing; and a process that waits for its
-  /// processor between the readings of two clocks seems suspended.
+  /// Shorter ones are ignored: all such state is assumed valid for at least 2 s
+  /// without news, so that they change nothing, and a process preempted between
+  /// the readings of the two clocks appears to have been suspended.
   static constexpr Duration kMinSuspension = std::chrono::milliseconds(500);
 
   using SteadyTime = std::chrono::steady_clock::time_point;
 
-  /// How long the machine was suspended since the last look, if it was.
+  /// Duration of a suspension since the last call, if there was one.
   std::optional<Duration> Poll(Instant aNow, SteadyTime aSteady)
   {
-    const Duration ahead =
+    const Duration offset =
       aNow.time_since_epoch() -
       std::chrono::duration_cast<Duration>(aSteady.time_since_epoch());
-    const Duration slept =
-      mClockOffset ? ahead - *mClockOffset : Duration::zero();
-    mClockOffset = ahead;
-    return slept >= kMinSuspension ? std::optional(slept) : std::nullopt;
+    const Duration suspended =
+      mClockOffset ? offset - *mClockOffset : Duration::zero();
+    mClockOffset = offset;
+    return suspended >= kMinSuspension ? std::optional(suspended)
+                                       : std::nullopt;
   }
 
 private:
-  std::optional<Duration> mClockOffset; ///< Of the boot clock.
+  std::optional<Duration> mClockOffset; ///< Boot clock minus steady clock.
 };
 
 } // namespace foxtailbarrow
--- a/src/core/retry/Jitter.h
+++ b/src/core/retry/Jitter.h
@@ -9,8 +9,8 @@
 
 namespace foxtailbarrow {
 
-/// Uniform between `aFrom` and `aTo`, both included, so that callers told at
-/// the same moment do not come back at the same moment.
+/// Uniform between `aFrom` and `aTo`, inclusive, so that callers refused at the
+/// same time do not retry at the same time.
 inline Duration Jitter(Duration aFrom, Duration aTo, absl::BitGenRef aRandom)
 {
   absl::uniform_int_distribution<std::int64_t> draw(aFrom.count(), aTo.count());
--- a/src/core/retry/RetryBudget.cpp
+++ b/src/core/retry/RetryBudget.cpp
@@ -9,8 +9,7 @@
 constexpr double kMillitokens = 1000.0;
 constexpr std::int64_t kOneToken = 1000;
 
-/// Refills are made in steps at least this long, so that rounding loses
-/// nothing worth counting.
+/// Minimum time between two refills, which keeps the rounding error negligible.
 constexpr Duration kRefillStep = std::chrono::milliseconds(10);
 
 std::int64_t Millitokens(double aTokens)
@@ -54,8 +53,8 @@
     return;
   }
   const double seconds = std::chrono::duration<double>(aNow - last).count();
-  const double most = mSettings.mMaxSaved;
-  Add(Millitokens(std::min(seconds * mSettings.mPerSecond, most)));
+  const double maxSaved = mSettings.mMaxSaved;
+  Add(Millitokens(std::min(seconds * mSettings.mPerSecond, maxSaved)));
 }
 
 void RetryBudget::Add(std::int64_t aMillitokens)
--- a/src/core/retry/RetryBudget.h
+++ b/src/core/retry/RetryBudget.h
@@ -10,14 +10,14 @@
 struct RetryBudgetSettings
 {
   double mRatio = 0.1;      ///< Retries per first attempt.
-  double mPerSecond = 10.0; ///< Retries that are always allowed.
-  double mMaxSaved = 100.0; ///< Retries that can be saved up.
+  double mPerSecond = 10.0; ///< Retries per second that are always allowed.
+  double mMaxSaved = 100.0; ///< Maximum number of accumulated retries.
 };
 
-/// Bounds the retries of one entry to a share of its requests, so that retries
-/// do not multiply an overload. A store of tokens: each first attempt adds the
-/// ratio, each second the minimum, each retry takes one. Callable from any
-/// thread; never blocks.
+/// Limits the retries of one entry to a share of its requests, so that retries
+/// do not amplify an overload. Token bucket: each first attempt adds mRatio
+/// tokens, each second adds mPerSecond, and each retry takes one. Thread-safe
+/// and lock-free.
 class RetryBudget
 {
 public:
--- a/src/core/retry/RetryDecision.h
+++ b/src/core/retry/RetryDecision.h
@@ -9,7 +9,7 @@
 
 namespace foxtailbarrow {
 
-/// Try again after `mDelay`.
+/// Retry after `mDelay`.
 struct Retry
 {
   Duration mDelay{};
@@ -21,8 +21,8 @@
 {
   Verdict mVerdict = Verdict::NotRun;
   Reason mReason = Reason::None;
-  /// When the caller may try again; none when it must first find out whether
-  /// the request ran.
+  /// Delay before the caller may retry; none when it must first find out
+  /// whether the request ran.
   std::optional<Duration> mRetryAfter;
 };
 
--- a/src/core/retry/RetryPolicy.cpp
+++ b/src/core/retry/RetryPolicy.cpp
@@ -14,15 +14,15 @@
   return WorstVerdict(aAttempt.mVerdict, aAttempt.mEarlierVerdict);
 }
 
-bool IsSafeToRepeat(const FailedAttempt& aAttempt)
+bool IsSafeToRetry(const FailedAttempt& aAttempt)
 {
   const Verdict verdict = VerdictOfAll(aAttempt);
   return verdict == Verdict::NotRun ||
          (verdict == Verdict::MayHaveRun && aAttempt.mIdempotent);
 }
 
-/// Refusals that no other agent would decide differently. A duplicate that was
-/// not run is none: the agent had promised not to run it, another may.
+/// Refusals that any other agent would repeat. Not a duplicate with
+/// Verdict::NotRun: that agent promised not to run it, but another one may.
 bool IsFinalRefusal(const FailedAttempt& aAttempt)
 {
   switch (aAttempt.mReason) {
@@ -44,7 +44,7 @@
                                   Instant aNow,
                                   absl::BitGenRef aRandom) const
 {
-  if (!IsSafeToRepeat(aAttempt) || IsFinalRefusal(aAttempt) ||
+  if (!IsSafeToRetry(aAttempt) || IsFinalRefusal(aAttempt) ||
       aAttempt.mAttempts >= mSettings.mMaxAttempts) {
     return GiveUpFor(aAttempt, aAttempt.mReason, aRandom);
   }
@@ -60,12 +60,12 @@
 
 Duration RetryPolicy::Delay(int aAttempts, absl::BitGenRef aRandom) const
 {
-  Duration longest = mSettings.mFirstDelay;
-  for (int i = 1; i < aAttempts && longest < mSettings.mLongestDelay; ++i) {
-    longest *= 2;
+  Duration maxDelay = mSettings.mFirstDelay;
+  for (int i = 1; i < aAttempts && maxDelay < mSettings.mLongestDelay; ++i) {
+    maxDelay *= 2;
   }
-  longest = std::min(longest, mSettings.mLongestDelay);
-  return Jitter(Duration::zero(), longest, aRandom);
+  maxDelay = std::min(maxDelay, mSettings.mLongestDelay);
+  return Jitter(Duration::zero(), maxDelay, aRandom);
 }
 
 GiveUp RetryPolicy::GiveUpFor(const FailedAttempt& aAttempt,
@@ -73,9 +73,10 @@
                               absl::BitGenRef aRandom) const
 {
   GiveUp answer{ VerdictOfAll(aAttempt), aReason, std::nullopt };
-  if (IsSafeToRepeat(aAttempt)) {
-    const Duration least = aAttempt.mRetryAfter.value_or(mSettings.mRetryAfter);
-    answer.mRetryAfter = Jitter(least, least * 2, aRandom);
+  if (IsSafeToRetry(aAttempt)) {
+    const Duration minimum =
+      aAttempt.mRetryAfter.value_or(mSettings.mRetryAfter);
+    answer.mRetryAfter = Jitter(minimum, minimum * 2, aRandom);
   }
   return answer;
 }
--- a/src/core/retry/RetryPolicy.h
+++ b/src/core/retry/RetryPolicy.h
@@ -17,32 +17,32 @@
   int mMaxAttempts = 3;
   Duration mFirstDelay = std::chrono::milliseconds(2); ///< Doubled each time.
   Duration mLongestDelay = std::chrono::milliseconds(50);
-  Duration mMinRemaining = std::chrono::milliseconds(5); ///< To be worth a try.
+  /// A retry needs at least this time until the deadline.
+  Duration mMinRemaining = std::chrono::milliseconds(5);
   Duration mRetryAfter = std::chrono::seconds(1);
 };
 
-/// An attempt that ended without an answer to pass on.
+/// An attempt that ended without a response to forward.
 struct FailedAttempt
 {
-  Verdict mVerdict = Verdict::MayHaveRun; ///< Of this attempt.
-  Verdict mEarlierVerdict =
-    Verdict::NotRun;             ///< WorstVerdict() of those before.
-  Reason mReason = Reason::None; ///< Set when the agent refused.
+  Verdict mVerdict = Verdict::MayHaveRun;    ///< Of this attempt.
+  Verdict mEarlierVerdict = Verdict::NotRun; ///< Of those before.
+  Reason mReason = Reason::None;             ///< Set when the agent refused it.
   bool mIdempotent = false;
   int mAttempts = 1;                   ///< Made so far, this one included.
   Duration mRemaining{};               ///< Until the caller's deadline.
   std::optional<Duration> mRetryAfter; ///< As the agent advised, if it did.
 };
 
-/// Decides whether a request is tried again by the entry. Inputs: the failed
-/// attempt, the budget, random bits for jitter. Output: a retry, or the final
-/// answer, to be given at once.
+/// Decides whether the entry retries a request. Inputs: the failed attempt, the
+/// budget, random bits for jitter. Output: a retry, or the final answer, to be
+/// sent at once.
 ///
-/// Promises: work that is not idempotent is tried again only when the attempt
-/// certainly did not run; retries stay within the budget, the attempts and the
-/// deadline; the verdict of an answer covers all attempts. A caller is told
-/// when to come back, except after a request that may have run and is not
-/// idempotent: it must find out first.
+/// Guarantees: a request that is not idempotent is retried only when no attempt
+/// can have run; retries stay within the budget, the number of attempts and the
+/// deadline; the verdict of an answer covers all attempts. An answer has a
+/// Retry-After unless the request ran, or may have run and is not idempotent:
+/// then the caller must first find out.
 class RetryPolicy
 {
 public:
--- a/src/core/retry/WorstVerdict.h
+++ b/src/core/retry/WorstVerdict.h
@@ -4,8 +4,8 @@
 
 namespace foxtailbarrow {
 
-/// Verdict of a request from those of two of its attempts: it was not run only
-/// when neither attempt ran.
+/// Verdict of a request from those of two of its attempts: NotRun only when
+/// both are.
 constexpr Verdict WorstVerdict(Verdict aLeft, Verdict aRight)
 {
   if (aLeft == Verdict::NotRun) {
--- a/tests/base/SuspendDetectorTest.cpp
+++ b/tests/base/SuspendDetectorTest.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-/// Looks one after the other: how far each clock went on.
+/// How far each clock advanced before a poll.
 struct Step
 {
   milliseconds mBoot;
@@ -21,27 +21,27 @@
 {
   const char* mName;
   std::vector<Step> mSteps;
-  std::vector<milliseconds> mSuspended; ///< Found.
+  std::vector<milliseconds> mSuspended; ///< Expected results.
 };
 
 class SuspendDetectorTest : public testing::TestWithParam<SuspendCase>
 {};
 
-TEST_P(SuspendDetectorTest, FindsEachSuspensionOnce)
+TEST_P(SuspendDetectorTest, DetectsEachSuspensionOnce)
 {
   Instant now{ std::chrono::seconds(1000) };
   SuspendDetector::SteadyTime steady{ std::chrono::seconds(7) };
-  SuspendDetector watch;
-  EXPECT_FALSE(watch.Poll(now, steady));
-  std::vector<milliseconds> found;
+  SuspendDetector detector;
+  EXPECT_FALSE(detector.Poll(now, steady));
+  std::vector<milliseconds> detected;
   for (const Step& step : GetParam().mSteps) {
     now += step.mBoot;
     steady += step.mSteady;
-    if (const auto suspended = watch.Poll(now, steady)) {
-      found.push_back(std::chrono::duration_cast<milliseconds>(*suspended));
+    if (const auto suspended = detector.Poll(now, steady)) {
+      detected.push_back(std::chrono::duration_cast<milliseconds>(*suspended));
     }
   }
-  EXPECT_EQ(found, GetParam().mSuspended);
+  EXPECT_EQ(detected, GetParam().mSuspended);
 }
 
 constexpr milliseconds kTick(100);
@@ -62,8 +62,8 @@
                    { milliseconds(700), milliseconds(0) } },
                  { milliseconds(500), milliseconds(700) } },
     SuspendCase{ "Briefly", { { milliseconds(599), kTick } }, {} },
-    // Between the readings of the two clocks the process did not run.
-    SuspendCase{ "HeldUp",
+    // The process was preempted between the readings of the two clocks.
+    SuspendCase{ "Preempted",
                  { { kTick, milliseconds(400) }, { milliseconds(400), kTick } },
                  {} }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
--- a/tests/base/VerdictTest.cpp
+++ b/tests/base/VerdictTest.cpp
@@ -8,7 +8,7 @@
 class VerdictText : public testing::TestWithParam<Verdict>
 {};
 
-TEST_P(VerdictText, SurvivesTheWire)
+TEST_P(VerdictText, RoundTripsThroughItsText)
 {
   EXPECT_EQ(ParseVerdict(ToString(GetParam())), GetParam());
 }
@@ -26,7 +26,7 @@
                                          Verdict::MayHaveRun,
                                          Verdict::Ran));
 
-TEST(Verdict, IsMayHaveRunWhereNothingIsKnown)
+TEST(Verdict, IsMayHaveRunWhenUnknown)
 {
   EXPECT_EQ(VerdictOf(absl::InternalError("?")), Verdict::MayHaveRun);
   EXPECT_EQ(ParseVerdict("no-idea"), std::nullopt);
--- a/tests/retry/RetryPolicyTest.cpp
+++ b/tests/retry/RetryPolicyTest.cpp
@@ -100,7 +100,7 @@
           false,
           true,
           kNotRun },
-    Case{ "KeyPassedOn",
+    Case{ "KeyRevoked",
           With(AttemptOf(kNotRun, false), Reason::DuplicateRequest),
           true,
           false,
@@ -127,7 +127,7 @@
           kNotRun }),
   [](const auto& aInfo) { return aInfo.param.mName; });
 
-RC_GTEST_PROP(RetryPolicyProperty, NeverRepeatsWhatMayHaveRun, ())
+RC_GTEST_PROP(RetryPolicyProperty, NeverRetriesWhatMayHaveRun, ())
 {
   FailedAttempt attempt = AttemptOf(Verdict::MayHaveRun, false);
   attempt.mEarlierVerdict =
