--- a/src/core/message/Codec.h
+++ b/src/core/message/Codec.h
@@ -10,12 +10,12 @@
 
 /// JSON form of every message, record and document of the system.
 ///
-/// One table of fields for each type (detail/*Fields.h) serves both directions.
-/// Field names are those of the struct without the `m` and with a small first
-/// letter; a Duration is an integer of microseconds whose name ends in "Us".
-/// Empty strings and lists and absent optionals are left out, as are zero
-/// Resources. Enums travel as their ToString() texts, 64-bit numbers as JSON
-/// integers.
+/// One table of fields for each type (detail/*Fields.h) is used for reading and
+/// writing. Field names are those of the struct without the `m` and with a
+/// lowercase first letter; a Duration is an integer of microseconds whose name
+/// ends in "Us". Empty strings and lists and absent optionals are left out, as
+/// are zero Resources. Enums are written as their ToString() texts, 64-bit
+/// numbers as JSON integers.
 ///
 /// Reading is strict: a wrong type, an unknown or missing field, a number out
 /// of range or not finite, a text that is too long or not UTF-8, or a list that
@@ -31,7 +31,8 @@
 template<typename T>
 Json::Value ToJson(const T& aMessage);
 
-/// Reads what can be read and appends what cannot to `aProblems`.
+/// Reads the valid fields and appends the problems of the others to
+/// `aProblems`.
 template<typename T>
 T DecodeJson(const Json::Value& aValue, FieldProblems& aProblems);
 
--- a/src/core/message/FieldProblem.cpp
+++ b/src/core/message/FieldProblem.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Longer lists are cut, so that a hostile message cannot fill a log line.
+/// Longer lists are truncated, so that a malicious message cannot flood the
+/// log.
 constexpr std::size_t kMaxListed = 32;
 
 } // namespace
--- a/src/core/message/FieldProblem.h
+++ b/src/core/message/FieldProblem.h
@@ -11,7 +11,7 @@
 struct FieldProblem
 {
   std::string mField;   ///< Path, for example "tasks[3].status.key.job".
-  std::string mFound;   ///< The value found, cut to a readable length.
+  std::string mFound;   ///< The value found, truncated to a readable length.
   std::string mAllowed; ///< What would have been accepted.
 
   bool operator==(const FieldProblem&) const = default;
@@ -23,8 +23,8 @@
 std::string ToString(const FieldProblem& aProblem);
 
 /// InvalidArgument that lists the problems, OK when there is none. Carries no
-/// Verdict: a request that cannot be read did not run, while a reply that
-/// cannot be read says nothing, so only the caller can attach one.
+/// Verdict, which only the caller can attach: a malformed request did not run,
+/// while a malformed reply does not show whether its request ran.
 absl::Status ToStatus(const FieldProblems& aProblems);
 
 } // namespace foxtailbarrow
--- a/src/core/message/Json.cpp
+++ b/src/core/message/Json.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Digits after which every double reads back as itself.
+/// Significant digits with which every double reads back as itself.
 constexpr int kDoubleDigits = 17;
 
 Json::CharReaderBuilder StrictReader(int aMaxDepth)
@@ -22,13 +22,14 @@
   return builder;
 }
 
-/// Building the settings costs as much as reading a small message, so those of
-/// the usual depth are kept.
+/// Building the settings costs as much as parsing a small message, so those for
+/// the default depth are cached.
 std::unique_ptr<Json::CharReader> ReaderFor(int aMaxDepth)
 {
-  static const Json::CharReaderBuilder sUsual = StrictReader(kDefaultMaxDepth);
+  static const Json::CharReaderBuilder sDefault =
+    StrictReader(kDefaultMaxDepth);
   return std::unique_ptr<Json::CharReader>(
-    aMaxDepth == kDefaultMaxDepth ? sUsual.newCharReader()
+    aMaxDepth == kDefaultMaxDepth ? sDefault.newCharReader()
                                   : StrictReader(aMaxDepth).newCharReader());
 }
 
@@ -41,9 +42,9 @@
   return builder;
 }
 
-absl::Status Refuse(const std::string& aWhy)
+absl::Status ParseError(const std::string& aReason)
 {
-  return absl::InvalidArgumentError("not acceptable as JSON: " + aWhy);
+  return absl::InvalidArgumentError("not acceptable as JSON: " + aReason);
 }
 
 } // namespace
@@ -66,25 +67,25 @@
                                       JsonLimits aLimits)
 {
   if (aText.size() > aLimits.mMaxBytes) {
-    return Refuse("found " + std::to_string(aText.size()) +
-                  " bytes, allowed at most " +
-                  std::to_string(aLimits.mMaxBytes));
+    return ParseError("found " + std::to_string(aText.size()) +
+                      " bytes, allowed at most " +
+                      std::to_string(aLimits.mMaxBytes));
   }
   if (!IsUtf8(aText)) {
-    return Refuse("found bytes that are not UTF-8");
+    return ParseError("found bytes that are not UTF-8");
   }
   const std::unique_ptr<Json::CharReader> reader = ReaderFor(aLimits.mMaxDepth);
   Json::Value value;
   std::string errors;
-  // The library throws where the nesting passes its limit.
+  // JsonCpp throws when the nesting exceeds its limit.
   try {
     if (!reader->parse(
           aText.data(), aText.data() + aText.size(), &value, &errors)) {
-      return Refuse(errors);
+      return ParseError(errors);
     }
   } catch (const std::exception& error) {
-    return Refuse(std::string(error.what()) +
-                  " Allowed depth: " + std::to_string(aLimits.mMaxDepth) + ".");
+    return ParseError(std::string(error.what()) + " Allowed depth: " +
+                      std::to_string(aLimits.mMaxDepth) + ".");
   }
   return value;
 }
--- a/src/core/message/Json.h
+++ b/src/core/message/Json.h
@@ -21,7 +21,7 @@
 /// Reads one JSON object or array. Strict: no trailing text, no duplicate keys,
 /// no NaN or infinity, valid UTF-8 only; comments between the members of an
 /// object are skipped by the library. InvalidArgument names the line and
-/// column, or the bound that was passed.
+/// column, or the bound that was exceeded.
 absl::StatusOr<Json::Value> ParseJson(std::string_view aText,
                                       JsonLimits aLimits = {});
 
@@ -29,7 +29,7 @@
 /// every digit that is needed to read the same value back.
 std::string FormatJson(const Json::Value& aValue);
 
-/// Several indented lines, for people.
+/// Several indented lines, for human readers.
 std::string FormatJsonIndented(const Json::Value& aValue);
 
 /// True when every byte belongs to a valid UTF-8 sequence.
--- a/src/core/message/detail/CellRecordFields.h
+++ b/src/core/message/detail/CellRecordFields.h
@@ -3,7 +3,7 @@
 #include "src/core/cell/CellRecords.h"
 #include "src/core/message/detail/CommonFields.h"
 
-/// Fields of what a cell keeps in the store.
+/// Fields of the records that a cell keeps in the store.
 namespace foxtailbarrow::detail {
 
 inline constexpr TextRule kPayloadRule{ std::size_t{ 16 } * 1024 };
--- a/src/core/message/detail/CellWorkerFields.h
+++ b/src/core/message/detail/CellWorkerFields.h
@@ -3,7 +3,7 @@
 #include "src/core/cell/CellMessages.h"
 #include "src/core/message/detail/CommonFields.h"
 
-/// Fields of what an agent tells of its worker.
+/// Fields of what an agent reports about its worker.
 namespace foxtailbarrow::detail {
 
 template<typename Visitor, Is<cell::WorkerInfo> Message>
--- a/src/core/message/detail/ContractFields.h
+++ b/src/core/message/detail/ContractFields.h
@@ -47,7 +47,7 @@
   aVisitor.Optional("urgentAllowed", aMessage.mUrgentAllowed);
 }
 
-/// As it travels between processes.
+/// As sent between processes.
 template<typename Visitor, Is<Contract> Message>
 void Fields(Visitor& aVisitor, Message& aMessage)
 {
--- a/src/core/message/detail/Define.h
+++ b/src/core/message/detail/Define.h
@@ -9,7 +9,7 @@
 
 namespace foxtailbarrow::detail {
 
-/// `T` is `Message`, const when it is written and plain when it is read.
+/// `T` is `Message`, const for writing and non-const for reading.
 template<typename T, typename Message>
 concept Is = std::same_as<std::remove_const_t<T>, Message>;
 
--- a/src/core/message/detail/FieldPath.h
+++ b/src/core/message/detail/FieldPath.h
@@ -5,8 +5,8 @@
 
 namespace foxtailbarrow::detail {
 
-/// Where a value stands in a document. Links to its parent on the stack, so
-/// that text is only built for a problem.
+/// Path of a value in a document. Links to its parent on the stack, so that the
+/// text is only built to report a problem.
 class FieldPath
 {
 public:
--- a/src/core/message/detail/FieldRules.h
+++ b/src/core/message/detail/FieldRules.h
@@ -15,7 +15,7 @@
 inline constexpr std::size_t kMaxListItems = 65'536;
 inline constexpr double kMaxNumber = 1e12;
 
-/// Bounds of a number, both allowed.
+/// Bounds of a number, inclusive.
 template<typename T>
 struct NumberRule
 {
@@ -40,12 +40,12 @@
 struct AddressRule
 {};
 
-/// Nothing beyond what the type itself demands.
+/// No restriction beyond that of the type.
 struct NoRule
 {};
 
-/// Rule that applies where a table of fields gives none. No number of ours is
-/// ever negative.
+/// Rule used when a table of fields gives none. Numbers in messages are never
+/// negative.
 template<typename T>
 struct DefaultRule
 {
--- a/src/core/message/detail/ObjectReader.h
+++ b/src/core/message/detail/ObjectReader.h
@@ -17,12 +17,12 @@
 
 namespace foxtailbarrow::detail {
 
-/// Most messages have no more, so that reading one allocates nothing for names.
+/// Most messages have no more fields, so that their names need no allocation.
 inline constexpr std::size_t kTypicalFields = 16;
 
 class RowReader;
 
-/// A message that is written as one text: ToString() and Parse() of its own.
+/// A message that is written as one string, by its ToString() and ParseText().
 template<typename T>
 concept HasTextForm = requires(const T& aMessage, T& aTarget)
 {
@@ -31,8 +31,8 @@
     } -> std::same_as<bool>;
 };
 
-/// A message that is written as a row, an array of its columns: for lists that
-/// are long and sent often, without the names of the fields.
+/// A message that is written as a row, an array of its columns without field
+/// names: for lists that are long and sent often.
 template<typename T>
 concept HasColumns = requires(RowReader& aReader, T& aTarget)
 {
@@ -53,7 +53,7 @@
   {
   }
 
-  /// Reads the field, or notes that it is missing.
+  /// Reads the field, or reports that it is missing.
   template<typename T, typename Rule = decltype(DefaultRule<T>::kValue)>
   void Required(const char* aName,
                 T& aField,
@@ -67,7 +67,7 @@
       { FieldPath(mPath, aName).Text(), "nothing", "a value, required" });
   }
 
-  /// Reads the field where it is there, else leaves the default.
+  /// Reads the field if it is present, else leaves the default.
   template<typename T, typename Rule = decltype(DefaultRule<T>::kValue)>
   void Optional(const char* aName,
                 T& aField,
@@ -78,7 +78,7 @@
     }
   }
 
-  /// Call after the last field: notes every field that no one asked for.
+  /// Call after the last field: reports every field that was not requested.
   void Finish();
 
   /// Reads a whole value; entry point for the root of a document.
@@ -95,7 +95,7 @@
 private:
   friend class RowReader;
 
-  /// Null where the object has no such field.
+  /// Null when the object has no such field.
   const Json::Value* Find(std::string_view aName);
 
   template<typename T>
@@ -176,8 +176,8 @@
     }
   }
 
-  /// Enums by the texts of their ToString(), which says "unknown" after the
-  /// last variant.
+  /// Enums by the texts of their ToString(), which returns "unknown" after the
+  /// last value.
   template<typename T>
   requires(std::is_enum_v<T>) void Read(const Json::Value& aValue,
                                         const FieldPath& aPath,
@@ -256,7 +256,7 @@
             T& aTarget,
             NoRule);
 
-  /// A message with a Fields() table of its own.
+  /// A message with a Fields() table.
   template<typename T>
   requires(std::is_class_v<T> && !HasTextForm<T> &&
            !HasColumns<T>) void Read(const Json::Value& aValue,
@@ -294,7 +294,7 @@
   {
   }
 
-  /// Reads the next column, or notes that it is missing.
+  /// Reads the next column, or reports that it is missing.
   template<typename T, typename Rule = decltype(DefaultRule<T>::kValue)>
   void Required(T& aField, const Rule& aRule = DefaultRule<T>::kValue)
   {
@@ -307,7 +307,7 @@
     Optional(aField, aRule);
   }
 
-  /// Reads the next column where the row is that long.
+  /// Reads the next column if the row has it.
   template<typename T, typename Rule = decltype(DefaultRule<T>::kValue)>
   void Optional(T& aField, const Rule& aRule = DefaultRule<T>::kValue)
   {
@@ -318,7 +318,7 @@
     ++mNext;
   }
 
-  /// True when the row had no more columns than were asked for.
+  /// True when the row has no more columns than were requested.
   bool AtEnd() const { return mNext >= mRow.size(); }
 
 private:
--- a/src/core/message/detail/ObjectWriter.h
+++ b/src/core/message/detail/ObjectWriter.h
@@ -18,7 +18,7 @@
 class RowWriter;
 
 /// Builds a JSON object from the fields of one message: the writing visitor of
-/// the Fields() tables. Rules are the reader's business and ignored here.
+/// the Fields() tables. Rules apply only to reading and are ignored.
 class ObjectWriter
 {
 public:
@@ -28,7 +28,7 @@
     mObject[Json::StaticString(aName)] = Write(aField);
   }
 
-  /// Leaves out what is empty.
+  /// Omits an empty field.
   template<typename T, typename... Rule>
   void Optional(const char* aName, const T& aField, const Rule&...)
   {
@@ -81,7 +81,7 @@
     return list;
   }
 
-  /// One with a text form.
+  /// A message with a text form.
   template<typename T>
   requires requires(T& aTarget) { ParseText(std::string_view(), aTarget); }
   static Json::Value WriteClass(const T& aMessage)
@@ -89,7 +89,7 @@
     return Json::Value(ToString(aMessage));
   }
 
-  /// One with columns.
+  /// A message with columns.
   template<typename T>
   requires requires(RowWriter& aWriter, const T& aMessage)
   {
@@ -120,8 +120,8 @@
   {
     return aItems.empty();
   }
-  /// A message that says itself when there is nothing in it. Numbers and flags
-  /// have no empty value: zero is a value.
+  /// Messages with Empty() decide themselves. Numbers and flags have no empty
+  /// value: zero is a value.
   template<typename T>
   static bool IsEmpty(const T& aValue)
   {
@@ -136,7 +136,7 @@
 };
 
 /// Builds a row, an array of columns: the writing visitor of the Columns()
-/// tables. Empty optional columns at the end are left out.
+/// tables. Empty optional columns at the end are omitted.
 class RowWriter
 {
 public:
--- a/src/core/message/detail/Scalars.h
+++ b/src/core/message/detail/Scalars.h
@@ -10,8 +10,8 @@
 #include "src/core/message/detail/FieldPath.h"
 #include "src/core/message/detail/FieldRules.h"
 
-/// Reading of single JSON values. Each function returns false and appends a
-/// problem where the value breaks its rule; the target is then unchanged.
+/// Reading of single JSON values. Each function returns false, appends a
+/// problem and leaves the target unchanged when the value violates its rule.
 namespace foxtailbarrow::detail {
 
 /// Appends a problem about the value at `aPath`.
--- a/tests/message/RandomMessage.h
+++ b/tests/message/RandomMessage.h
@@ -10,8 +10,8 @@
 
 #include "src/core/message/detail/MessageFields.h"
 
-/// Draws messages through the codec's own tables of fields, so that a new
-/// field is covered without a change here.
+/// Generates random messages through the codec's tables of fields, so that new
+/// fields are covered automatically.
 namespace foxtailbarrow::detail {
 
 class RandomFields
--- a/tests/message/RoundTripTest.cpp
+++ b/tests/message/RoundTripTest.cpp
@@ -6,7 +6,7 @@
 namespace foxtailbarrow {
 namespace {
 
-struct Anything
+struct AnyValue
 {
   template<typename T>
   operator T() const; // NOLINT: stands for a value of any field
@@ -17,8 +17,8 @@
 template<typename T, typename... Members>
 consteval std::size_t MemberCount()
 {
-  if constexpr (requires { T{ Members{}..., Anything{} }; }) {
-    return MemberCount<T, Members..., Anything>();
+  if constexpr (requires { T{ Members{}..., AnyValue{} }; }) {
+    return MemberCount<T, Members..., AnyValue>();
   } else {
     return sizeof...(Members);
   }
