--- a/apps/agent/HeartbeatSender.cpp
+++ b/apps/agent/HeartbeatSender.cpp
@@ -37,7 +37,7 @@
 HeartbeatSettings ScheduleSettings(const AgentSettings& aSettings)
 {
   HeartbeatSettings settings;
-  settings.mShortest = aSettings.mHeartbeat;
+  settings.mMinInterval = aSettings.mHeartbeat;
   return settings;
 }
 
--- a/include/foxtailbarrow/Contract.h
+++ b/include/foxtailbarrow/Contract.h
@@ -7,21 +7,21 @@
 
 namespace foxtailbarrow {
 
-/// Revision of the platform's store at which a value was written. Later writes
-/// have greater revisions. 0 means "none".
+/// Store revision at which a value was written. Later writes have greater
+/// revisions. 0 = none.
 using Revision = std::int64_t;
 
-/// What a customer's batch work may use.
+/// Limits of a customer's batch work.
 struct BatchLimits
 {
-  Resources mTotal;                 ///< Over all workers together.
-  std::int32_t mMaxRunningJobs = 0; ///< Jobs running at a time.
+  Resources mTotal;                 ///< Sum over all workers.
+  std::int32_t mMaxRunningJobs = 0; ///< Running concurrently.
   double mSharePerWorker = 0.0;     ///< Of each worker's processors, 0..1.
 
   bool operator==(const BatchLimits&) const = default;
 };
 
-/// How much an outcome weighs in decisions about this customer's work, 0..100.
+/// Weights of outcomes in decisions about this customer's work, 0..100.
 struct PolicyWeights
 {
   double mTailLatency = 1.0;
@@ -30,21 +30,23 @@
   bool operator==(const PolicyWeights&) const = default;
 };
 
-/// The one document that an operator writes for a customer. Every limit of the
-/// system follows from it. Source: store key `/foxtailbarrow/contracts/<id>`.
+/// The document that an operator writes for a customer; all limits derive from
+/// it. Store key: `/foxtailbarrow/contracts/<id>`.
 struct Contract
 {
   CustomerId mCustomer;
   TeamId mTeam;       ///< Quotas are shared within a team.
-  ServiceId mService; ///< Service whose backend servers answer its requests.
+  ServiceId mService; ///< Service whose backend servers handle its requests.
   std::int32_t mMaxCopies = 0;      ///< Licensed copies that may run.
-  std::int32_t mMaxConcurrency = 0; ///< Requests in progress at a time.
-  double mRequestsPerSecond = 0.0;  ///< Admitted on average.
-  std::int32_t mBurst = 0;          ///< Admitted at once after a pause.
+  std::int32_t mMaxConcurrency = 0; ///< Concurrent requests.
+  double mRequestsPerSecond = 0.0;  ///< Average admission rate.
+  std::int32_t mBurst =
+    0; ///< Token bucket size: admitted at once after a pause.
   BatchLimits mBatch;
   PolicyWeights mWeights;
-  bool mUrgentAllowed = false; ///< Its urgent jobs may evict batch work.
-  Revision mRevision = 0;      ///< Set from the store, not by the operator.
+  bool mUrgentAllowed =
+    false;                ///< Whether its urgent jobs may evict batch work.
+  Revision mRevision = 0; ///< Set from the store, not by the operator.
 
   bool operator==(const Contract&) const = default;
 };
--- a/include/foxtailbarrow/Endpoint.h
+++ b/include/foxtailbarrow/Endpoint.h
@@ -8,10 +8,10 @@
 
 namespace foxtailbarrow {
 
-/// Address of a listening process: an IP number and a TCP port.
+/// Address of a listening process: an IPv4 address and a TCP port.
 struct Endpoint
 {
-  std::string mAddress; ///< IPv4 number, for example "127.0.0.1".
+  std::string mAddress; ///< IPv4 address, for example "127.0.0.1".
   std::uint16_t mPort = 0;
 
   // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14.
@@ -27,7 +27,7 @@
 /// "address:port".
 std::string ToString(const Endpoint& aEndpoint);
 
-/// Reverse of ToString(); nullopt unless it is an IPv4 number and a port in
+/// Reverse of ToString(); nullopt unless it is an IPv4 address and a port in
 /// 1..65535.
 std::optional<Endpoint> ParseEndpoint(std::string_view aText);
 
--- a/include/foxtailbarrow/Id.h
+++ b/include/foxtailbarrow/Id.h
@@ -7,8 +7,8 @@
 
 namespace foxtailbarrow {
 
-/// Text identifier with a type of its own, so that a worker's id cannot be
-/// passed where a customer's is meant.
+/// Strongly typed text identifier: a worker's id cannot be passed for a
+/// customer's.
 template<typename Tag>
 class Id
 {
@@ -22,7 +22,8 @@
   const std::string& Value() const { return mValue; }
   bool Empty() const { return mValue.empty(); }
 
-  // The check takes the generated comparison with 0 for a null pointer.
+  // False positive: clang-tidy takes the 0 of the generated comparison for a
+  // null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(const Id&) const = default;
 
--- a/include/foxtailbarrow/Job.h
+++ b/include/foxtailbarrow/Job.h
@@ -11,15 +11,15 @@
 
 namespace foxtailbarrow {
 
-/// Fencing epoch of an assignment: raised by one with every assignment of the
-/// job. A worker refuses an epoch lower than one that it has seen.
+/// Fencing epoch of an assignment, incremented with every assignment of the
+/// job. A worker refuses an epoch lower than the highest it has received.
 using Epoch = std::uint64_t;
 
 enum class JobKind : std::uint8_t
 {
-  Batch,     ///< Runs to an end; may be evicted and resumed (a report).
-  Exclusive, ///< Runs to an end, in one place at most (a restore rehearsal).
-  Standing,  ///< Runs until cancelled, in one place at most (a log follower).
+  Batch,     ///< Runs to completion; may be evicted and resumed (a report).
+  Exclusive, ///< Runs to completion, one instance at most (a restore test).
+  Standing,  ///< Runs until cancelled, one instance at most (a log reader).
 };
 
 enum class JobPriority : std::uint8_t
@@ -28,40 +28,40 @@
   Urgent, ///< Starts within 7.1 s; may evict batch work where allowed.
 };
 
-/// What the caller asked for. Never changes after it was accepted.
+/// A job as submitted. Immutable once accepted.
 struct JobSpec
 {
   JobId mId;
   CustomerId mCustomer;
   JobKind mKind = JobKind::Batch;
   JobPriority mPriority = JobPriority::Normal;
-  Resources mDeclared;         ///< Declared size; may be far off.
-  Duration mDeclaredRunTime{}; ///< Declared run time; may be far off.
-  std::string mProgram;        ///< Name of the program, opaque to us.
-  std::string mArguments;      ///< Opaque to us, at most 16 KiB.
+  Resources mDeclared;         ///< Declared size; may be very inaccurate.
+  Duration mDeclaredRunTime{}; ///< Declared run time; may be very inaccurate.
+  std::string mProgram;        ///< Name of the program, opaque here.
+  std::string mArguments;      ///< Opaque here, at most 16 KiB.
 
   bool operator==(const JobSpec&) const = default;
 };
 
 enum class JobState : std::uint8_t
 {
-  Queued,    ///< Accepted, waiting for a place.
-  Assigned,  ///< Given to an agent under an epoch; may be running.
-  Suspended, ///< Evicted with a checkpoint; waits for a place to resume.
-  Parked,    ///< Can never run as declared; the reason says why.
-  Finished,  ///< Ended with success. Final.
-  Failed,    ///< Ended without success too often. Final.
-  Cancelled, ///< Stopped at the customer's wish. Final.
+  Queued,    ///< Accepted, waiting for a worker.
+  Assigned,  ///< Assigned to an agent under an epoch; may be running.
+  Suspended, ///< Evicted with a checkpoint; waits for a worker to resume on.
+  Parked,    ///< Fits no worker or contract as declared; see the reason.
+  Finished,  ///< Succeeded. Final.
+  Failed,    ///< Reached the limit of failed attempts. Final.
+  Cancelled, ///< Stopped on the customer's request. Final.
 };
 
-/// Durable record of a job. Changed by compare-and-swap only.
-/// Source: store key `/foxtailbarrow/jobs/<shard>/<id>`.
+/// Durable record of a job, changed by compare-and-swap only.
+/// Store key: `/foxtailbarrow/jobs/<shard>/<id>`.
 struct JobRecord
 {
   JobSpec mSpec;
   JobState mState = JobState::Queued;
-  Epoch mEpoch = 0;              ///< Of the latest assignment; 0 = none yet.
-  std::optional<AgentId> mAgent; ///< Holder of the latest assignment.
+  Epoch mEpoch = 0; ///< Of the latest assignment; 0 = never assigned.
+  std::optional<AgentId> mAgent; ///< Agent of the latest assignment.
   std::string mCheckpoint;       ///< Reference to resume from; empty = none.
   std::int32_t mAttempts = 0;    ///< Assignments that ended in failure.
   std::int32_t mEvictions = 0;
--- a/include/foxtailbarrow/MethodNames.h
+++ b/include/foxtailbarrow/MethodNames.h
@@ -3,17 +3,17 @@
 /// JSON-RPC 2.0 methods between the system's processes; see Messages.h.
 namespace foxtailbarrow {
 
-// At an entry.
+// Served by an entry.
 inline constexpr char kHeartbeatMethod[] = "agent.heartbeat";
 inline constexpr char kJobChangedMethod[] = "entry.jobChanged";
 inline constexpr char kExplainJobMethod[] = "entry.explainJob";
 inline constexpr char kListJobsMethod[] = "entry.listJobs";
 
-// At an entry, of other entries; see Ownership.h.
+// Served by an entry for other entries; see Ownership.h.
 inline constexpr char kAttestMethod[] = "entry.attest";
 inline constexpr char kPromiseMethod[] = "entry.promise";
 
-// At an agent.
+// Served by an agent.
 inline constexpr char kAssignMethod[] = "agent.assign";
 inline constexpr char kControlMethod[] = "agent.control";
 inline constexpr char kRevokeMethod[] = "agent.revoke";
--- a/include/foxtailbarrow/Ownership.h
+++ b/include/foxtailbarrow/Ownership.h
@@ -7,18 +7,18 @@
 #include "foxtailbarrow/Messages.h"
 #include "foxtailbarrow/Store.h"
 
-/// Messages between entries about the tenures under which shards are held,
-/// carried by JSON-RPC 2.0. A tenure is one unbroken membership of an entry
-/// under one store lease and covers all shards that it holds by that lease.
+/// Messages between entries about the tenures under which shards are owned,
+/// carried by JSON-RPC 2.0. A tenure is one uninterrupted membership of an
+/// entry under one store lease; it covers all shards held with that lease.
 namespace foxtailbarrow {
 
-/// `entry.attest`, owner to voter, while the owner cannot reach the store: do
-/// you know of nobody who ended my tenure?
+/// `entry.attest`, owner to voter, while the owner cannot reach the store: asks
+/// for confirmation that the voter knows of nobody who ended the tenure.
 struct AttestRequest
 {
   EntryId mOwner;
   StoreLease mTenure = 0;
-  std::uint64_t mSequence = 0; ///< Names the sending; echoed.
+  std::uint64_t mSequence = 0; ///< Identifies the message; echoed.
 };
 
 struct AttestReply
@@ -29,16 +29,16 @@
   bool mAttested = false;
 };
 
-/// `entry.promise`, successor to voter, once the store shows these tenures
-/// ended: never attest them again.
+/// `entry.promise`, successor to voter, after the store showed that these
+/// tenures ended: the voter must never attest them again.
 struct PromiseRequest
 {
   EntryId mSuccessor;
   std::vector<StoreLease> mTenures;
-  std::uint64_t mSequence = 0; ///< Names the sending; echoed.
+  std::uint64_t mSequence = 0; ///< Identifies the message; echoed.
 };
 
-/// Promises every tenure of the request.
+/// Gives the promise for every tenure of the request.
 struct PromiseReply
 {
   EntryId mVoter;
--- a/include/foxtailbarrow/Reason.h
+++ b/include/foxtailbarrow/Reason.h
@@ -6,8 +6,8 @@
 
 namespace foxtailbarrow {
 
-/// Why a decision fell as it did. Each refusal, placement, eviction, ejection
-/// and quarantine leaves one; the state dump and `jobs explain` show its text.
+/// Cause of a decision. Recorded with each refusal, placement, eviction,
+/// ejection and quarantine; shown in the state dump and by `jobs explain`.
 enum class Reason : std::uint8_t
 {
   None,
@@ -22,7 +22,7 @@
   Overload,
   RetryBudgetSpent,
   DuplicateRequest,
-  KeyHolderLost, ///< An agent that may know the idempotency key is gone.
+  KeyHolderLost, ///< An agent that may know the idempotency key is lost.
   // Jobs.
   WaitingForCapacity,
   WaitingForQuota,
--- a/include/foxtailbarrow/Resources.h
+++ b/include/foxtailbarrow/Resources.h
@@ -5,7 +5,7 @@
 
 namespace foxtailbarrow {
 
-/// Amount of a worker's resources. All fields are >= 0 once checked.
+/// Amount of a worker's resources. All fields are >= 0 after validation.
 struct Resources
 {
   std::int64_t mMillicores = 0;   ///< Processors, in thousandths of a core.
@@ -30,7 +30,7 @@
     return *this;
   }
 
-  /// True when every field of this is at most that of `aLimit`.
+  /// True if every field is at most that of `aLimit`.
   bool FitsIn(const Resources& aLimit) const
   {
     return mMillicores <= aLimit.mMillicores && mMemoryMb <= aLimit.mMemoryMb &&
--- a/include/foxtailbarrow/Store.h
+++ b/include/foxtailbarrow/Store.h
@@ -14,23 +14,23 @@
 
 namespace foxtailbarrow {
 
-/// Lease granted by the store. Keys attached to it vanish when it lapses.
+/// Lease granted by the store. Keys attached to it are deleted when it expires.
 using StoreLease = std::int64_t;
 
-/// One key as the store held it.
+/// A key with its value and revision.
 struct StoreEntry
 {
   std::string mKey;
   std::string mValue;
   Revision mModRevision = 0;
   StoreLease mLease = 0; ///< 0 = none.
-  /// Revision of the whole store when it answered; 0 = not told. A watch from
-  /// here needs no older history.
+  /// Revision of the whole store at the time of the reply; 0 = unknown. A watch
+  /// from here needs no older history.
   Revision mStoreRevision = 0;
 };
 
-/// From where a watch brings all changes after this answer. The entry's own
-/// revision may be older than the store's history.
+/// Revision from which a watch reports all changes after this reply. The
+/// entry's own revision may be older than the history that the store keeps.
 inline Revision WatchStart(const StoreEntry& aEntry)
 {
   return aEntry.mStoreRevision > aEntry.mModRevision ? aEntry.mStoreRevision
@@ -44,15 +44,15 @@
   Revision mRevision = 0;
 };
 
-/// Condition of a transaction: the key's mod revision must equal this; 0 means
-/// that the key must not exist.
+/// Condition of a transaction: the key's mod revision must be equal; 0 = the
+/// key must not exist.
 struct StoreCompare
 {
   std::string mKey;
   Revision mModRevision = 0;
 };
 
-/// Write of a transaction. No value means: delete the key.
+/// Write of a transaction. No value = delete the key.
 struct StoreWrite
 {
   std::string mKey;
@@ -60,7 +60,7 @@
   StoreLease mLease = 0; ///< 0 = none.
 };
 
-/// Applied as a whole when every compare holds, else not at all. At most 128
+/// Applied atomically if every compare holds, else not at all. At most 128
 /// compares and 128 writes.
 struct StoreTransaction
 {
@@ -72,12 +72,12 @@
 {
   bool mApplied = false; ///< False when a compare failed.
   Revision mRevision = 0;
-  /// Where a compare failed and the store tells: the compared keys that exist,
-  /// as they are now.
+  /// If a compare failed and the store reports it: the current state of the
+  /// compared keys that exist.
   std::vector<StoreEntry> mCurrent{};
 };
 
-/// A change seen by a watch. No value means: the key was deleted.
+/// A change reported by a watch. No value = the key was deleted.
 struct StoreEvent
 {
   std::string mKey;
@@ -85,19 +85,20 @@
   Revision mModRevision = 0;
 };
 
-/// The platform's key-value service. Every method is one counted call, except
-/// Watch(), which counts as one waiting call while it is open. Methods suspend
-/// the calling fiber. An error carries a Verdict (VerdictOf()): NotRun when the
-/// store certainly did not apply the call, MayHaveRun when the reply was lost.
+/// Interface to the platform's key-value store. Every method counts as one
+/// call, except Watch(), which counts as one open call until it returns.
+/// Methods suspend the calling fiber. Errors carry a Verdict (VerdictOf()):
+/// NotRun if the store certainly did not apply the call, MayHaveRun if the
+/// reply was lost.
 class Store
 {
 public:
   virtual ~Store() = default;
 
-  /// One key; NotFound when it does not exist.
+  /// Reads a key; NotFound if it does not exist.
   virtual absl::StatusOr<StoreEntry> Read(std::string_view aKey) = 0;
 
-  /// Every key that starts with `aPrefix`, sorted by key.
+  /// Lists every key with the prefix `aPrefix`, sorted by key.
   virtual absl::StatusOr<StoreListing> List(std::string_view aPrefix) = 0;
 
   virtual absl::StatusOr<StoreTransactionResult> Commit(
@@ -105,15 +106,15 @@
 
   virtual absl::StatusOr<StoreLease> GrantLease(Duration aTtl) = 0;
 
-  /// Returns the renewed time to live; NotFound when the lease has lapsed.
+  /// Returns the renewed time to live; NotFound if the lease has expired.
   virtual absl::StatusOr<Duration> KeepAlive(StoreLease aLease) = 0;
 
   virtual absl::Status RevokeLease(StoreLease aLease) = 0;
 
   /// Calls `aOnEvents` for every change under `aPrefix` after `aFrom`, in
   /// revision order, until it returns false or the connection breaks; then
-  /// returns the reason. It may be called without events, as a sign that the
-  /// store was reached. The caller lists again and watches anew.
+  /// returns the reason. A call without events means that the store is
+  /// reachable. After a return the caller must list and watch again.
   virtual absl::Status Watch(
     std::string_view aPrefix,
     Revision aFrom,
--- a/include/foxtailbarrow/Time.h
+++ b/include/foxtailbarrow/Time.h
@@ -9,11 +9,11 @@
 /// Time span used by all decision logic, in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// Time that goes on while the machine is suspended, as it does for every other
-/// machine: CLOCK_BOOTTIME. std::chrono::steady_clock stands still meanwhile,
-/// so that after 5 s of suspension a lease of 3.5 s that others have waited out
-/// would still be in force here. A type of its own: the two do not mix. Timers
-/// may use the steady clock, where waking late does no harm.
+/// CLOCK_BOOTTIME, which also advances while the machine is suspended.
+/// std::chrono::steady_clock stops meanwhile: after 5 s of suspension a lease
+/// of 3.5 s, expired for every other process, would still be valid here. A
+/// separate type, so that the two clocks cannot be mixed. Timers may use the
+/// steady clock where a late wake-up is harmless.
 struct BootClock
 {
   using duration = Duration;
@@ -32,26 +32,26 @@
   }
 };
 
-/// Monotonic time of one process. Passed into decision logic as `aNow`; never
-/// compared between processes.
+/// Monotonic time of one process. Passed into decision logic as `aNow`; not
+/// comparable between processes.
 using Instant = BootClock::time_point;
 
-/// Rounded down; for logs and messages.
+/// Whole milliseconds, truncated; for logs and messages.
 constexpr std::int64_t WholeMilliseconds(Duration aDuration)
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(aDuration)
     .count();
 }
 
-/// Reads the process's monotonic clock. For shells only: decision logic takes
+/// Reads the process's monotonic clock. For I/O code only: decision logic takes
 /// the time as an argument.
 inline Instant MonotonicNow()
 {
   return BootClock::now();
 }
 
-/// Time of day in milliseconds since 1970, as this machine has it. For shells
-/// only, as MonotonicNow(); it may jump.
+/// This machine's wall clock in milliseconds since 1970; it may jump. For I/O
+/// code only, as MonotonicNow().
 inline std::int64_t UnixMsNow()
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/include/foxtailbarrow/Worker.h
+++ b/include/foxtailbarrow/Worker.h
@@ -15,13 +15,14 @@
 
 namespace foxtailbarrow {
 
-/// Names one run of a job: the job and the epoch of its assignment.
+/// Identifies one run of a job: the job and the epoch of its assignment.
 struct TaskKey
 {
   JobId mJob;
   Epoch mEpoch = 0;
 
-  // The check takes the generated comparison with 0 for a null pointer.
+  // False positive: clang-tidy takes the 0 of the generated comparison for a
+  // null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(const TaskKey&) const = default;
 
@@ -32,17 +33,17 @@
   }
 };
 
-/// What a worker needs to start a task.
+/// Parameters for starting a task on a worker.
 struct TaskStart
 {
   TaskKey mKey;
   CustomerId mCustomer;
   JobKind mKind = JobKind::Batch;
-  Resources mResources; ///< Reserved on the worker while the task is there.
+  Resources mResources; ///< Reserved on the worker while the task exists.
   std::string mProgram;
   std::string mArguments;
   std::string mCheckpoint; ///< Resume from here; empty = from the start.
-  Duration mLease{};       ///< The worker stops the task when it lapses.
+  Duration mLease{};       ///< The worker stops the task when it expires.
 
   bool operator==(const TaskStart&) const = default;
 };
@@ -50,16 +51,16 @@
 enum class TaskState : std::uint8_t
 {
   Running,
-  Finished,     ///< Ended by itself with success.
-  Failed,       ///< Ended by itself without success, or could not start.
+  Finished,     ///< Exited successfully.
+  Failed,       ///< Exited with a failure, or could not start.
   Checkpointed, ///< Stopped after writing a checkpoint.
-  Stopped,      ///< Stopped on request, or because its lease lapsed.
+  Stopped,      ///< Stopped on request, or because its lease expired.
 };
 
 std::string_view ToString(TaskState aState);
 std::optional<TaskState> ParseTaskState(std::string_view aText);
 
-/// A task as its worker knows it.
+/// State of a task as reported by its worker.
 struct TaskStatus
 {
   TaskKey mKey;
@@ -73,17 +74,17 @@
   bool operator==(const TaskStatus&) const = default;
 };
 
-/// Usage measured over a past window. Arrives late.
+/// Usage measured over a past window. May arrive late.
 struct UsageSample
 {
   TaskKey mKey;
   Resources mUsed; ///< Mean over the window.
-  Duration mAge{}; ///< From the middle of the window until the report.
+  Duration mAge{}; ///< Time from the middle of the window to the report.
 
   bool operator==(const UsageSample&) const = default;
 };
 
-/// Size of a worker and what runs on it.
+/// Capacity of a worker and the tasks on it.
 struct WorkerView
 {
   Resources mCapacity;
@@ -93,10 +94,10 @@
   bool operator==(const WorkerView&) const = default;
 };
 
-/// The platform's worker. Every method suspends the calling fiber; errors carry
-/// a Verdict. The worker refuses an epoch lower than the highest it has seen
-/// for a job (FailedPrecondition), and a second start of the same key succeeds
-/// without a second run.
+/// Interface to the platform's worker. Every method suspends the calling fiber;
+/// errors carry a Verdict. The worker refuses an epoch lower than the highest
+/// it has received for a job (FailedPrecondition). Starting the same key again
+/// succeeds without a second run.
 class Worker
 {
 public:
@@ -109,7 +110,7 @@
   virtual absl::Status Renew(std::span<const TaskKey> aKeys,
                              Duration aLease) = 0;
 
-  /// Writes a checkpoint, stops the task, returns the checkpoint's reference.
+  /// Writes a checkpoint, stops the task and returns the checkpoint reference.
   virtual absl::StatusOr<std::string> Checkpoint(const TaskKey& aKey) = 0;
 
   /// Limits the task to this fraction of its processors, 0 < fraction <= 1.
@@ -117,7 +118,7 @@
 
   virtual absl::Status Stop(const TaskKey& aKey) = 0;
 
-  /// Lets the worker forget ended tasks.
+  /// Lets the worker discard ended tasks.
   virtual absl::Status Acknowledge(std::span<const TaskKey> aKeys) = 0;
 };
 
--- a/src/core/colocation/ColocationAction.h
+++ b/src/core/colocation/ColocationAction.h
@@ -13,7 +13,7 @@
   double mFraction = 1.0;
 };
 
-/// Checkpoint the task and give its place up, for the service's latency.
+/// Evict the task with a checkpoint, to restore the service's latency.
 struct EvictBatch
 {
   TaskKey mKey;
--- a/src/core/colocation/ColocationGuard.cpp
+++ b/src/core/colocation/ColocationGuard.cpp
@@ -10,10 +10,10 @@
 
 constexpr Duration kHistory = std::chrono::minutes(2);
 
-/// Windows kept while nobody judges them.
+/// Maximum of windows waiting for evaluation.
 constexpr std::size_t kMaxWindows = 64;
 
-/// Excess after a step back, within this time, is blamed on it.
+/// Excess within this time after raising a fraction is attributed to the raise.
 constexpr Duration kRaiseTrial = std::chrono::seconds(30);
 
 /// Range of ToleranceFactor().
@@ -22,7 +22,7 @@
 
 constexpr double kMinWeight = 0.01;
 
-/// What a task uses at the fraction; < 0 = not known.
+/// Expected usage of a task at the fraction; < 0 = unknown.
 double UsedAt(double aFullUse, double aFraction)
 {
   return aFullUse < 0.0 ? -1.0 : aFullUse * aFraction;
@@ -77,22 +77,22 @@
 
 std::vector<ColocationAction> ColocationGuard::Advance(Instant aNow)
 {
-  std::vector<ColocationAction> acts;
+  std::vector<ColocationAction> actions;
   while (!mWindows.empty() &&
          mWindows.front().mEnd + mSettings.mUsageWait <= aNow) {
     EvaluateWindow(mWindows.front());
     mWindows.pop_front();
   }
-  ThrottleAhead(aNow, acts);
-  if (!acts.empty() || aNow < mSteppedAt + mSettings.mCoolDown) {
-    return acts;
+  ThrottleAhead(aNow, actions);
+  if (!actions.empty() || aNow < mSteppedAt + mSettings.mCoolDown) {
+    return actions;
   }
-  if (mBad >= mSettings.mBadWindows) {
-    ThrottleOrEvict(aNow, acts);
-  } else if (mGood >= mSettings.mGoodWindows) {
-    RelaxThrottle(aNow, acts);
+  if (mBadInRow >= mSettings.mBadWindows) {
+    ThrottleOrEvict(aNow, actions);
+  } else if (mGoodInRow >= mSettings.mGoodWindows) {
+    RelaxThrottle(aNow, actions);
   }
-  return acts;
+  return actions;
 }
 
 void ColocationGuard::EvaluateWindow(const LatencyWindow& aWindow)
@@ -108,15 +108,15 @@
     return;
   }
   mExcess = mModel.ExcessOf(aWindow);
-  const double bearable = AllowedExcess();
-  mBad = mExcess > bearable ? mBad + 1 : 0;
-  const double well =
-    bearable * mSettings.mRecoveredExcess / mSettings.mMaxExcess;
-  mGood = mExcess < well ? mGood + 1 : 0;
+  const double allowed = AllowedExcess();
+  mBadInRow = mExcess > allowed ? mBadInRow + 1 : 0;
+  const double recovered =
+    allowed * mSettings.mRecoveredExcess / mSettings.mMaxExcess;
+  mGoodInRow = mExcess < recovered ? mGoodInRow + 1 : 0;
 }
 
-/// How much more excess, and for how much longer, is borne to spare an
-/// eviction of that weight.
+/// Factor of the excess and of its duration that are tolerated, by the weight
+/// of evictions relative to tail latency.
 double ColocationGuard::ToleranceFactor(double aEvictionWeight) const
 {
   const double ratio = std::max(kMinWeight, aEvictionWeight) /
@@ -153,9 +153,9 @@
 {
   ColocatedTask* worst = nullptr;
   for (ColocatedTask& task : mTasks) {
-    const bool isOpen =
+    const bool isEligible =
       MayThrottle(task) || (!aToThrottle && task.mEvictable && MayAct(task));
-    if (isOpen && InterferenceOf(task) > 0.0 &&
+    if (isEligible && InterferenceOf(task) > 0.0 &&
         (worst == nullptr || InterferenceOf(task) > InterferenceOf(*worst))) {
       worst = &task;
     }
@@ -163,8 +163,8 @@
   return worst;
 }
 
-void ColocationGuard::Halve(ColocatedTask& aTask,
-                            std::vector<ColocationAction>& aActions)
+void ColocationGuard::HalveFraction(ColocatedTask& aTask,
+                                    std::vector<ColocationAction>& aActions)
 {
   SetFraction(
     aTask, std::max(mSettings.mMinFraction, aTask.mFraction / 2), aActions);
@@ -182,7 +182,7 @@
 
 void ColocationGuard::OnStepTaken(Instant aNow)
 {
-  mBad = mGood = 0;
+  mBadInRow = mGoodInRow = 0;
   mSteppedAt = aNow;
   mHistory.Set(mTasks, aNow);
 }
@@ -195,7 +195,7 @@
     if (worst == nullptr) {
       break;
     }
-    Halve(*worst, aActions);
+    HalveFraction(*worst, aActions);
   }
   if (!aActions.empty()) {
     OnStepTaken(aNow);
@@ -211,14 +211,14 @@
   }
   if (MayThrottle(*worst)) {
     ExtendBackOff(*worst, aNow);
-    Halve(*worst, aActions);
+    HalveFraction(*worst, aActions);
     OnStepTaken(aNow);
     return;
   }
-  // An eviction wastes more than a throttle, so that the case must be clearer.
+  // An eviction loses more work than a throttle, so require more bad windows.
   const double needed =
     2.0 * mSettings.mBadWindows * ToleranceFactor(worst->mEvictionWeight);
-  if (mBad >= needed) {
+  if (mBadInRow >= needed) {
     mStates[worst->mKey].mEvicting = true;
     aActions.emplace_back(EvictBatch{ worst->mKey });
     OnStepTaken(aNow);
@@ -243,12 +243,12 @@
     return false;
   }
   const auto backOff = mBackOffs.find(aTask.mClass);
-  const bool isHeld =
+  const bool isBackingOff =
     backOff != mBackOffs.end() && backOff->second.mUntil > aNow;
-  // The raise doubles the task's own part of what is expected.
+  // Raising doubles the task's own part of the expected excess.
   const double raised =
     mModel.ExpectedExcess(mTasks, mLevel) + InterferenceOf(aTask);
-  return !isHeld && raised <= AllowedExcess();
+  return !isBackingOff && raised <= AllowedExcess();
 }
 
 void ColocationGuard::RelaxThrottle(Instant aNow,
--- a/src/core/colocation/ColocationGuard.h
+++ b/src/core/colocation/ColocationGuard.h
@@ -17,32 +17,34 @@
 
 struct ColocationSettings
 {
-  /// Excess of the service's tail over its calm one that is too much, and that
-  /// is well again, where tail latency and evictions weigh the same.
+  /// Excess of the service's tail latency over the baseline above which tasks
+  /// are throttled, and below which throttles are relaxed, for equal weights of
+  /// tail latency and evictions.
   double mMaxExcess = 0.5;
   double mRecoveredExcess = 0.15;
-  int mBadWindows = 3;   ///< In a row, before a step against a task.
-  int mGoodWindows = 10; ///< In a row, before a step back.
+  int mBadWindows = 3;   ///< In a row, before throttling.
+  int mGoodWindows = 10; ///< In a row, before relaxing.
   Duration mCoolDown = std::chrono::seconds(3); ///< Between two steps.
-  Duration mBackOff = std::chrono::seconds(20); ///< After a step back failed.
+  Duration mBackOff = std::chrono::seconds(20); ///< After relaxing failed.
   Duration mMaxBackOff = std::chrono::minutes(10);
-  double mMinFraction = 0.25; ///< Below it, batch tasks are evicted.
-  /// A window is judged this long after its end, when usage has come in.
+  double mMinFraction = 0.25; ///< At it, batch tasks are evicted instead.
+  /// Delay before a window is evaluated, so that usage reports can arrive.
   Duration mUsageWait = std::chrono::seconds(3);
 };
 
-/// Keeps batch work beside a service from hurting the service's tail latency.
+/// Limits the interference of colocated tasks with a service's tail latency.
 ///
-/// Inputs: the tasks here, their late usage, the service's own latencies by
-/// window, the contract's weights. Output: steps against the task that is
-/// learned to hurt most: throttle by halves, then evict (batch only).
+/// Inputs: the tasks on the worker, their usage (reported late), the service's
+/// latencies per window, the contract's weights. Output: actions on the task
+/// with the largest learned interference: halve its processors repeatedly, then
+/// evict it (batch only).
 ///
-/// Promises: a measurement counts for the placement in force when it was taken,
-/// and none taken before the latest step leads to another; steps are a
-/// cool-down apart; a step back that made matters bad again is not repeated for
-/// a growing time. The heavier evictions weigh against tail latency, the more
-/// excess is borne and the longer it must last. Not safe for use by several
-/// threads.
+/// Guarantees: a measurement is attributed to the placement in force when it
+/// was taken, and only measurements taken after the latest step lead to
+/// another; steps are at least a cool-down apart; a relaxed throttle that
+/// caused excess again is not retried for an exponentially growing time. The
+/// larger the weight of evictions relative to tail latency, the more and the
+/// longer excess is tolerated. Not thread-safe.
 class ColocationGuard
 {
 public:
@@ -51,18 +53,18 @@
   /// Weight of the service's tail latency, from its customers' contracts.
   void SetLatencyWeight(double aWeight) { mLatencyWeight = aWeight; }
 
-  /// The tasks from now on; mFraction and mUsed are ignored.
+  /// Sets the current tasks; mFraction and mUsed are ignored.
   void SetTasks(std::vector<ColocatedTask> aTasks, Instant aNow);
 
-  /// `aUsed`: part of the worker's processors.
+  /// `aUsed`: fraction of the worker's processors.
   void OnUsage(const TaskKey& aKey, double aUsed, Instant aTakenAt);
 
   void OnLatencies(const LatencyWindow& aWindow);
 
-  /// The steps to take now.
+  /// Returns the actions to perform now.
   std::vector<ColocationAction> Advance(Instant aNow);
 
-  /// Of the window judged last.
+  /// Of the last evaluated window.
   double Excess() const { return mExcess; }
   double FractionOf(const TaskKey& aKey) const;
 
@@ -72,7 +74,7 @@
     double mFraction = 1.0;
     bool mEvicting = false;
     Instant mRaisedAt{};
-    double mFullUse = -1.0; ///< Used at full speed; < 0 = not known.
+    double mFullUse = -1.0; ///< Usage at full speed; < 0 = unknown.
   };
 
   struct BackOff
@@ -85,7 +87,8 @@
   void ThrottleOrEvict(Instant aNow, std::vector<ColocationAction>& aActions);
   void RelaxThrottle(Instant aNow, std::vector<ColocationAction>& aActions);
   void ThrottleAhead(Instant aNow, std::vector<ColocationAction>& aActions);
-  void Halve(ColocatedTask& aTask, std::vector<ColocationAction>& aActions);
+  void HalveFraction(ColocatedTask& aTask,
+                     std::vector<ColocationAction>& aActions);
   void SetFraction(ColocatedTask& aTask,
                    double aFraction,
                    std::vector<ColocationAction>& aActions);
@@ -105,11 +108,11 @@
   std::map<TaskKey, State> mStates;
   PlacementHistory mHistory;
   InterferenceModel mModel;
-  std::deque<LatencyWindow> mWindows; ///< Not yet judged, oldest first.
-  std::size_t mLevel = 0;             ///< Of the window judged last.
+  std::deque<LatencyWindow> mWindows; ///< Not yet evaluated, oldest first.
+  std::size_t mLevel = 0;             ///< Of the last evaluated window.
   double mExcess = 0.0;
-  int mBad = 0;
-  int mGood = 0;
+  int mBadInRow = 0;
+  int mGoodInRow = 0;
   Instant mSteppedAt{};
   std::map<std::string, BackOff> mBackOffs; ///< By class.
 };
--- a/src/core/colocation/ColocationPolicy.cpp
+++ b/src/core/colocation/ColocationPolicy.cpp
@@ -41,19 +41,19 @@
   }
 }
 
-void See(StaticThreshold& aPolicy, const LatencyWindow& aWindow)
+void Update(StaticThreshold& aPolicy, const LatencyWindow& aWindow)
 {
   if (TailOf(aWindow) <= aPolicy.mLatency) {
-    aPolicy.mBad = 0;
+    aPolicy.mBadInRow = 0;
     if (aPolicy.mThrottled) {
       ThrottleAll(aPolicy, 1.0);
     }
     return;
   }
-  if (++aPolicy.mBad < aPolicy.mBadWindows) {
+  if (++aPolicy.mBadInRow < aPolicy.mBadWindows) {
     return;
   }
-  aPolicy.mBad = 0;
+  aPolicy.mBadInRow = 0;
   if (aPolicy.mThrottled) {
     EvictLargest(aPolicy);
   } else {
@@ -94,19 +94,19 @@
   if (auto* const guard = std::get_if<ColocationGuard>(&aPolicy)) {
     guard->OnLatencies(aWindow);
   } else if (auto* const fixed = std::get_if<StaticThreshold>(&aPolicy)) {
-    See(*fixed, aWindow);
+    Update(*fixed, aWindow);
   }
 }
 
 std::vector<ColocationAction> Advance(ColocationPolicy& aPolicy, Instant aNow)
 {
-  std::vector<ColocationAction> acts;
+  std::vector<ColocationAction> actions;
   if (auto* const guard = std::get_if<ColocationGuard>(&aPolicy)) {
-    acts = guard->Advance(aNow);
+    actions = guard->Advance(aNow);
   } else if (auto* const fixed = std::get_if<StaticThreshold>(&aPolicy)) {
-    acts.swap(fixed->mPending);
+    actions.swap(fixed->mPending);
   }
-  return acts;
+  return actions;
 }
 
 } // namespace foxtailbarrow
--- a/src/core/colocation/ColocationPolicy.h
+++ b/src/core/colocation/ColocationPolicy.h
@@ -12,11 +12,11 @@
 
 namespace foxtailbarrow {
 
-/// Baseline: no batch work beside a service.
+/// Baseline: no batch work colocated with a service.
 struct NoColocation
 {};
 
-/// Baseline: batch work as capacity allows, whatever it does to the service.
+/// Baseline: batch work as capacity allows, ignoring service latency.
 struct BlindColocation
 {};
 
@@ -26,17 +26,17 @@
 {
   Duration mLatency = std::chrono::milliseconds(50);
   int mBadWindows = 3;
-  int mBad = 0;
+  int mBadInRow = 0;
   bool mThrottled = false;
   std::vector<ColocatedTask> mTasks;
   std::vector<ColocationAction> mPending;
 };
 
-/// The policies, behind one set of functions.
+/// The policies, with common functions.
 using ColocationPolicy =
   std::variant<NoColocation, BlindColocation, StaticThreshold, ColocationGuard>;
 
-/// Whether batch tasks may be placed at all.
+/// Whether the policy allows batch tasks at all.
 bool AdmitsTasks(const ColocationPolicy& aPolicy);
 
 void SetTasks(ColocationPolicy& aPolicy,
@@ -50,7 +50,7 @@
 
 void OnLatencies(ColocationPolicy& aPolicy, const LatencyWindow& aWindow);
 
-/// The steps due now.
+/// Returns the actions due now.
 std::vector<ColocationAction> Advance(ColocationPolicy& aPolicy, Instant aNow);
 
 } // namespace foxtailbarrow
--- a/src/core/colocation/InterferenceModel.cpp
+++ b/src/core/colocation/InterferenceModel.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-/// High enough to show a tail, low enough to be steady within a window.
+/// High enough to represent the tail, low enough to be stable per window.
 constexpr double kQuantile = 0.95;
 
-/// Fewer requests of a level say nothing about its tail.
+/// Fewer requests of a level give no usable quantile.
 constexpr std::uint64_t kMinRequests = 20;
 
 constexpr double kBaselineStep = 0.2;   ///< Towards a window without tasks.
-constexpr double kBaselineDrift = 0.01; ///< Upwards, under tasks only.
+constexpr double kBaselineDrift = 0.01; ///< Upwards, with tasks only.
 
-/// Growth of the calm latency from one level to the next, until measured.
+/// Growth of the baseline latency from one level to the next, until measured.
 constexpr double kBaselineGrowth = 1.25;
 
-/// Windows of a level after which a class's harm is believed.
+/// Windows of a level needed before a class counts in ExpectedExcess().
 constexpr std::uint32_t kMinWindows = 10;
-/// Of the filter: variance of a class not seen yet, growth of a variance by
+/// Filter parameters: initial variance of a class, growth of the variance per
 /// window, and variance of a window's excess (a deviation of 0.1).
-constexpr double kFirstVariance = 400.0;
+constexpr double kInitialVariance = 400.0;
 constexpr double kVarianceGrowth = 0.02;
 constexpr double kExcessVariance = 0.01;
 
-/// Classes remembered; the least harmful goes first.
+/// Limit of classes; the one with the least interference is dropped first.
 constexpr std::size_t kMaxClasses = 512;
 
 } // namespace
@@ -35,13 +35,13 @@
 double InterferenceModel::ExcessAt(const ServiceHistogram& aLatencies,
                                    std::size_t aLevel) const
 {
-  const double calm = mBaselineMicros[aLevel];
-  if (aLatencies.Count() < kMinRequests || calm <= 0.0) {
+  const double baseline = mBaselineMicros[aLevel];
+  if (aLatencies.Count() < kMinRequests || baseline <= 0.0) {
     return 0.0;
   }
   const auto micros =
     static_cast<double>(aLatencies.Quantile(kQuantile).count());
-  return std::max(0.0, micros / calm - 1.0);
+  return std::max(0.0, micros / baseline - 1.0);
 }
 
 double InterferenceModel::ExcessOf(const LatencyWindow& aWindow) const
@@ -88,8 +88,8 @@
                                        std::size_t aLevel,
                                        const Placement& aPlacement)
 {
-  double& calm = mBaselineMicros[aLevel];
-  const bool isAlone = aPlacement.mTasks.empty();
+  double& baseline = mBaselineMicros[aLevel];
+  const bool hasNoTasks = aPlacement.mTasks.empty();
   const auto micros =
     static_cast<double>(aLatencies.Quantile(kQuantile).count());
   double expected = 0.0;
@@ -97,12 +97,12 @@
     expected += InterferenceOf(task, aLevel);
   }
   const double target = micros / (1.0 + expected);
-  if (calm <= 0.0) {
-    calm = isAlone ? micros : InitialBaseline(aLevel, micros);
-  } else if (isAlone || micros < calm) {
-    calm += kBaselineStep * (micros - calm);
-  } else if (target > calm) {
-    calm += kBaselineDrift * (target - calm);
+  if (baseline <= 0.0) {
+    baseline = hasNoTasks ? micros : InitialBaseline(aLevel, micros);
+  } else if (hasNoTasks || micros < baseline) {
+    baseline += kBaselineStep * (micros - baseline);
+  } else if (target > baseline) {
+    baseline += kBaselineDrift * (target - baseline);
   }
 }
 
@@ -123,43 +123,43 @@
                                            std::size_t aLevel,
                                            const Placement& aPlacement)
 {
-  absl::flat_hash_map<std::string, double> pressures;
+  absl::flat_hash_map<std::string, double> shares;
   for (const ColocatedTask& task : aPlacement.mTasks) {
-    pressures[task.mClass] += task.ProcessorShare();
+    shares[task.mClass] += task.ProcessorShare();
   }
   double expected = 0.0;
   double variance = kExcessVariance;
-  for (const auto& [name, pressure] : pressures) {
+  for (const auto& [name, share] : shares) {
     if (!mClasses.contains(name)) {
-      ForgetOneClass();
-      mClasses[name].mVariance.fill(kFirstVariance);
+      LimitClasses();
+      mClasses[name].mVariance.fill(kInitialVariance);
     }
-    ClassInterference& harm = mClasses.at(name);
-    harm.mVariance[aLevel] += kVarianceGrowth;
-    expected += harm.mExcessPerShare[aLevel] * pressure;
-    variance += harm.mVariance[aLevel] * pressure * pressure;
+    ClassInterference& learned = mClasses.at(name);
+    learned.mVariance[aLevel] += kVarianceGrowth;
+    expected += learned.mExcessPerShare[aLevel] * share;
+    variance += learned.mVariance[aLevel] * share * share;
   }
-  for (const auto& [name, pressure] : pressures) {
+  for (const auto& [name, share] : shares) {
     const auto found = mClasses.find(name);
     if (found == mClasses.end()) {
-      continue; // Gave its room to another class just now.
+      continue; // Replaced by another class above.
     }
-    ClassInterference& harm = found->second;
-    const double gain = harm.mVariance[aLevel] * pressure / variance;
-    double& perPressure = harm.mExcessPerShare[aLevel];
-    perPressure = std::max(0.0, perPressure + gain * (aExcess - expected));
-    harm.mVariance[aLevel] *= 1.0 - gain * pressure;
-    ++harm.mWindows[aLevel];
+    ClassInterference& learned = found->second;
+    const double gain = learned.mVariance[aLevel] * share / variance;
+    double& perShare = learned.mExcessPerShare[aLevel];
+    perShare = std::max(0.0, perShare + gain * (aExcess - expected));
+    learned.mVariance[aLevel] *= 1.0 - gain * share;
+    ++learned.mWindows[aLevel];
   }
 }
 
 double InterferenceModel::InterferenceOf(const ColocatedTask& aTask,
                                          std::size_t aLevel) const
 {
-  const auto harm = mClasses.find(aTask.mClass);
-  return harm == mClasses.end()
+  const auto learned = mClasses.find(aTask.mClass);
+  return learned == mClasses.end()
            ? 0.0
-           : harm->second.mExcessPerShare[aLevel] * aTask.ProcessorShare();
+           : learned->second.mExcessPerShare[aLevel] * aTask.ProcessorShare();
 }
 
 double InterferenceModel::ExpectedExcess(std::span<const ColocatedTask> aTasks,
@@ -167,23 +167,23 @@
 {
   double sum = 0.0;
   for (const ColocatedTask& task : aTasks) {
-    const auto harm = mClasses.find(task.mClass);
-    if (harm != mClasses.end() &&
-        harm->second.mWindows[aLevel] >= kMinWindows) {
+    const auto learned = mClasses.find(task.mClass);
+    if (learned != mClasses.end() &&
+        learned->second.mWindows[aLevel] >= kMinWindows) {
       sum += InterferenceOf(task, aLevel);
     }
   }
   return sum;
 }
 
-void InterferenceModel::ForgetOneClass()
+void InterferenceModel::LimitClasses()
 {
   if (mClasses.size() < kMaxClasses) {
     return;
   }
-  const auto sum = [](const ClassInterference& aHarm) {
+  const auto sum = [](const ClassInterference& aClass) {
     return std::accumulate(
-      aHarm.mExcessPerShare.begin(), aHarm.mExcessPerShare.end(), 0.0);
+      aClass.mExcessPerShare.begin(), aClass.mExcessPerShare.end(), 0.0);
   };
   mClasses.erase(
     std::min_element(mClasses.begin(),
--- a/src/core/colocation/InterferenceModel.h
+++ b/src/core/colocation/InterferenceModel.h
@@ -17,34 +17,35 @@
 
 /// Learns how much each class of tasks slows the service down, by load level.
 ///
-/// Each level has a calm latency: a quantile of windows without tasks, or what
-/// is left of one with tasks after the harm that the model explains. A level
-/// first seen beside tasks starts from the next lower level's. A window's
-/// excess at a level is its quantile over the calm one, minus 1. The excess is
-/// explained as a sum over the tasks of harm of the class times pressure. The
-/// harms follow by a Kalman filter with a variance for each class, so that what
-/// is new is blamed before what has long run without harm; they are never below
-/// 0. A class keeps its harm after its tasks have ended. Classes that always
-/// run together cannot be told apart.
+/// Each level has a baseline latency: a quantile of windows without tasks, or
+/// that of windows with tasks after discounting the expected interference. A
+/// level first measured with colocated tasks starts from the next lower level's
+/// baseline. The excess of a window at a level is its quantile relative to the
+/// baseline, minus 1. It is modelled as the sum over the tasks of the class
+/// coefficient times the processor share. The coefficients, never below 0, are
+/// estimated by a Kalman filter with a variance for each class, so that excess
+/// is attributed to new classes rather than to those that long ran without. A
+/// class keeps its coefficient after its tasks have ended. Classes that always
+/// run together cannot be distinguished.
 class InterferenceModel
 {
 public:
-  /// Takes the latencies of one window and the placement in force over it.
+  /// Updates the model with one window and the placement in force during it.
   void Learn(const LatencyWindow& aWindow, const Placement& aPlacement);
 
-  /// Mean excess of a window over the levels with enough requests and a calm
-  /// latency; 0 when there are none.
+  /// Mean excess of a window over the levels with enough requests and a
+  /// baseline latency; 0 if there are none.
   double ExcessOf(const LatencyWindow& aWindow) const;
 
-  /// Part of the excess that the task is expected to cause at the level.
+  /// Excess that the task is expected to cause at the level.
   double InterferenceOf(const ColocatedTask& aTask, std::size_t aLevel) const;
 
-  /// Sum of InterferenceOf() over the tasks, of those classes alone that were
-  /// seen in enough windows of the level to be believed.
+  /// Sum of InterferenceOf() over the tasks whose class was measured in at
+  /// least kMinWindows windows of the level.
   double ExpectedExcess(std::span<const ColocatedTask> aTasks,
                         std::size_t aLevel) const;
 
-  /// The level at which most of the window's requests ran.
+  /// The level with most of the window's requests.
   static std::size_t LevelOf(const LatencyWindow& aWindow);
 
   std::size_t Classes() const { return mClasses.size(); }
@@ -67,9 +68,9 @@
   void UpdateInterference(double aExcess,
                           std::size_t aLevel,
                           const Placement& aPlacement);
-  void ForgetOneClass();
+  void LimitClasses();
 
-  Levels mBaselineMicros{}; ///< 0 = not known.
+  Levels mBaselineMicros{}; ///< 0 = unknown.
   absl::flat_hash_map<std::string, ClassInterference> mClasses;
 };
 
--- a/src/core/colocation/LatencyRecorder.h
+++ b/src/core/colocation/LatencyRecorder.h
@@ -19,8 +19,8 @@
   std::array<ServiceHistogram, kLoadLevels> mLevels;
 };
 
-/// Collects latencies on the path of requests: one relaxed increment each.
-/// Add() may be called by any thread, Take() by one.
+/// Records latencies on the request path: one relaxed increment per request.
+/// Add() may be called by any thread, Take() by one thread only.
 class LatencyRecorder
 {
 public:
@@ -30,7 +30,7 @@
       1, std::memory_order_relaxed);
   }
 
-  /// What came since the last call.
+  /// Returns and resets the latencies recorded since the last call.
   LatencyWindow Take(Instant aNow)
   {
     LatencyWindow window;
--- a/src/core/colocation/LoadLevel.h
+++ b/src/core/colocation/LoadLevel.h
@@ -6,8 +6,8 @@
 
 namespace foxtailbarrow {
 
-/// Latencies are compared only within a level of load: the part of the slots
-/// in use, in quarters.
+/// Latencies are compared only within a load level: the fraction of slots in
+/// use, in quarters.
 inline constexpr std::size_t kLoadLevels = 4;
 
 inline std::size_t LoadLevelOf(std::int32_t aInUse, std::int32_t aSlots)
--- a/src/core/colocation/PlacementHistory.cpp
+++ b/src/core/colocation/PlacementHistory.cpp
@@ -15,8 +15,8 @@
 
 } // namespace
 
-PlacementHistory::PlacementHistory(Duration aKeptFor)
-  : mKeptFor(aKeptFor)
+PlacementHistory::PlacementHistory(Duration aRetention)
+  : mRetention(aRetention)
 {
 }
 
@@ -36,7 +36,7 @@
   if (!isSame) {
     mPlacements.push_back({ aNow, std::move(aTasks) });
   }
-  while (mPlacements.size() > 1 && mPlacements[1].mFrom + mKeptFor < aNow) {
+  while (mPlacements.size() > 1 && mPlacements[1].mFrom + mRetention < aNow) {
     mPlacements.pop_front();
   }
 }
--- a/src/core/colocation/PlacementHistory.h
+++ b/src/core/colocation/PlacementHistory.h
@@ -10,57 +10,57 @@
 
 namespace foxtailbarrow {
 
-/// A task beside the service, as far as colocation is concerned.
+/// A task colocated with the service.
 struct ColocatedTask
 {
   TaskKey mKey;
-  /// Tasks of one class are expected to hurt alike: customer and program.
+  /// Customer and program; tasks of one class are expected to interfere alike.
   std::string mClass;
-  bool mEvictable = true; ///< Batch; others are throttled at most.
+  bool mEvictable = true; ///< Batch only; others are only throttled.
   double mEvictionWeight = 1.0;
-  double mReserved = 0.0; ///< Part of the worker's processors.
-  double mFraction = 1.0; ///< Of its processors, as throttled.
-  double mUsed = -1.0;    ///< Part of the worker's processors; < 0 = unknown.
+  double mReserved = 0.0; ///< Fraction of the worker's processors.
+  double mFraction = 1.0; ///< Of its processors, by throttling.
+  double mUsed = -1.0; ///< Fraction of the worker's processors; < 0 = unknown.
 
-  /// ProcessorShare on the service: what it used, else what it could.
+  /// Fraction of the worker's processors that it used or, if unknown, may use.
   double ProcessorShare() const
   {
     return mUsed >= 0.0 ? mUsed : mReserved * mFraction;
   }
 };
 
-/// Which tasks ran, and throttled how far, from `mFrom` until the next entry.
+/// The tasks and their throttling from `mFrom` until the next entry.
 struct Placement
 {
   Instant mFrom{};
   std::vector<ColocatedTask> mTasks;
 };
 
-/// Remembers placements for a while, so that measurements that arrive late are
-/// attributed to what ran when they were taken.
+/// Keeps recent placements, to attribute late measurements to the tasks that
+/// ran when they were taken.
 class PlacementHistory
 {
 public:
-  explicit PlacementHistory(Duration aKeptFor);
+  explicit PlacementHistory(Duration aRetention);
 
-  /// The tasks from `aNow` on. Nothing is stored when nothing changed.
+  /// Sets the tasks from `aNow` on. Stores nothing if nothing changed.
   void Set(std::vector<ColocatedTask> aTasks, Instant aNow);
 
-  /// Notes the task's usage measured at `aTakenAt`. Returns the fraction of its
-  /// processors that it had then; nullopt when it is not known.
+  /// Records the task's usage measured at `aTakenAt`. Returns the fraction of
+  /// its processors that it had at that time; nullopt if unknown.
   std::optional<double> AttributeUsage(const TaskKey& aKey,
                                        double aUsed,
                                        Instant aTakenAt);
 
-  /// The placement in force over the whole span; nullptr when it changed within
-  /// it or is no longer known.
+  /// The placement in force over the whole interval; nullptr if it changed or
+  /// is no longer known.
   const Placement* Over(Instant aBegin, Instant aEnd) const;
 
-  /// The newest; nullptr before the first.
+  /// The newest; nullptr before the first Set().
   const Placement* Newest() const;
 
 private:
-  const Duration mKeptFor;
+  const Duration mRetention;
   std::deque<Placement> mPlacements;
 };
 
--- a/src/core/colocation/ServiceHistogram.h
+++ b/src/core/colocation/ServiceHistogram.h
@@ -8,8 +8,8 @@
 
 namespace foxtailbarrow {
 
-/// Counts of durations in logarithmic buckets, 8 to a doubling, from 1 us to
-/// about 2 minutes: quantiles are exact to 9%.
+/// Counts of durations in logarithmic buckets, 8 per doubling, from 1 us to
+/// about 2 minutes: the relative error of quantiles is at most 9%.
 class ServiceHistogram
 {
 public:
@@ -24,8 +24,8 @@
 
   std::uint64_t Count() const { return mCount; }
 
-  /// The duration that this part (0..1) of the counted ones does not exceed;
-  /// zero when nothing was counted.
+  /// Upper bound of the duration at quantile `aPart` (0..1); zero if nothing
+  /// was counted.
   Duration Quantile(double aPart) const;
 
 private:
--- a/src/core/contract/ConfigurationDelta.h
+++ b/src/core/contract/ConfigurationDelta.h
@@ -7,9 +7,9 @@
 
 namespace foxtailbarrow {
 
-/// What changed in the contracts after `mFrom` and up to `mThrough`, as known
-/// to a process whose newest change is `mNewest` and that knows every change of
-/// the store up to `mAsOf`, which is at least `mNewest`.
+/// Contract changes after `mFrom` up to `mThrough`, from a process whose newest
+/// change is `mNewest` and that has every change of the store up to `mAsOf`,
+/// which is at least `mNewest`.
 struct ConfigurationDelta
 {
   Revision mFrom = 0;
@@ -20,11 +20,11 @@
   std::vector<Contract> mContracts;
   std::vector<CustomerId> mRemoved;
 
-  /// Nothing is left for a further delta.
+  /// True if no further delta is needed.
   bool Complete() const { return mThrough >= mNewest; }
 };
 
-/// Puts a delta into the reply that carries it, and takes it out again.
+/// Writes a delta into a heartbeat reply, and reads it from one.
 void WriteDelta(ConfigurationDelta aDelta, HeartbeatReply& aReply);
 ConfigurationDelta ReadDelta(const HeartbeatReply& aReply);
 
--- a/src/core/contract/ConfigurationFollower.cpp
+++ b/src/core/contract/ConfigurationFollower.cpp
@@ -16,8 +16,7 @@
   const ContractFilter& aFilter)
 {
   std::vector<CustomerId> changed;
-  // An entry that does not know all that is applied here has nothing to teach,
-  // and its contracts may have been replaced since.
+  // The entry is behind this agent: its contracts may have been replaced since.
   if (aDelta.mAsOf < mThrough) {
     return changed;
   }
@@ -25,7 +24,7 @@
   if (aDelta.mFrom <= mThrough) {
     mThrough = std::max(mThrough, aDelta.mThrough);
   }
-  if (IsStep(aEntry, aDelta)) {
+  if (IsNextStep(aEntry, aDelta)) {
     ApplyStep(aDelta, aFilter, changed);
   } else if (IsComparable(aDelta)) {
     Compare(aEntry, aDelta, aFilter);
@@ -76,15 +75,15 @@
 void ConfigurationFollower::ChooseSource(const EntryId& aEntry,
                                          const ContractFilter& aFilter)
 {
-  // An entry that answers twice between two steps is faster than the source,
-  // which may have died.
-  if (!mResync || !mResync->mDisagreeing.insert(aEntry).second) {
+  // An entry that replies twice between two steps is faster than the source,
+  // which may have failed.
+  if (!mResync || !mResync->mMismatchingEntries.insert(aEntry).second) {
     BeginResync(aEntry, aFilter);
   }
 }
 
-bool ConfigurationFollower::IsStep(const EntryId& aEntry,
-                                   const ConfigurationDelta& aDelta) const
+bool ConfigurationFollower::IsNextStep(const EntryId& aEntry,
+                                       const ConfigurationDelta& aDelta) const
 {
   return mResync && mResync->mEntry == aEntry &&
          mResync->mCursor == aDelta.mFrom;
@@ -95,7 +94,7 @@
                                       std::vector<CustomerId>& aChanged)
 {
   mResync->mCursor = aDelta.mThrough;
-  mResync->mDisagreeing.clear();
+  mResync->mMismatchingEntries.clear();
   absl::erase_if(mResync->mFilter.mTaskCustomers,
                  [&](const CustomerId& aCustomer) {
                    return !aFilter.mTaskCustomers.contains(aCustomer);
--- a/src/core/contract/ConfigurationFollower.h
+++ b/src/core/contract/ConfigurationFollower.h
@@ -9,39 +9,40 @@
 
 namespace foxtailbarrow {
 
-/// Keeps an agent's contracts after the deltas that heartbeat replies carry.
+/// Maintains an agent's contracts from the deltas in heartbeat replies.
 ///
 /// Inputs: deltas of any entries, in any order, repeated or lost. Outputs: the
-/// contracts in force, and what to state in the next heartbeat to each entry.
+/// contracts in force, and the revision to state in the next heartbeat to each
+/// entry.
 ///
-/// Promises: a customer's contract never goes back to an older revision,
-/// removals included; a delta of an entry that is behind this agent is ignored
-/// as a whole; once deltas arrive, the view becomes that of the entry.
+/// Guarantees: a customer's contract never reverts to an older revision,
+/// removals included; a delta of an entry that is behind this agent is ignored;
+/// as deltas arrive, the view converges to that of the entry.
 ///
-/// Contracts that begin or cease to concern the agent without a change, and
-/// removals that an entry did not see, show in the digest. The agent then reads
-/// all that concern it anew from that one entry (a resync, in steps, while the
-/// contracts in force stay) and drops those that were not among them.
+/// Contracts that become or cease to be relevant without a change, and removals
+/// that an entry missed, are detected by the digest. The agent then reads all
+/// relevant contracts again from that entry (a resync, in steps, during which
+/// the contracts in force stay) and drops those that were not included.
 class ConfigurationFollower
 {
 public:
-  /// What to state as Heartbeat::mConfiguration to this entry.
+  /// Heartbeat::mConfiguration of the next heartbeat to this entry.
   Revision CursorFor(const EntryId& aEntry) const;
 
   /// Applies a delta from `aEntry`. `aFilter` is FilterFor() the heartbeat that
-  /// it answers. Returns the customers whose contracts changed or went.
+  /// it answers. Returns the customers whose contracts changed or were removed.
   std::vector<CustomerId> Apply(const EntryId& aEntry,
                                 const ConfigurationDelta& aDelta,
                                 const ContractFilter& aFilter);
 
-  /// Contract in force; null where there is none. May be outdated for a
-  /// customer that does not concern the agent at the time, until a resync.
+  /// Contract in force, or null. May be outdated for a customer that is not
+  /// relevant to the agent at present, until a resync.
   const Contract* Find(const CustomerId& aCustomer) const
   {
     return mView.Find(aCustomer);
   }
 
-  /// Every change up to here that concerns this agent is applied.
+  /// Every relevant change up to this revision is applied.
   Revision Through() const { return mThrough; }
 
   bool Resyncing() const { return mResync.has_value(); }
@@ -51,11 +52,11 @@
   {
     EntryId mEntry;
     Revision mCursor = 0;
-    /// Passes what concerned the agent at every step.
+    /// Passes what was relevant to the agent at every step.
     ContractFilter mFilter;
     absl::flat_hash_set<CustomerId> mSeen;
-    /// Entries that disagreed since the last step.
-    absl::flat_hash_set<EntryId> mDisagreeing;
+    /// Entries whose digest differed since the last step.
+    absl::flat_hash_set<EntryId> mMismatchingEntries;
   };
 
   void Merge(const ConfigurationDelta& aDelta,
@@ -65,7 +66,8 @@
                const ConfigurationDelta& aDelta,
                const ContractFilter& aFilter);
   void BeginResync(const EntryId& aEntry, const ContractFilter& aFilter);
-  bool IsStep(const EntryId& aEntry, const ConfigurationDelta& aDelta) const;
+  bool IsNextStep(const EntryId& aEntry,
+                  const ConfigurationDelta& aDelta) const;
   void ApplyStep(const ConfigurationDelta& aDelta,
                  const ContractFilter& aFilter,
                  std::vector<CustomerId>& aChanged);
--- a/src/core/contract/ConfigurationSource.cpp
+++ b/src/core/contract/ConfigurationSource.cpp
@@ -35,7 +35,7 @@
   return contract;
 }
 
-/// Changes one copy of the view and notes what came of it.
+/// Applies changes to a copy of the view and collects the results.
 class Applier
 {
 public:
@@ -54,24 +54,24 @@
       mUpdate.mErrors.push_back(contract.status());
       return;
     }
-    Note(mView.Set(*contract), contract->mCustomer);
+    RecordResult(mView.Set(*contract), contract->mCustomer);
   }
 
   void Remove(const CustomerId& aCustomer, Revision aRevision)
   {
-    Note(mView.Remove(aCustomer, aRevision), aCustomer);
+    RecordResult(mView.Remove(aCustomer, aRevision), aCustomer);
   }
 
   void RemoveAllBut(const absl::flat_hash_set<CustomerId>& aPresent,
                     Revision aRevision)
   {
-    std::vector<CustomerId> gone;
+    std::vector<CustomerId> removed;
     for (const auto& record : mView.ByRevision()) {
       if (record->mContract && !aPresent.contains(record->mCustomer)) {
-        gone.push_back(record->mCustomer);
+        removed.push_back(record->mCustomer);
       }
     }
-    for (const CustomerId& customer : gone) {
+    for (const CustomerId& customer : removed) {
       Remove(customer, aRevision);
     }
   }
@@ -80,7 +80,7 @@
   ConfigurationUpdate mUpdate;
 
 private:
-  void Note(ApplyResult aResult, const CustomerId& aCustomer)
+  void RecordResult(ApplyResult aResult, const CustomerId& aCustomer)
   {
     if (aResult == ApplyResult::Applied) {
       mUpdate.mChanged.push_back(aCustomer);
@@ -118,8 +118,8 @@
   Applier applier(*View());
   Revision asOf = mAsOf;
   for (const StoreEvent& event : aEvents) {
-    // Events of one transaction share a revision, so an equal one is no proof
-    // that this customer's was seen.
+    // Events of one transaction share a revision, so an equal revision does not
+    // prove that this event was applied.
     if (event.mModRevision < asOf) {
       applier.mUpdate.mStale = true;
       continue;
@@ -159,7 +159,7 @@
     nothing.mThrough = since;
     return nothing;
   }
-  // Read before the view, which may be newer but never older.
+  // Read before the view, which may then be newer but not older.
   const Revision asOf = mAsOf;
   ConfigurationDelta delta =
     View()->ChangesSince(since, FilterFor(aHeartbeat), aMaxBytes);
--- a/src/core/contract/ConfigurationSource.h
+++ b/src/core/contract/ConfigurationSource.h
@@ -13,54 +13,54 @@
 
 namespace foxtailbarrow {
 
-/// Prefix of the store keys that hold contract documents; the customer follows.
+/// Prefix of the store keys of contract documents, followed by the customer id.
 inline constexpr std::string_view kContractPrefix = "/foxtailbarrow/contracts/";
 
-/// What a listing or some events of the store brought.
+/// Result of applying a listing or events of the store.
 struct ConfigurationUpdate
 {
   bool mStale = false; ///< Older than what is known; nothing was applied.
-  std::vector<CustomerId> mChanged;  ///< Set or removed, now in force.
-  std::vector<absl::Status> mErrors; ///< Documents that could not be read.
+  std::vector<CustomerId> mChanged;  ///< Set or removed.
+  std::vector<absl::Status> mErrors; ///< Documents that could not be parsed.
 };
 
-/// Keeps an entry's contracts after the store and answers the agents'
-/// heartbeats with what they miss.
+/// Mirrors the contracts in the store for an entry and answers the agents'
+/// heartbeats with the changes that they lack.
 ///
 /// Inputs: listings and watch events of the store, heartbeats. Output: a
 /// published ConfigurationView and a ConfigurationDelta for each heartbeat.
 ///
-/// Promises: never applies a listing or event older than what it has applied,
-/// for a customer or overall; a document that cannot be read leaves the
-/// customer's former contract in force and is reported; no delta is handed out
-/// while some agent is known to have a newer change than this entry has looked
-/// for, so an entry that was cut off cannot lead a restarted agent back.
+/// Guarantees: never applies a listing or event older than what it has applied,
+/// for a customer or overall; a document that cannot be parsed is reported and
+/// the customer's previous contract stays in force; deltas are empty while some
+/// agent is known to have a newer change than this entry has read, so that an
+/// entry that lost the store cannot revert a restarted agent.
 ///
-/// ApplyListing() and ApplyEvents() from one fiber at a time, the rest from any
-/// thread.
+/// ApplyListing() and ApplyEvents() must be called from one fiber at a time,
+/// the rest from any thread.
 class ConfigurationSource
 {
 public:
   ConfigurationSource();
 
-  /// All keys under kContractPrefix.
+  /// Applies a listing of all keys under kContractPrefix.
   ConfigurationUpdate ApplyListing(const StoreListing& aListing);
 
-  /// In revision order, as a watch reports them.
+  /// Applies events in revision order, as reported by a watch.
   ConfigurationUpdate ApplyEvents(std::span<const StoreEvent> aEvents);
 
   /// Contracts in force, for the request path.
   std::shared_ptr<const ConfigurationView> View() const { return mView.Load(); }
 
-  /// What the sender of the heartbeat misses.
+  /// The changes that the sender of the heartbeat lacks.
   ConfigurationDelta Answer(const Heartbeat& aHeartbeat,
                             std::size_t aMaxBytes = kMaxDeltaBytes);
 
-  /// True from the moment at which an agent stated a newer change than this
-  /// entry has looked for, until a listing or event from then on: list again.
+  /// True after an agent stated a newer change than this entry has read, until
+  /// a listing or event of that revision or later: the caller must list again.
   bool NeedsListing() const { return mNewestStated > mAsOf; }
 
-  /// Revision of the store at which the view was complete.
+  /// Store revision up to which the view is complete.
   Revision AsOf() const { return mAsOf; }
 
 private:
@@ -70,7 +70,7 @@
 
   Snapshot<ConfigurationView> mView;
   std::atomic<Revision> mAsOf{ 0 };
-  std::atomic<Revision> mNewestStated{ 0 }; ///< Newest that any agent stated.
+  std::atomic<Revision> mNewestStated{ 0 }; ///< Newest stated by any agent.
 };
 
 } // namespace foxtailbarrow
--- a/src/core/contract/ConfigurationView.cpp
+++ b/src/core/contract/ConfigurationView.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Digests of sets are the XOR of their members', so that one member can be
-/// taken out.
+/// The digest of a set is the XOR of its members' digests, so that a member can
+/// be removed.
 std::uint64_t DigestOf(const Contract& aContract)
 {
   return MixBits(StableHash(aContract.mCustomer.Value()) +
@@ -120,9 +120,9 @@
     mServiceDigests[aRecord->mContract->mService] ^=
       DigestOf(*aRecord->mContract);
   }
-  const auto place = std::upper_bound(
+  const auto position = std::upper_bound(
     mByRevision.begin(), mByRevision.end(), aRecord->mRevision, OlderThan{});
-  mByRevision.insert(place, aRecord);
+  mByRevision.insert(position, aRecord);
   mRecords[aRecord->mCustomer] = std::move(aRecord);
 }
 
--- a/src/core/contract/ConfigurationView.h
+++ b/src/core/contract/ConfigurationView.h
@@ -16,61 +16,61 @@
 enum class ApplyResult : std::uint8_t
 {
   Applied,
-  AlreadyKnown, ///< This very change, or a newer one of the same customer.
+  AlreadyKnown, ///< The same or a newer change of the customer is known.
 };
 
 /// Bytes of contracts in one delta. A change is about 300 bytes, so a delta
-/// holds some fifty; an agent that is filled from nothing stays within 8 KB a
-/// second when averaged over a few seconds.
+/// contains about fifty; an agent that starts empty stays within 8 KB/s,
+/// averaged over a few seconds.
 inline constexpr std::size_t kMaxDeltaBytes = 16'384;
 
-/// Removals remembered; the oldest are forgotten beyond this number.
+/// Limit of removals kept; beyond it, the oldest are discarded.
 inline constexpr std::size_t kMaxRemovals = 10'000;
 
-/// The contracts that one process knows, as of one moment: a value that is
-/// copied, changed and published whole (Snapshot.h), with cheap copies.
+/// The contracts known to one process at one time: a cheaply copied value that
+/// is copied, modified and published as a whole (Snapshot.h).
 ///
-/// Promise: for each customer the revision only grows, removals included.
+/// Guarantee: each customer's revision only increases, removals included.
 class ConfigurationView
 {
 public:
-  /// Null where no contract of the customer is in force.
+  /// Null if no contract of the customer is in force.
   const Contract* Find(const CustomerId& aCustomer) const;
 
-  /// The newest change of the customer that is known, a removal included.
+  /// The newest known change of the customer, which may be a removal.
   const ContractRecord* Record(const CustomerId& aCustomer) const;
 
-  /// Revision of the newest change; 0 when nothing is known.
+  /// Revision of the newest change; 0 if nothing is known.
   Revision Newest() const;
 
-  /// Contracts in force.
+  /// Number of contracts in force.
   std::size_t Size() const { return mRecords.size() - mRemovals; }
 
-  /// Changes in the order of their revisions, one a customer.
+  /// The newest change of each customer, in revision order.
   const std::vector<std::shared_ptr<const ContractRecord>>& ByRevision() const
   {
     return mByRevision;
   }
 
-  /// `aContract.mRevision` says when.
+  /// The revision of the change is `aContract.mRevision`.
   ApplyResult Set(const Contract& aContract);
   ApplyResult Remove(const CustomerId& aCustomer, Revision aRevision);
 
-  /// Takes a contract out of force that is known to be outdated, without
-  /// knowing its newer state: any later revision is still accepted.
+  /// Removes a contract that is known to be outdated although its newer state
+  /// is unknown: any later revision is still accepted.
   void Drop(const CustomerId& aCustomer);
 
-  /// What changed after `aSince` and concerns the filter's agent, oldest first.
-  /// Stops after about `aMaxBytes`; mThrough then says how far it came, and
-  /// never lies between two changes of the same revision. Removals of all
-  /// customers are named, since what they concerned is no longer known.
+  /// Changes after `aSince` that pass the filter, oldest first. Stops after
+  /// about `aMaxBytes`, but never between two changes of the same revision;
+  /// mThrough is the last revision covered. Includes the removals of all
+  /// customers, since the removed contracts can no longer be filtered.
   ConfigurationDelta ChangesSince(Revision aSince,
                                   const ContractFilter& aFilter,
                                   std::size_t aMaxBytes = kMaxDeltaBytes) const;
 
-  /// Equal in two processes when they hold the same revisions of the same
-  /// contracts among those that pass the filter. Costs one look-up for the
-  /// service and one for each customer of the filter.
+  /// Equal in two processes that have the same revisions of the contracts that
+  /// pass the filter. Costs one lookup for the service and one for each
+  /// customer of the filter.
   std::uint64_t Digest(const ContractFilter& aFilter) const;
 
 private:
--- a/src/core/contract/ContractDocument.cpp
+++ b/src/core/contract/ContractDocument.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A contract as an operator writes it, without the store's revision.
+/// A contract as written by an operator, without the store's revision.
 struct ContractDocument
 {
   Contract mContract;
@@ -43,8 +43,8 @@
   return document.mContract;
 }
 
-/// Rules over several fields: each names the field to change.
-FieldProblems CheckTogether(const Contract& aContract)
+/// Checks combinations of fields; a problem names the field to change.
+FieldProblems CheckFieldCombinations(const Contract& aContract)
 {
   FieldProblems problems;
   const bool takesRequests = aContract.mRequestsPerSecond > 0;
@@ -67,7 +67,7 @@
   return problems;
 }
 
-bool Mentions(const FieldProblems& aProblems, const std::string& aField)
+bool HasProblem(const FieldProblems& aProblems, const std::string& aField)
 {
   return std::any_of(
     aProblems.begin(), aProblems.end(), [&](const FieldProblem& aProblem) {
@@ -76,11 +76,11 @@
 }
 
 /// Adds the problems of fields that have none yet: a field that could not be
-/// read holds its default, about which nothing should be said.
-void AddNew(FieldProblems aNew, FieldProblems& aProblems)
+/// parsed has its default value, which must not be reported too.
+void AddMissing(FieldProblems aNew, FieldProblems& aProblems)
 {
   for (FieldProblem& problem : aNew) {
-    if (!Mentions(aProblems, problem.mField)) {
+    if (!HasProblem(aProblems, problem.mField)) {
       aProblems.push_back(std::move(problem));
     }
   }
@@ -92,7 +92,7 @@
 {
   FieldProblems problems;
   ReadDocument(ToDocument(aContract), problems);
-  AddNew(CheckTogether(aContract), problems);
+  AddMissing(CheckFieldCombinations(aContract), problems);
   return problems;
 }
 
@@ -105,7 +105,7 @@
   }
   FieldProblems problems;
   Contract contract = ReadDocument(*value, problems);
-  AddNew(CheckTogether(contract), problems);
+  AddMissing(CheckFieldCombinations(contract), problems);
   if (!problems.empty()) {
     return ToStatus(problems);
   }
--- a/src/core/contract/ContractDocument.h
+++ b/src/core/contract/ContractDocument.h
@@ -8,22 +8,21 @@
 #include "foxtailbarrow/Contract.h"
 #include "src/core/message/FieldProblem.h"
 
-/// The text that an operator writes for one customer and that the store holds.
-/// It has no revision: that is the store's.
+/// The JSON document of one customer's contract, written by an operator and
+/// kept in the store. Without the revision, which the store assigns.
 namespace foxtailbarrow {
 
-/// Every way in which `aContract` breaks the rules; empty when it is
-/// acceptable. Checks each field's range (ContractLimits.h) and what the
-/// fields mean together.
+/// Every problem of `aContract`; empty if it is valid. Checks each field's
+/// range (ContractLimits.h) and combinations of fields.
 FieldProblems CheckContract(const Contract& aContract);
 
-/// Reads and checks a document of at most 64 KiB. InvalidArgument lists every
-/// problem with its field, the value found and what is allowed. The revision
+/// Parses and checks a document of at most 64 KiB. InvalidArgument lists every
+/// problem with its field, the value found and the allowed values. The revision
 /// of the result is 0.
 absl::StatusOr<Contract> ParseContract(std::string_view aJson);
 
-/// The document of a contract, indented, without its revision. ParseContract()
-/// gives the same contract back.
+/// Formats a contract as an indented document without its revision. The inverse
+/// of ParseContract().
 std::string FormatContract(const Contract& aContract);
 
 } // namespace foxtailbarrow
--- a/src/core/contract/ContractFilter.h
+++ b/src/core/contract/ContractFilter.h
@@ -7,10 +7,10 @@
 
 namespace foxtailbarrow {
 
-/// Which contracts concern an agent: those of its own service, whose requests
-/// it admits, and those of the customers whose tasks are on its worker. At
-/// 6,100 workers and thousands of contracts this keeps an agent's copy, and the
-/// bytes to fill it after a restart, to a small part of all.
+/// Selects the contracts relevant to an agent: those of its own service, whose
+/// requests it admits, and those of the customers with tasks on its worker.
+/// With 6,100 workers and thousands of contracts, this limits an agent's copy,
+/// and the bytes sent after a restart, to a small part of all.
 struct ContractFilter
 {
   ServiceId mService;
@@ -24,7 +24,7 @@
 };
 
 /// The filter that both sides of a heartbeat use for its reply, so that their
-/// digests are over the same set.
+/// digests cover the same set.
 ContractFilter FilterFor(const Heartbeat& aHeartbeat);
 
 } // namespace foxtailbarrow
--- a/src/core/contract/ContractLimits.h
+++ b/src/core/contract/ContractLimits.h
@@ -3,7 +3,7 @@
 #include <cstddef>
 #include <cstdint>
 
-/// Bounds of the fields of a contract. Both ends are allowed.
+/// Inclusive bounds of the fields of a contract.
 namespace foxtailbarrow {
 
 inline constexpr std::size_t kMaxContractBytes = std::size_t{ 64 } * 1024;
@@ -15,7 +15,7 @@
 inline constexpr std::int32_t kMaxRunningJobs = 1'000'000;
 inline constexpr double kMaxWeight = 100.0;
 
-/// Of one customer over the whole fleet: 10,000 workers of 1,000 cores, 10 TiB
+/// Per customer over the whole fleet: 10,000 workers of 1,000 cores, 10 TiB
 /// of memory and 1,000 accelerators each.
 inline constexpr std::int64_t kMaxMillicores = 10'000'000'000;
 inline constexpr std::int64_t kMaxMemoryMb = 100'000'000'000;
--- a/src/core/contract/ContractRecord.h
+++ b/src/core/contract/ContractRecord.h
@@ -7,14 +7,14 @@
 
 namespace foxtailbarrow {
 
-/// What a process knows of one customer's contract: its newest change. A
-/// removal stays as a record, so that no late older change can undo it.
+/// The newest known change of one customer's contract. A removal is kept as a
+/// record, so that a late older change cannot undo it.
 struct ContractRecord
 {
   CustomerId mCustomer;
   Revision mRevision = 0;                    ///< Of the newest change known.
   std::shared_ptr<const Contract> mContract; ///< Null: removed.
-  std::size_t mBytes = 0;                    ///< On the wire, about.
+  std::size_t mBytes = 0;                    ///< Approximate size on the wire.
 };
 
 } // namespace foxtailbarrow
--- a/src/core/job/DecisionLog.cpp
+++ b/src/core/job/DecisionLog.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void DecisionLog::RecordDecision(const Decision& aDecision)
+void DecisionLog::Add(const Decision& aDecision)
 {
   if (!mEntries.empty() && Repeats(mEntries.back(), aDecision)) {
     mEntries.back().mAt = aDecision.mAt;
--- a/src/core/job/DecisionLog.h
+++ b/src/core/job/DecisionLog.h
@@ -16,22 +16,22 @@
 {
   static constexpr WorkerSlot kNoWorker = ~WorkerSlot{ 0 };
 
-  Instant mAt{};    ///< When it fell last.
-  Epoch mEpoch = 0; ///< Of the record then.
+  Instant mAt{};    ///< Latest occurrence.
+  Epoch mEpoch = 0; ///< Of the record at that time.
   WorkerSlot mWorker = kNoWorker;
-  std::uint32_t mTimes = 1; ///< How often in a row.
+  std::uint32_t mTimes = 1; ///< Consecutive occurrences.
   JobState mState = JobState::Queued;
   Reason mReason = Reason::None;
 };
 
-/// The latest decisions about one job, oldest first. Bounded; a decision that
-/// repeats the one before it raises its count instead of taking a place.
+/// The latest decisions about one job, oldest first. Bounded; a decision equal
+/// to the previous one increments its count instead of adding an entry.
 class DecisionLog
 {
 public:
   static constexpr std::size_t kLimit = 8;
 
-  void RecordDecision(const Decision& aDecision);
+  void Add(const Decision& aDecision);
   std::span<const Decision> Entries() const { return mEntries; }
 
 private:
--- a/src/core/job/EndedRecords.cpp
+++ b/src/core/job/EndedRecords.cpp
@@ -11,7 +11,7 @@
   if (ended.mRevision != aRevision) {
     ended = { aRevision, aNow };
   }
-  return aNow - ended.mSince >= mKeep;
+  return aNow - ended.mSince >= mRetention;
 }
 
 void EndedRecords::Forget(ShardId aShard, const JobId& aJob)
--- a/src/core/job/EndedRecords.h
+++ b/src/core/job/EndedRecords.h
@@ -10,30 +10,30 @@
 namespace foxtailbarrow {
 
 /// Decides when the record of an ended job may be deleted from the store.
-/// Input: records seen to be final, in listings of owned shards. Output:
-/// whether one has been so for the keeping time.
+/// Input: final records found in listings of owned shards. Output: whether a
+/// record has been final for the retention time.
 ///
-/// Promise: no record goes before this process has known it as final, under
-/// the same revision, for the keeping time; a new owner starts anew. A caller's
-/// repeated submission therefore finds its job for at least that long.
+/// Guarantee: a record is deleted only after this process has known it as
+/// final, at the same revision, for the retention time; a new owner starts
+/// over. A repeated submission therefore finds its job for at least that long.
 class EndedRecords
 {
 public:
-  explicit EndedRecords(Duration aKeep)
-    : mKeep(aKeep)
+  explicit EndedRecords(Duration aRetention)
+    : mRetention(aRetention)
   {
   }
 
-  /// The record is final in the store. True when it may be deleted.
+  /// The record is final in the store. Returns whether it may be deleted.
   bool OnFinalRecord(ShardId aShard,
                      const JobId& aJob,
                      Revision aRevision,
                      Instant aNow);
 
-  /// The record was deleted, or is final no longer.
+  /// The record was deleted, or is no longer final.
   void Forget(ShardId aShard, const JobId& aJob);
 
-  /// The shard is not owned any more.
+  /// The shard is no longer owned.
   void ForgetShard(ShardId aShard) { mShards.erase(aShard); }
 
   std::size_t Size(ShardId aShard) const;
@@ -46,7 +46,7 @@
   };
   using Jobs = absl::flat_hash_map<JobId, Ended>;
 
-  Duration mKeep;
+  Duration mRetention;
   absl::flat_hash_map<ShardId, Jobs> mShards;
 };
 
--- a/src/core/job/JobAction.h
+++ b/src/core/job/JobAction.h
@@ -9,14 +9,14 @@
 #include "foxtailbarrow/Messages.h"
 #include "src/core/job/JobEvent.h"
 
-/// What a JobScheduler asks of its process. Losing an action costs time, never
-/// work, but CommitRecord, SendAssign and SendControl must each be answered.
+/// Actions that a JobScheduler requests of its process. Losing an action delays
+/// work but loses none; CommitRecord, SendAssign and SendControl must each be
+/// answered.
 namespace foxtailbarrow {
 
-/// Write the record where its key still has `mExpected` as mod revision AND
-/// the shard's key still has `mGeneration`. Answer: CommitDone. Commits of one
-/// batch may share a transaction only while a failed compare of one is told
-/// apart from the others.
+/// Write the record if the mod revision of its key is still `mExpected` AND
+/// that of the shard's key is still `mGeneration`. Answer: CommitDone. Commits
+/// may share a transaction only if a failed compare can be attributed to one.
 struct CommitRecord
 {
   CommitToken mToken = 0;
@@ -42,14 +42,14 @@
   Control mControl;
 };
 
-/// These tasks' ends are recorded: name them in the next heartbeat reply.
+/// The ends of these tasks are saved: list them in the next heartbeat reply.
 struct AcknowledgeTasks
 {
   AgentId mAgent;
   std::vector<TaskKey> mKeys;
 };
 
-/// The owner disowns these tasks: name them in the next heartbeat reply.
+/// The owner disowns these tasks: list them in the next heartbeat reply.
 struct DisownTasks
 {
   AgentId mAgent;
@@ -57,8 +57,8 @@
 };
 
 /// The reply to this heartbeat may carry these leases; a reply to any other
-/// must carry none (it is older than one already seen). The shell leaves out
-/// shards whose ownership it cannot prove at the time of sending.
+/// must carry none, since that heartbeat is older than one already processed.
+/// The process omits shards whose ownership it cannot prove when sending.
 struct ExtendLeases
 {
   AgentId mAgent;
--- a/src/core/job/JobAllocations.cpp
+++ b/src/core/job/JobAllocations.cpp
@@ -8,26 +8,26 @@
                              WorkerSlot aWorker,
                              const Resources& aSize)
 {
-  Book(aEntry, { aSize, aWorker, true });
+  Allocate(aEntry, { aSize, aWorker, true });
 }
 
 void JobAllocations::Adopt(JobEntry& aEntry,
                            std::optional<WorkerSlot> aWorker,
                            const Resources& aSize)
 {
-  Book(aEntry, { aSize, aWorker, false });
+  Allocate(aEntry, { aSize, aWorker, false });
 }
 
 void JobAllocations::Confirm(JobEntry& aEntry,
                              WorkerSlot aWorker,
                              const Resources& aSize)
 {
-  const auto& held = aEntry.mAllocation;
-  if (held && !held->mPending && held->mWorker == aWorker &&
-      held->mSize == aSize) {
+  const auto& current = aEntry.mAllocation;
+  if (current && !current->mPending && current->mWorker == aWorker &&
+      current->mSize == aSize) {
     return;
   }
-  Book(aEntry, { aSize, aWorker, false });
+  Allocate(aEntry, { aSize, aWorker, false });
 }
 
 std::vector<JobEntry*> JobAllocations::JobsOn(WorkerSlot aWorker) const
@@ -35,27 +35,27 @@
   if (aWorker >= mJobsByWorker.size()) {
     return {};
   }
-  const auto& holders = mJobsByWorker[aWorker];
-  std::vector<JobEntry*> sorted(holders.begin(), holders.end());
+  const auto& jobs = mJobsByWorker[aWorker];
+  std::vector<JobEntry*> sorted(jobs.begin(), jobs.end());
   std::ranges::sort(sorted, {}, &JobEntry::mSerial);
   return sorted;
 }
 
-void JobAllocations::Book(JobEntry& aEntry, const Allocation& aBooking)
+void JobAllocations::Allocate(JobEntry& aEntry, const Allocation& aAllocation)
 {
   Release(aEntry);
   const CustomerId& customer = aEntry.Spec().mCustomer;
-  mQuotas.Add(customer, aBooking.mSize);
-  if (aBooking.mWorker) {
-    const WorkerSlot slot = *aBooking.mWorker;
-    mLoad.Add(customer, slot, mWorkers.At(slot), aBooking.mSize);
+  mQuotas.Add(customer, aAllocation.mSize);
+  if (aAllocation.mWorker) {
+    const WorkerSlot slot = *aAllocation.mWorker;
+    mLoad.Add(customer, slot, mWorkers.At(slot), aAllocation.mSize);
     mJobsByWorker.resize(std::max<std::size_t>(mJobsByWorker.size(), slot + 1));
     mJobsByWorker[slot].insert(&aEntry);
-    if (aBooking.mPending) {
-      mWorkers.AddPending(slot, aBooking.mSize);
+    if (aAllocation.mPending) {
+      mWorkers.AddPending(slot, aAllocation.mSize);
     }
   }
-  aEntry.mAllocation = aBooking;
+  aEntry.mAllocation = aAllocation;
 }
 
 void JobAllocations::Release(JobEntry& aEntry)
@@ -63,16 +63,16 @@
   if (!aEntry.mAllocation) {
     return;
   }
-  const Allocation booking = *aEntry.mAllocation;
+  const Allocation allocation = *aEntry.mAllocation;
   aEntry.mAllocation.reset();
   const CustomerId& customer = aEntry.Spec().mCustomer;
-  mQuotas.Subtract(customer, booking.mSize);
-  if (booking.mWorker) {
-    const WorkerSlot slot = *booking.mWorker;
-    mLoad.Remove(customer, slot, mWorkers.At(slot), booking.mSize);
+  mQuotas.Subtract(customer, allocation.mSize);
+  if (allocation.mWorker) {
+    const WorkerSlot slot = *allocation.mWorker;
+    mLoad.Remove(customer, slot, mWorkers.At(slot), allocation.mSize);
     mJobsByWorker[slot].erase(&aEntry);
-    if (booking.mPending) {
-      mWorkers.RemovePending(slot, booking.mSize);
+    if (allocation.mPending) {
+      mWorkers.RemovePending(slot, allocation.mSize);
     }
   }
 }
--- a/src/core/job/JobAllocations.h
+++ b/src/core/job/JobAllocations.h
@@ -12,26 +12,27 @@
 
 namespace foxtailbarrow {
 
-/// What every job holds: of its customer's contract, of its worker, and of the
-/// room that agents have not counted yet. One booking a job.
+/// Tracks what each job occupies: quota of its customer, capacity of its worker
+/// and capacity that the agent has not reported as reserved yet. At most one
+/// allocation per job.
 class JobAllocations
 {
 public:
-  /// Books room that the agent does not know of yet.
+  /// Allocates capacity that the agent does not know of yet.
   void Reserve(JobEntry& aEntry, WorkerSlot aWorker, const Resources& aSize);
 
-  /// Books a job that was assigned before; its worker may be unknown.
+  /// Allocates for a job that was assigned before; its worker may be unknown.
   void Adopt(JobEntry& aEntry,
              std::optional<WorkerSlot> aWorker,
              const Resources& aSize);
 
-  /// The agent's own count now contains the job, with this size.
+  /// The capacity reported by the agent now includes the job, with this size.
   void Confirm(JobEntry& aEntry, WorkerSlot aWorker, const Resources& aSize);
 
-  /// The job holds nothing any more. No effect when it held nothing.
+  /// Ends the job's allocation, if any.
   void Release(JobEntry& aEntry);
 
-  /// Jobs booked on the worker, in order of arrival.
+  /// Jobs allocated on the worker, in order of arrival.
   std::vector<JobEntry*> JobsOn(WorkerSlot aWorker) const;
 
   WorkerIndex& Workers() { return mWorkers; }
@@ -41,7 +42,7 @@
   const PlacementLoad& Load() const { return mLoad; }
 
 private:
-  void Book(JobEntry& aEntry, const Allocation& aBooking);
+  void Allocate(JobEntry& aEntry, const Allocation& aAllocation);
 
   WorkerIndex mWorkers;
   QuotaTracker mQuotas;
--- a/src/core/job/JobEntry.h
+++ b/src/core/job/JobEntry.h
@@ -17,13 +17,13 @@
 
 namespace foxtailbarrow {
 
-/// What is known of the latest assignment while the record says Assigned.
+/// State of the latest assignment while the record is Assigned.
 enum class AssignmentState : std::uint8_t
 {
-  Unsent,      ///< Committed, not yet sent: certainly does not run.
-  Unconfirmed, ///< Sent, or taken over from another owner: may run.
-  Running,     ///< Its agent said so.
-  Released,    ///< Refused for good, or lapsed: certainly does not run.
+  Unsent,      ///< Committed but not sent: certainly does not run.
+  Unconfirmed, ///< Sent, or inherited from another owner: may run.
+  Running,     ///< Reported as running by its agent.
+  Released,    ///< Finally refused, or expired: certainly does not run.
 };
 
 /// A commit whose outcome is not known yet.
@@ -31,57 +31,57 @@
 {
   CommitToken mToken = 0;
   JobRecord mNext;
-  /// Task whose end it records; acknowledged once applied.
+  /// Task whose end it saves; acknowledged once applied.
   std::optional<TaskKey> mEnded;
-  bool mIsAssignment = false; ///< Assigns; its booking was made for it.
-  bool mReplyLost = false;    ///< The reply was lost; a read will tell.
+  bool mIsAssignment = false; ///< Its allocation was made for this commit.
+  bool mReplyLost = false;    ///< A read resolves the outcome.
 };
 
-/// Resources that a job holds in this process's books.
+/// Resources allocated to a job by this process.
 struct Allocation
 {
   Resources mSize;
   std::optional<WorkerSlot> mWorker;
-  bool mPending = false; ///< Not yet in the agent's own count.
+  bool mPending = false; ///< Not yet reported as reserved by the agent.
 };
 
 /// One job of an owned shard, in memory.
 struct JobEntry
 {
-  StoredJob mStored; ///< Newest record known to be in the store.
+  StoredJob mStored; ///< Newest record known to be stored.
   ShardId mShard = 0;
   std::uint64_t mSerial = 0; ///< Order of arrival.
 
-  std::unique_ptr<PendingCommit> mCommit; ///< Rare, hence not inside.
-  Revision mSeenRevision = 0;             ///< Newest revision heard of.
-  bool mReading = false;                  ///< A ReadJob is under way.
-  bool mMustRead = false; ///< The store may hold something newer.
+  std::unique_ptr<PendingCommit> mCommit; ///< By pointer, because it is rare.
+  Revision mSeenRevision = 0;             ///< Newest revision observed.
+  bool mReading = false;                  ///< A ReadJob is in flight.
+  bool mMustRead = false; ///< The store may hold a newer record.
   bool mCancelWanted = false;
 
   AssignmentState mAssignmentState = AssignmentState::Unconfirmed;
-  bool mInherited = false; ///< Not assigned by this process since it took over.
+  bool mInherited = false; ///< Assigned before this process acquired the shard.
   AssignmentLease mLease;
-  std::unique_ptr<TaskStatus> mEnd; ///< Reported, not yet recorded.
-  bool mOutcomeRecorded = false;    ///< mEnd was counted for or against.
+  std::unique_ptr<TaskStatus> mEnd; ///< Reported, not yet saved.
+  bool mOutcomeRecorded = false;    ///< mEnd was evaluated.
   std::optional<Allocation> mAllocation;
-  Resources mPeak;      ///< Greatest usage measured in this assignment.
-  Instant mStartedAt{}; ///< When it was first seen to run.
-  Reason mEvictReason = Reason::None;    ///< None: it may stay.
-  std::optional<WorkerSlot> mReservedOn; ///< Where tasks make room for it.
+  Resources mPeak;      ///< Maximum usage measured in this assignment.
+  Instant mStartedAt{}; ///< When it was first reported as running.
+  Reason mEvictReason = Reason::None;    ///< None = not being evicted.
+  std::optional<WorkerSlot> mReservedOn; ///< Where tasks are evicted for it.
   Instant mReservedUntil{};
 
   Incarnation mSentTo = 0;       ///< Of the agent when Assign was first sent.
-  bool mAssignInFlight = false;  ///< An Assign is under way.
+  bool mAssignInFlight = false;  ///< Sent, no reply yet.
   bool mAssignReplyLost = false; ///< Of an earlier Assign: it may have run.
 
-  Instant mRetryAt{};      ///< After trouble with the store.
-  Instant mNotBefore{};    ///< Of the next placement.
-  Instant mResendAt{};     ///< Of an Assign or Control.
-  Instant mTimerAt{};      ///< Of its timer; the clock's epoch = none.
-  Instant mWaitingSince{}; ///< The clock's epoch = does not wait.
+  Instant mRetryAt{};      ///< After a store error.
+  Instant mNotBefore{};    ///< Earliest time of the next placement.
+  Instant mResendAt{};     ///< When an Assign or Control is sent again.
+  Instant mTimerAt{};      ///< Its timer; the clock's epoch = none.
+  Instant mWaitingSince{}; ///< The clock's epoch = not waiting.
   std::int32_t mRetries = 0;
   ReadyQueue::Ticket mTicket = 0; ///< 0 = not queued.
-  std::vector<WorkerSlot> mAvoid; ///< Where it failed or was refused lately.
+  std::vector<WorkerSlot> mAvoid; ///< Where it recently failed or was refused.
   DecisionLog mDecisions;
 
   const JobSpec& Spec() const { return mStored.mRecord.mSpec; }
--- a/src/core/job/JobEvent.h
+++ b/src/core/job/JobEvent.h
@@ -12,25 +12,25 @@
 #include "foxtailbarrow/Time.h"
 #include "src/core/job/StoredJob.h"
 
-/// What a JobScheduler is told. Events may be lost, repeated and delayed; the
-/// scheduler's promises hold all the same.
+/// Events handled by a JobScheduler. They may be lost, repeated or delayed
+/// without breaking the scheduler's guarantees.
 namespace foxtailbarrow {
 
-/// Names one commit that the scheduler asked for. Never used twice.
+/// Identifies one commit requested by the scheduler. Never reused.
 using CommitToken = std::uint64_t;
 
-/// This process now owns the shard; `mJobs` was listed after that.
+/// This process now owns the shard; `mJobs` was listed afterwards.
 struct ShardAcquired
 {
   ShardId mShard = 0;
   Generation mGeneration = 0;
   std::vector<StoredJob> mJobs;
-  /// False when an earlier owner may still be extending task leases, which
-  /// ShardCleared ends; true when none did so after this event.
+  /// False while an earlier owner may still extend task leases (until
+  /// ShardCleared); true if none can after this event.
   bool mCleared = true;
 };
 
-/// No task lease that an earlier owner of the shard granted is left.
+/// All task leases granted by earlier owners of the shard have ended.
 struct ShardCleared
 {
   ShardId mShard = 0;
@@ -42,15 +42,15 @@
   ShardId mShard = 0;
 };
 
-/// A record was read: after a hint, or as the answer to ReadJob. Ignored when
-/// this process does not own the shard.
+/// A record was read, after a hint or as the answer to ReadJob. Ignored if this
+/// process does not own the shard.
 struct JobRead
 {
   ShardId mShard = 0;
   StoredJob mJob;
 };
 
-/// Answer to ReadJob: the store holds no such record.
+/// Answer to ReadJob: the record does not exist.
 struct JobMissing
 {
   ShardId mShard = 0;
@@ -64,7 +64,8 @@
   JobId mJob;
 };
 
-/// The customer wants the job stopped. Durable once the scheduler committed.
+/// The customer requested cancellation. Durable once the scheduler committed
+/// it.
 struct CancelRequested
 {
   JobId mJob;
@@ -75,16 +76,17 @@
   Heartbeat mHeartbeat;
 };
 
-/// A reply with the leases of ExtendLeases is about to leave, and ownership of
-/// the shards was proved after the heartbeat came. Given BEFORE the sending:
-/// only then can the job be counted as lapsed in time. Assignments count on
-/// the heartbeat answered last, so none is sent to an agent before this.
+/// A reply with the leases of ExtendLeases is about to be sent, and ownership
+/// of the shards was proved after the heartbeat arrived. Must be reported
+/// BEFORE sending, so that the bound for expiry covers the extension.
+/// Assignments rely on the last heartbeat replied to, so none is sent to an
+/// agent before this.
 struct HeartbeatReplySent
 {
   AgentId mAgent;
   Incarnation mIncarnation = 0;
   std::uint64_t mSequence = 0;
-  Instant mUntil; ///< No extended lease lasts longer, by this process's clock.
+  Instant mUntil; ///< Upper bound of the leases, by this process's clock.
 };
 
 enum class CommitOutcome : std::uint8_t
@@ -124,13 +126,14 @@
   std::vector<CustomerId> mRemoved;
 };
 
-/// Usage measured by an agent, in force for the tasks that it names.
+/// Usage measured by an agent for the listed tasks.
 struct UsageReceived
 {
   std::vector<UsageSample> mSamples;
 };
 
-/// Time passes. Due at least every 100 ms, and after each batch of events.
+/// Advances time. Must be sent at least every 100 ms and after each batch of
+/// events.
 struct Tick
 {};
 
--- a/src/core/job/JobScheduler.cpp
+++ b/src/core/job/JobScheduler.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Heartbeats that a worker may miss before nothing is placed on it.
+/// Heartbeats that a worker may miss before it becomes suspect.
 constexpr int kSuspectIntervals = 4;
 
 } // namespace
@@ -33,9 +33,10 @@
                                            Instant aNow,
                                            absl::BitGenRef aRandom)
 {
-  CallContext turn{ aNow, aRandom, {} };
-  std::visit([this, &turn](const auto& aKind) { On(aKind, turn); }, aEvent);
-  return std::move(turn.mActions);
+  CallContext context{ aNow, aRandom, {} };
+  std::visit([this, &context](const auto& aKind) { On(aKind, context); },
+             aEvent);
+  return std::move(context.mActions);
 }
 
 const JobRecord* JobScheduler::Find(const JobId& aJob) const
@@ -86,8 +87,8 @@
   for (const JobId& job : mTable.JobsOf(aEvent.mShard)) {
     Drop(job);
   }
-  const auto inShard = [&aEvent](const auto& aAsked) {
-    return aAsked.second == aEvent.mShard;
+  const auto inShard = [&aEvent](const auto& aRead) {
+    return aRead.second == aEvent.mShard;
   };
   absl::erase_if(mMissing, inShard);
   absl::erase_if(mUnknownReads, inShard);
@@ -157,7 +158,7 @@
   decision.mWorker = aWorker;
   decision.mState = aEntry.Record().mState;
   decision.mReason = aReason;
-  aEntry.mDecisions.RecordDecision(decision);
+  aEntry.mDecisions.Add(decision);
 }
 
 Duration JobScheduler::Backoff(Duration aFirst,
@@ -168,7 +169,7 @@
   constexpr std::int32_t kMaxDoublings = 20;
   const std::int32_t doublings = std::clamp(aTimes - 1, 0, kMaxDoublings);
   const Duration full = std::min<Duration>(aMax, aFirst * (1LL << doublings));
-  // Half fixed, half random, so that jobs which failed together part.
+  // Half fixed, half random, to spread jobs that failed together.
   absl::uniform_real_distribution<double> jitter(0.5, 1.0);
   return std::chrono::duration_cast<Duration>(full * jitter(aContext.mRandom));
 }
--- a/src/core/job/JobScheduler.h
+++ b/src/core/job/JobScheduler.h
@@ -26,21 +26,22 @@
 
 namespace foxtailbarrow {
 
-/// Runs the jobs of the shards that this process owns: decides where and when
-/// each is assigned, suspended, resumed, given up or cancelled.
+/// Schedules the jobs of the shards that this process owns: decides where and
+/// when each is assigned, suspended, resumed, failed or cancelled.
 ///
 /// Input: events (JobEvent.h). Output: actions (JobAction.h), in the order in
-/// which they must be carried out. Pure: time and randomness are passed in.
+/// which they must be executed. Pure: time and randomness are passed in.
 ///
-/// Promises, whatever events are lost, repeated or late:
-/// - A job is assigned anew only after its record says so under a greater
-///   epoch, and only when the assignment before certainly runs no more: its
-///   agent reported the end or refused for good, or its lease lapsed.
-/// - An agent is told to forget an ended task only after the end is recorded.
+/// Guarantees, even if events are lost, repeated or delayed:
+/// - A job is reassigned only after its record was written with a greater
+/// epoch,
+///   and only if the previous assignment certainly no longer runs: its agent
+///   reported the end or finally refused it, or its lease expired.
+/// - An end is acknowledged to the agent only after it was saved.
 /// - A checkpoint and the epoch that resumes it are written together.
 ///
-/// Survives: lost replies of the store and of agents, conflicting writes,
-/// agents that die, freeze or restart, takeover from another owner.
+/// Tolerates lost replies of the store and of agents, conflicting writes,
+/// agents that crash, freeze or restart, and takeover from another owner.
 class JobScheduler
 {
 public:
@@ -48,15 +49,16 @@
 
   explicit JobScheduler(const JobSchedulerSettings& aSettings = {});
 
-  /// `aNow` must not go back from one call to the next.
+  /// `aNow` must not decrease between calls.
   Actions Handle(const JobEvent& aEvent, Instant aNow, absl::BitGenRef aRandom);
 
-  /// The interval at which agents now send heartbeats: a worker counts as
-  /// suspect after several, never earlier than the setting says.
+  /// Sets the interval at which agents send heartbeats. A worker becomes
+  /// suspect after several intervals, but not before
+  /// JobSchedulerSettings::mSuspectAfter.
   void ExpectInterval(Duration aInterval);
 
-  /// The record as last known to be stored; nullptr for jobs of other owners
-  /// and for those that ended a while ago.
+  /// The record last known to be stored; nullptr for jobs of other owners and
+  /// jobs that ended longer ago than JobSchedulerSettings::mForgetAfter.
   const JobRecord* Find(const JobId& aJob) const;
 
   /// The latest decisions about the job, oldest first; empty when unknown.
@@ -70,7 +72,7 @@
   const JobCounters& Counters() const { return mCounters; }
 
 private:
-  /// One call of Handle().
+  /// State of one call of Handle().
   struct CallContext
   {
     Instant mNow;
@@ -82,7 +84,7 @@
   {
     Generation mGeneration = 0;
     Instant mAcquiredAt{};
-    bool mCleared = true; ///< No earlier owner extends leases any more.
+    bool mCleared = true; ///< No earlier owner can extend leases.
   };
 
   enum class Placement : std::uint8_t
@@ -90,7 +92,7 @@
     Placed,
     NoQuota,
     NoFreeCapacity,
-    AwaitsEvictions, ///< Waits for evicted tasks to make room.
+    AwaitsEvictions, ///< Capacity is reserved, evictions are pending.
   };
 
   // Events.
@@ -115,17 +117,19 @@
   void OnRecordRead(JobEntry& aEntry,
                     const StoredJob& aRead,
                     CallContext& aContext);
-  void ResolveLost(JobEntry& aEntry,
-                   const StoredJob& aRead,
-                   CallContext& aContext);
+  void ResolveLostCommit(JobEntry& aEntry,
+                         const StoredJob& aRead,
+                         CallContext& aContext);
   void Commit(JobEntry& aEntry, JobRecord aNext, CallContext& aContext);
-  void Applied(JobEntry& aEntry, Revision aRevision, CallContext& aContext);
-  void NotApplied(JobEntry& aEntry);
+  void OnCommitApplied(JobEntry& aEntry,
+                       Revision aRevision,
+                       CallContext& aContext);
+  void OnCommitNotApplied(JobEntry& aEntry);
   void CountEnd(const JobRecord& aRecord);
   void RequestRead(ShardId aShard, const JobId& aJob, CallContext& aContext);
   void Drop(const JobId& aJob);
 
-  // One job: does the next step that its state asks for.
+  // Performs the next step for one job.
   void Advance(JobEntry& aEntry, CallContext& aContext);
   bool WaitsForStore(JobEntry& aEntry, CallContext& aContext);
   void AdvanceEnd(JobEntry& aEntry, CallContext& aContext);
@@ -211,9 +215,9 @@
   SizeLearner mSizes;
   QuarantinePolicy mQuarantinePolicy;
   absl::flat_hash_map<CommitToken, JobId> mCommits;
-  absl::flat_hash_map<JobId, ShardId> mMissing; ///< Reported, not stored.
-  absl::flat_hash_map<JobId, ShardId>
-    mUnknownReads; ///< Unknown; read under way.
+  /// Jobs reported by an agent that are not in the store.
+  absl::flat_hash_map<JobId, ShardId> mMissing;
+  absl::flat_hash_map<JobId, ShardId> mUnknownReads; ///< Reads of unknown jobs.
   CommitToken mLastToken = 0;
   JobCounters mCounters;
 };
--- a/src/core/job/JobSchedulerAdvance.cpp
+++ b/src/core/job/JobSchedulerAdvance.cpp
@@ -4,12 +4,12 @@
 #include "src/core/job/JobScheduler.h"
 #include "src/core/job/JobTransitions.h"
 
-/// The part of JobScheduler that takes one job a step further.
+/// The part of JobScheduler that performs the next step for one job.
 namespace foxtailbarrow {
 
 void JobScheduler::Advance(JobEntry& aEntry, CallContext& aContext)
 {
-  // Whatever else is due takes the job off the queue.
+  // Any step other than AdvanceIdle() removes the job from the queue.
   const ReadyQueue::Ticket ticket = std::exchange(aEntry.mTicket, 0);
   if (WaitsForStore(aEntry, aContext)) {
     return;
@@ -66,7 +66,7 @@
          aContext);
 }
 
-/// True while the assignment may run, so that nothing else may be done.
+/// Returns true while the assignment may run, so that the job is not idle.
 bool JobScheduler::AdvanceAssigned(JobEntry& aEntry, CallContext& aContext)
 {
   if (aEntry.mAssignmentState == AssignmentState::Released) {
@@ -86,7 +86,7 @@
     Release(aEntry, Reason::LeaseLapsed, aContext);
     return false;
   }
-  Instant wake = lapsed;
+  Instant timer = lapsed;
   if (aEntry.CancelPending()) {
     if (!aEntry.Record().mCancelRequested) {
       JobRecord marked = aEntry.Record();
@@ -96,15 +96,15 @@
     }
     SendControlIfDue(
       aEntry, TaskAction::Stop, Reason::CancelRequested, aContext);
-    wake = std::min(wake, aEntry.mResendAt);
+    timer = std::min(timer, aEntry.mResendAt);
   } else if (aEntry.mEvictReason != Reason::None) {
     SendControlIfDue(aEntry, TaskAction::Evict, aEntry.mEvictReason, aContext);
-    wake = std::min(wake, aEntry.mResendAt);
+    timer = std::min(timer, aEntry.mResendAt);
   } else if (aEntry.mAssignReplyLost) {
     SendAssignIfDue(aEntry, aContext);
-    wake = std::min(wake, aEntry.mResendAt);
+    timer = std::min(timer, aEntry.mResendAt);
   }
-  mTable.SetTimer(aEntry, std::max(wake, aContext.mNow + Duration(1)));
+  mTable.SetTimer(aEntry, std::max(timer, aContext.mNow + Duration(1)));
   return true;
 }
 
@@ -129,7 +129,7 @@
   RecordDecision(aEntry, aReason, aContext);
 }
 
-/// The job runs nowhere. It keeps the place in the queue that it had.
+/// Handles a job that certainly does not run. It keeps its queue position.
 void JobScheduler::AdvanceIdle(JobEntry& aEntry,
                                ReadyQueue::Ticket aTicket,
                                CallContext& aContext)
--- a/src/core/job/JobSchedulerAgents.cpp
+++ b/src/core/job/JobSchedulerAgents.cpp
@@ -2,7 +2,7 @@
 
 #include "src/core/job/JobScheduler.h"
 
-/// The part of JobScheduler that talks with agents.
+/// The part of JobScheduler that communicates with agents.
 namespace foxtailbarrow {
 
 void JobScheduler::On(const HeartbeatReceived& aEvent, CallContext& aContext)
@@ -74,10 +74,10 @@
                                    const TaskStatus& aStatus,
                                    CallContext& aContext)
 {
-  const bool movesOn =
+  const bool leavesAssignment =
     aEntry.mCommit && (aEntry.mCommit->mIsAssignment ||
                        aEntry.mCommit->mNext.mState != JobState::Assigned);
-  if (movesOn) {
+  if (leavesAssignment) {
     return;
   }
   if (aStatus.mState != TaskState::Running) {
@@ -125,8 +125,8 @@
   aEntry.mResendAt = aContext.mNow + mSettings.mResendAfter;
   const LeaseBasis& basis = mBounds.Basis(*slot);
   const OwnedShard& shard = mShards.at(aEntry.mShard);
-  // A start on another incarnation may find an empty worker, while the first
-  // one runs on the machine that this one replaced.
+  // A later incarnation may run on a new, empty worker while the task still
+  // runs on the machine that was replaced.
   const bool sameAgent = first || basis.mIncarnation == aEntry.mSentTo;
   const bool fresh = basis.mValid && basis.mReceived >= shard.mAcquiredAt &&
                      aContext.mNow < basis.mReceived + mSuspectAfter;
@@ -227,7 +227,7 @@
   Release(aEntry, aReply.mReason, aContext);
 }
 
-/// Remembers, within limits, where the job did not do well.
+/// Records a worker to avoid for the job, keeping the last kAvoidLimit.
 void JobScheduler::Avoid(JobEntry& aEntry, WorkerSlot aSlot)
 {
   constexpr std::size_t kAvoidLimit = 8;
--- a/src/core/job/JobSchedulerCommit.cpp
+++ b/src/core/job/JobSchedulerCommit.cpp
@@ -4,7 +4,7 @@
 #include "src/core/job/JobScheduler.h"
 #include "src/core/job/JobTransitions.h"
 
-/// The part of JobScheduler that reads and writes records.
+/// The part of JobScheduler that reads and commits records.
 namespace foxtailbarrow {
 
 void JobScheduler::Adopt(JobEntry& aEntry, CallContext& aContext)
@@ -19,7 +19,7 @@
   aEntry.mAssignmentState = AssignmentState::Unconfirmed;
   aEntry.mInherited = aEntry.IsAssigned();
   if (aEntry.IsAssigned()) {
-    // Whoever assigned it did so before now, on a lease that it held.
+    // It was assigned before now, by a process that held a lease.
     aEntry.mLease = { aContext.mNow + mSettings.mTaskLease, Instant{} };
     const auto worker = mAllocations.Workers().SlotOf(*aEntry.Record().mAgent);
     mAllocations.Adopt(aEntry, worker, aEntry.Spec().mDeclared);
@@ -49,7 +49,7 @@
 {
   aEntry.mSeenRevision = std::max(aEntry.mSeenRevision, aRead.mRevision);
   if (aEntry.mCommit && aEntry.mCommit->mReplyLost) {
-    ResolveLost(aEntry, aRead, aContext);
+    ResolveLostCommit(aEntry, aRead, aContext);
   } else if (!aEntry.mCommit && aRead.mRevision > aEntry.mStored.mRevision) {
     const JobRecord before = std::exchange(aEntry.mStored, aRead).mRecord;
     const bool sameRun = before.mEpoch == aRead.mRecord.mEpoch &&
@@ -63,9 +63,9 @@
   Advance(aEntry, aContext);
 }
 
-void JobScheduler::ResolveLost(JobEntry& aEntry,
-                               const StoredJob& aRead,
-                               CallContext& aContext)
+void JobScheduler::ResolveLostCommit(JobEntry& aEntry,
+                                     const StoredJob& aRead,
+                                     CallContext& aContext)
 {
   aEntry.mCommit->mReplyLost = false;
   if (aRead.mRevision < aEntry.mStored.mRevision) {
@@ -74,15 +74,15 @@
     return;
   }
   if (aRead.mRevision == aEntry.mStored.mRevision) {
-    // It may still land; then every later commit of ours will conflict.
-    NotApplied(aEntry);
+    // The write may still be applied; every later commit then conflicts.
+    OnCommitNotApplied(aEntry);
     return;
   }
   if (SameProgress(aEntry.mCommit->mNext, aRead.mRecord)) {
-    Applied(aEntry, aRead.mRevision, aContext);
+    OnCommitApplied(aEntry, aRead.mRevision, aContext);
     return;
   }
-  NotApplied(aEntry);
+  OnCommitNotApplied(aEntry);
   aEntry.mStored = aRead;
   Adopt(aEntry, aContext);
 }
@@ -94,7 +94,7 @@
     return;
   }
   Drop(aEvent.mJob);
-  // Forgetting only costs another read.
+  // Clearing costs only additional reads.
   constexpr std::size_t kMaxMissing = 10'000;
   if (mMissing.size() >= kMaxMissing) {
     mMissing.clear();
@@ -163,7 +163,7 @@
     return;
   }
   if (aEvent.mOutcome == CommitOutcome::Applied) {
-    Applied(entry, aEvent.mRevision, aContext);
+    OnCommitApplied(entry, aEvent.mRevision, aContext);
     Advance(entry, aContext);
     return;
   }
@@ -172,7 +172,7 @@
     entry.mCommit->mReplyLost = true;
     entry.mMustRead = true;
   } else {
-    NotApplied(entry);
+    OnCommitNotApplied(entry);
   }
   if (aEvent.mOutcome == CommitOutcome::Conflict) {
     ++mCounters.mConflicts;
@@ -187,7 +187,7 @@
   Advance(entry, aContext);
 }
 
-void JobScheduler::NotApplied(JobEntry& aEntry)
+void JobScheduler::OnCommitNotApplied(JobEntry& aEntry)
 {
   mCommits.erase(aEntry.mCommit->mToken);
   if (aEntry.mCommit->mIsAssignment) {
@@ -197,9 +197,9 @@
   aEntry.mCommit.reset();
 }
 
-void JobScheduler::Applied(JobEntry& aEntry,
-                           Revision aRevision,
-                           CallContext& aContext)
+void JobScheduler::OnCommitApplied(JobEntry& aEntry,
+                                   Revision aRevision,
+                                   CallContext& aContext)
 {
   PendingCommit done = std::move(*aEntry.mCommit);
   aEntry.mCommit.reset();
@@ -223,7 +223,7 @@
     aEntry.mEvictReason = Reason::None;
     aEntry.mReservedOn.reset();
   } else if (aEntry.IsAssigned()) {
-    aEntry.mResendAt = Instant{}; // A stop is due now.
+    aEntry.mResendAt = Instant{}; // Send a stop now.
   } else {
     mAllocations.Release(aEntry);
     CountEnd(aEntry.Record());
--- a/src/core/job/JobSchedulerEviction.cpp
+++ b/src/core/job/JobSchedulerEviction.cpp
@@ -2,12 +2,12 @@
 
 #include "src/core/job/JobScheduler.h"
 
-/// The part of JobScheduler that makes room for urgent jobs.
+/// The part of JobScheduler that evicts batch tasks for urgent jobs.
 namespace foxtailbarrow {
 
 namespace {
 
-/// Running batch work that nobody has asked to go yet.
+/// True for running batch work that is not being evicted yet.
 bool IsEvictable(const JobEntry& aEntry)
 {
   const JobSpec& spec = aEntry.Spec();
@@ -19,8 +19,8 @@
 
 } // namespace
 
-/// Evicts batch tasks on the worker where that costs least among a sample, and
-/// holds the room.
+/// Evicts batch tasks on the cheapest worker of a sample and reserves the
+/// capacity for the job.
 bool JobScheduler::EvictFor(JobEntry& aEntry,
                             const PlacementRequest& aRequest,
                             CallContext& aContext)
@@ -55,8 +55,8 @@
   return true;
 }
 
-/// True when the customer keeps within its share of the worker, once the
-/// victims are gone.
+/// True if the customer stays within its share of the worker once the victims
+/// have been evicted.
 bool JobScheduler::RespectsShare(const EvictionPlan& aPlan,
                                  const PlacementRequest& aRequest,
                                  WorkerSlot aSlot) const
@@ -92,7 +92,7 @@
   return candidates;
 }
 
-/// Takes the room once the worker's own count shows it.
+/// Places the job once the capacity reported by the worker suffices.
 JobScheduler::Placement JobScheduler::PlaceReserved(JobEntry& aEntry,
                                                     CallContext& aContext)
 {
--- a/src/core/job/JobSchedulerLearning.cpp
+++ b/src/core/job/JobSchedulerLearning.cpp
@@ -2,14 +2,13 @@
 
 #include "src/core/job/JobScheduler.h"
 
-/// The part of JobScheduler that learns from what tasks used and how they
-/// ended.
+/// The part of JobScheduler that learns from the usage and the ends of tasks.
 namespace foxtailbarrow {
 
 namespace {
 
-/// Workers name the cause of an end in text; this word marks a task that was
-/// stopped for using more memory than reserved.
+/// Occurs in the reason text of a task that the worker stopped for using more
+/// memory than reserved.
 constexpr std::string_view kMemoryWord = "memory";
 
 bool IsMemoryOverrun(const TaskStatus& aEnd)
@@ -37,7 +36,7 @@
 {
   for (const UsageSample& sample : aSamples) {
     JobEntry* entry = mTable.Find(sample.mKey.mJob);
-    // A late sample of an earlier assignment says nothing about this one.
+    // Ignore late samples of earlier assignments.
     if (entry == nullptr || entry->Key() != sample.mKey) {
       continue;
     }
@@ -47,7 +46,7 @@
   }
 }
 
-/// Counts the reported end once.
+/// Updates the learned sizes and worker statistics with the reported end.
 void JobScheduler::RecordOutcome(JobEntry& aEntry, CallContext& aContext)
 {
   const TaskStatus& end = *aEntry.mEnd;
@@ -65,7 +64,7 @@
     return;
   }
   if (run.mFinished) {
-    mQuarantinePolicy.Succeeded(*slot, ProgramOf(aEntry), aContext.mNow);
+    mQuarantinePolicy.OnSuccess(*slot, ProgramOf(aEntry), aContext.mNow);
   } else if (end.mState == TaskState::Failed) {
     RecordWorkerFailure(aEntry, *slot, aContext);
   }
@@ -76,15 +75,15 @@
                                        CallContext& aContext)
 {
   WorkerIndex& workers = mAllocations.Workers();
-  const bool bad = mQuarantinePolicy.Failed(
+  const bool quarantine = mQuarantinePolicy.OnFailure(
     aSlot, aEntry.Spec().mId, ProgramOf(aEntry), workers.Size(), aContext.mNow);
-  if (bad) {
+  if (quarantine) {
     ++mCounters.mQuarantined;
     workers.SetQuarantined(aSlot, true);
   }
   Avoid(aEntry, aSlot);
   if (workers.At(aSlot).mQuarantined) {
-    // The worker's failure, not the job's: it costs the job no attempt.
+    // The failure is attributed to the worker: it costs the job no attempt.
     aEntry.mEnd->mState = TaskState::Stopped;
     aEntry.mEnd->mReason = ToString(Reason::Quarantined);
     RecordDecision(aEntry, Reason::Quarantined, aContext, aSlot);
--- a/src/core/job/JobSchedulerPlacing.cpp
+++ b/src/core/job/JobSchedulerPlacing.cpp
@@ -42,24 +42,25 @@
       Requeue(*entry);
       continue;
     }
-    const bool room = placement == Placement::NoFreeCapacity;
+    const bool noCapacity = placement == Placement::NoFreeCapacity;
     --misses;
     OnNotPlaced(*entry,
-                room ? Reason::WaitingForCapacity : Reason::WaitingForQuota,
+                noCapacity ? Reason::WaitingForCapacity
+                           : Reason::WaitingForQuota,
                 aContext);
-    if (room && ++missed[*customer] < mSettings.mMissesPerCustomer) {
+    if (noCapacity && ++missed[*customer] < mSettings.mMissesPerCustomer) {
       order.Push(*customer);
     }
   }
 }
 
-/// The customer's first waiting job, taken off the queue.
+/// Removes the customer's first waiting job from the queue.
 JobEntry* JobScheduler::NextWaiting(const CustomerId& aCustomer,
                                     JobPriority aPriority)
 {
-  while (const auto place = mReady.Pop(aCustomer, aPriority)) {
-    JobEntry* entry = mTable.Find(place->mJob);
-    if (entry != nullptr && entry->mTicket == place->mTicket) {
+  while (const auto queued = mReady.Pop(aCustomer, aPriority)) {
+    JobEntry* entry = mTable.Find(queued->mJob);
+    if (entry != nullptr && entry->mTicket == queued->mTicket) {
       entry->mTicket = 0;
       return entry;
     }
@@ -95,7 +96,7 @@
   if (mayEvict && EvictFor(aEntry, request, aContext)) {
     return Placement::AwaitsEvictions;
   }
-  // Every worker may be among those to avoid: they get another chance.
+  // Every worker may be in mAvoid, so clear it before the next attempt.
   aEntry.mAvoid.clear();
   return Placement::NoFreeCapacity;
 }
--- a/src/core/job/JobTable.h
+++ b/src/core/job/JobTable.h
@@ -13,22 +13,23 @@
 
 namespace foxtailbarrow {
 
-/// The jobs of the owned shards, found by id, each with one timer. Entries
-/// stay where they are in memory until erased.
+/// The jobs of the owned shards by id, each with one timer. Pointers to entries
+/// stay valid until they are erased.
 class JobTable
 {
 public:
   JobEntry* Find(const JobId& aJob);
   const JobEntry* Find(const JobId& aJob) const;
 
-  /// Adds a job that is not there yet.
+  /// Adds a job that the table does not contain yet.
   JobEntry& Insert(ShardId aShard, StoredJob aJob);
   void Erase(const JobId& aJob);
 
-  /// Sets the entry's timer, in place of the one before.
+  /// Sets the entry's timer, replacing the previous one.
   void SetTimer(JobEntry& aEntry, Instant aAt);
 
-  /// Takes an entry whose timer is due; nullptr when there is none.
+  /// Returns an entry whose timer is due and clears the timer; nullptr if there
+  /// is none.
   JobEntry* PopDue(Instant aNow);
 
   std::vector<JobId> JobsOf(ShardId aShard) const;
--- a/src/core/job/JobTransitions.cpp
+++ b/src/core/job/JobTransitions.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-JobRecord Enter(JobRecord aRecord, JobState aState, Reason aReason)
+JobRecord WithState(JobRecord aRecord, JobState aState, Reason aReason)
 {
   aRecord.mState = aState;
   aRecord.mReason = std::string(ToString(aReason));
@@ -36,7 +36,7 @@
   return next;
 }
 
-auto Progress(const JobRecord& aRecord)
+auto ProgressFields(const JobRecord& aRecord)
 {
   return std::tie(aRecord.mState,
                   aRecord.mEpoch,
@@ -54,31 +54,31 @@
 {
   ++aRecord.mEpoch;
   aRecord.mAgent = aAgent;
-  return Enter(std::move(aRecord), JobState::Assigned, Reason::None);
+  return WithState(std::move(aRecord), JobState::Assigned, Reason::None);
 }
 
 JobRecord Requeued(JobRecord aRecord, Reason aReason)
 {
   const JobState state =
     aRecord.mCheckpoint.empty() ? JobState::Queued : JobState::Suspended;
-  return Enter(std::move(aRecord), state, aReason);
+  return WithState(std::move(aRecord), state, aReason);
 }
 
 JobRecord Cancelled(JobRecord aRecord)
 {
   aRecord.mCancelRequested = true;
-  return Enter(
+  return WithState(
     std::move(aRecord), JobState::Cancelled, Reason::CancelRequested);
 }
 
 JobRecord Parked(JobRecord aRecord, Reason aReason)
 {
-  return Enter(std::move(aRecord), JobState::Parked, aReason);
+  return WithState(std::move(aRecord), JobState::Parked, aReason);
 }
 
 JobRecord GivenUp(JobRecord aRecord, Reason aReason)
 {
-  return Enter(std::move(aRecord), JobState::Failed, aReason);
+  return WithState(std::move(aRecord), JobState::Failed, aReason);
 }
 
 JobRecord AfterEnd(JobRecord aRecord,
@@ -87,7 +87,7 @@
 {
   const bool standing = aRecord.mSpec.mKind == JobKind::Standing;
   if (aEnd.mState == TaskState::Finished && !standing) {
-    return Enter(std::move(aRecord), JobState::Finished, Reason::None);
+    return WithState(std::move(aRecord), JobState::Finished, Reason::None);
   }
   if (aRecord.mCancelRequested) {
     return Cancelled(std::move(aRecord));
@@ -105,7 +105,7 @@
 
 bool SameProgress(const JobRecord& aLeft, const JobRecord& aRight)
 {
-  return Progress(aLeft) == Progress(aRight);
+  return ProgressFields(aLeft) == ProgressFields(aRight);
 }
 
 } // namespace foxtailbarrow
--- a/src/core/job/LeaseBounds.h
+++ b/src/core/job/LeaseBounds.h
@@ -9,7 +9,7 @@
 
 namespace foxtailbarrow {
 
-/// The heartbeat on whose lease new assignments to an agent count.
+/// The heartbeat whose lease covers new assignments to an agent.
 struct LeaseBasis
 {
   Incarnation mIncarnation = 0;
@@ -18,38 +18,38 @@
   bool mValid = false;
 };
 
-/// What one assignment may live on.
+/// Lease times of one assignment.
 struct AssignmentLease
 {
-  Instant mStartUntil{};  ///< The agent refuses to start it after this.
-  Instant mListedUntil{}; ///< Extension by the last heartbeat that listed it.
+  Instant mStartUntil{};  ///< The agent does not start it after this.
+  Instant mListedUntil{}; ///< Extended by the last heartbeat that listed it.
 };
 
-/// Until when a task that an agent does not report may still run. Every bound
-/// is by this process's clock, from the receipt of heartbeats; the agent counts
-/// from their sending, which was earlier.
+/// Computes until when a task that its agent does not report may still run.
+/// Bounds use this process's clock, from the receipt of heartbeats; the agent
+/// measures from their sending, which is earlier.
 class LeaseBounds
 {
 public:
-  /// `aLease`: time to live of an extension. `aMargin`: covers the difference
-  /// of clock rates between this process and a worker over one lease.
+  /// `aLease`: time to live of an extension. `aMargin`: covers the clock rate
+  /// difference between this process and a worker over one lease.
   LeaseBounds(Duration aLease, Duration aMargin)
     : mLease(aLease)
     , mMargin(aMargin)
   {
   }
 
-  /// A heartbeat was taken. One sent while its agent was still rebuilding its
-  /// ledger proves nothing about tasks that it leaves out.
+  /// A heartbeat was received. One sent while the agent was rebuilding its
+  /// ledger does not prove the absence of tasks that it omits.
   void OnHeartbeat(WorkerSlot aSlot, const Heartbeat& aHeartbeat, Instant aNow);
 
-  /// A reply that extends leases leaves.
+  /// A reply that extends leases is about to be sent.
   void OnLeasesExtended(WorkerSlot aSlot,
                         Incarnation aIncarnation,
                         std::uint64_t aSequence,
                         Instant aUntil);
 
-  /// Latest heartbeat answered; mValid is false before the first.
+  /// Latest heartbeat replied to; mValid is false before the first.
   const LeaseBasis& Basis(WorkerSlot aSlot) const;
 
   Instant StartUntil(const LeaseBasis& aBasis) const
@@ -57,12 +57,12 @@
     return aBasis.mReceived + mLease;
   }
 
-  /// From when on the assignment certainly does not run. Every task is
-  /// extended by replies to heartbeats that list it; one that starts late, by
-  /// mStartUntil, may be extended once more by a reply under way by then.
+  /// Time from which the assignment certainly does not run. A task is extended
+  /// by replies to heartbeats that list it; one that starts as late as
+  /// mStartUntil may be extended once more by a reply in flight at that time.
   Instant LapsedAt(WorkerSlot aSlot, const AssignmentLease& aLease) const;
 
-  /// The same for an agent never heard of since `aLease` began.
+  /// The same for an agent without any heartbeat since `aLease` began.
   Instant LapsedWithoutHeartbeat(const AssignmentLease& aLease) const
   {
     return aLease.mStartUntil + mMargin;
@@ -72,7 +72,7 @@
   struct Bound
   {
     Instant mExtendedUntil{};
-    Instant mUnprovedUntil{}; ///< By heartbeats that prove no absence.
+    Instant mUnprovedUntil{}; ///< By replies that prove no absence.
     LeaseBasis mNewest;
     LeaseBasis mBasis;
     bool mNewestProvesAbsence = false;
--- a/src/core/job/ReadyQueue.cpp
+++ b/src/core/job/ReadyQueue.cpp
@@ -17,35 +17,36 @@
   return mLastTicket;
 }
 
-std::optional<ReadyQueue::Place> ReadyQueue::Pop(const CustomerId& aCustomer,
-                                                 JobPriority aPriority)
+std::optional<ReadyQueue::QueuedJob> ReadyQueue::Pop(
+  const CustomerId& aCustomer,
+  JobPriority aPriority)
 {
-  Queues& lines = QueuesOf(aPriority);
-  const auto found = lines.find(aCustomer);
-  if (found == lines.end()) {
+  Queues& queues = QueuesOf(aPriority);
+  const auto found = queues.find(aCustomer);
+  if (found == queues.end()) {
     return std::nullopt;
   }
-  Place place = std::move(found->second.front());
+  QueuedJob front = std::move(found->second.front());
   found->second.pop_front();
   if (found->second.empty()) {
-    lines.erase(found);
+    queues.erase(found);
   }
-  return place;
+  return front;
 }
 
 void ReadyQueue::PushFront(const CustomerId& aCustomer,
                            JobPriority aPriority,
-                           Place aPlace)
+                           QueuedJob aJob)
 {
-  QueuesOf(aPriority)[aCustomer].push_front(std::move(aPlace));
+  QueuesOf(aPriority)[aCustomer].push_front(std::move(aJob));
 }
 
 std::vector<CustomerId> ReadyQueue::Customers(JobPriority aPriority) const
 {
-  const Queues& lines = aPriority == JobPriority::Urgent ? mUrgent : mNormal;
+  const Queues& queues = aPriority == JobPriority::Urgent ? mUrgent : mNormal;
   std::vector<CustomerId> customers;
-  customers.reserve(lines.size());
-  for (const auto& [customer, places] : lines) {
+  customers.reserve(queues.size());
+  for (const auto& [customer, queue] : queues) {
     customers.push_back(customer);
   }
   std::ranges::sort(customers);
--- a/src/core/job/ReadyQueue.h
+++ b/src/core/job/ReadyQueue.h
@@ -12,16 +12,16 @@
 
 namespace foxtailbarrow {
 
-/// Jobs that wait for a worker, by customer and priority, first come first
-/// served within each. Removal is by ticket: a job taken off keeps a dead
-/// place, which is dropped when it comes to the front.
+/// Jobs that wait for a worker: a FIFO queue per customer and priority. Removal
+/// is lazy: an entry whose ticket no longer matches its job is stale and is
+/// skipped when it reaches the front.
 class ReadyQueue
 {
 public:
-  /// A place in the queue. Never 0, never used twice.
+  /// Identifies an entry of the queue. Never 0, never reused.
   using Ticket = std::uint64_t;
 
-  struct Place
+  struct QueuedJob
   {
     JobId mJob;
     Ticket mTicket = 0;
@@ -31,20 +31,21 @@
               JobPriority aPriority,
               const JobId& aJob);
 
-  /// Takes the first place, dead or alive; nullopt when there is none.
-  std::optional<Place> Pop(const CustomerId& aCustomer, JobPriority aPriority);
+  /// Removes the first entry, stale or not; nullopt if the queue is empty.
+  std::optional<QueuedJob> Pop(const CustomerId& aCustomer,
+                               JobPriority aPriority);
 
-  /// Puts a place back at the front.
+  /// Returns an entry to the front.
   void PushFront(const CustomerId& aCustomer,
                  JobPriority aPriority,
-                 Place aPlace);
+                 QueuedJob aJob);
 
-  /// Customers with places at that priority, sorted.
+  /// Customers with entries at that priority, sorted.
   std::vector<CustomerId> Customers(JobPriority aPriority) const;
 
 private:
-  using Places = std::deque<Place>;
-  using Queues = absl::flat_hash_map<CustomerId, Places>;
+  using Queue = std::deque<QueuedJob>;
+  using Queues = absl::flat_hash_map<CustomerId, Queue>;
 
   Queues& QueuesOf(JobPriority aPriority);
 
--- a/src/core/job/ShardOf.h
+++ b/src/core/job/ShardOf.h
@@ -5,15 +5,15 @@
 #include "foxtailbarrow/Id.h"
 #include "foxtailbarrow/Messages.h"
 
-/// Decides which shard of the job space a job belongs to. All jobs of a
-/// customer share one shard, so that one process counts its contract's limits
-/// exactly; the customer is therefore part of the job's id.
+/// Maps jobs to shards. All jobs of a customer are in one shard, so that one
+/// process can enforce the limits of its contract exactly; the customer is
+/// therefore part of the job id.
 namespace foxtailbarrow {
 
-/// Id of a new job: "<customer>.<unique>". `aUnique` must hold no '.'.
+/// Id of a new job: "<customer>.<unique>". `aUnique` must not contain '.'.
 JobId JobIdFor(const CustomerId& aCustomer, std::string_view aUnique);
 
-/// The customer part of an id made by JobIdFor(); the whole text of any other.
+/// The customer part of an id made by JobIdFor(); the whole text of others.
 std::string_view CustomerPart(const JobId& aJob);
 
 /// Shard of a job, 0..aShardCount-1. Stable across builds and machines
--- a/src/core/membership/AgentDirectory.cpp
+++ b/src/core/membership/AgentDirectory.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Weight of the newest gap in the learned interval, as a divisor.
+/// Divisor of the newest gap in the moving average of the interval.
 constexpr int kIntervalSmoothing = 4;
 
-/// A single gap counts at most this many times the learned interval, so that
-/// one pause of an agent does not make it look slow for long.
+/// A gap counts as at most this many times the learned interval, so that one
+/// pause of an agent does not inflate its interval for long.
 constexpr int kMaxGapIntervals = 4;
 
 bool IsNewer(const Heartbeat& aHeartbeat, const AgentRecord& aRecord)
@@ -171,7 +171,8 @@
   }
   Service& service = ServiceOf(aRecord.mService);
   service.mStartedAt = std::min(service.mStartedAt, aNow);
-  const bool isFirstView = service.mStartedAt > aNow - mSettings.mDiscoveryTime;
+  const bool isDiscovering =
+    service.mStartedAt > aNow - mSettings.mDiscoveryTime;
   std::erase_if(service.mFormer, [&](const FormerAgent& aFormer) {
     return aFormer.mAgent->mRoutingState == aRecord.mRoutingState;
   });
@@ -183,7 +184,7 @@
                    aRecord.mRack,
                    aRecord.mFailureDomain,
                    aNow,
-                   isFirstView ? Instant::min() : aNow,
+                   isDiscovering ? Instant::min() : aNow,
                    StableHash(aRecord.mAgent.Value()),
                    aRecord.mRoutingState,
                    service.mHealth });
@@ -219,7 +220,7 @@
   for (const auto& [id, record] : mRecords) {
     UpdatePhase(*record, aNow);
   }
-  ForgetOld(aNow);
+  ForgetGone(aNow);
   ForgetFormer(aNow);
 }
 
@@ -235,7 +236,7 @@
   }
 }
 
-void AgentDirectory::ForgetOld(Instant aNow)
+void AgentDirectory::ForgetGone(Instant aNow)
 {
   absl::erase_if(mRecords, [&](const auto& aEntry) {
     AgentRecord& record = *aEntry.second;
--- a/src/core/membership/AgentDirectory.h
+++ b/src/core/membership/AgentDirectory.h
@@ -18,56 +18,59 @@
 
 namespace foxtailbarrow {
 
-/// Decides which agents an entry knows and which of them get requests. Inputs:
-/// heartbeats and the passing of time. Output: routing tables. One thread.
+/// Tracks the agents known to an entry and decides which of them get requests.
+/// Inputs: heartbeats and the current time. Output: routing tables. Not
+/// thread-safe.
 ///
-/// Promises:
-/// - The outcome depends on which heartbeats were applied, not on their order:
-///   per agent the one with the greatest (incarnation, sequence) counts, per
-///   address the agent with the greatest (incarnation, id) holds it.
-/// - A draining agent is in no table made after its heartbeat was applied.
-/// - A silent agent becomes Suspect, then Gone, then forgotten; state is
-///   bounded by the agents heard of within the forgetting time.
-/// - A table is made anew only when membership changed; load reports go into
-///   the gauges that all tables share.
+/// Guarantees:
+/// - The result depends on which heartbeats were applied, not on their order:
+///   per agent the one with the greatest (incarnation, sequence) counts, and an
+///   address belongs to the agent with the greatest (incarnation, id).
+/// - A draining agent is in no table built after its heartbeat was applied.
+/// - An agent without heartbeats becomes Suspect, then Gone, then is deleted;
+///   state is bounded by the agents active within
+///   DirectorySettings::mForgetAfter.
+/// - A table is rebuilt only if membership changed; load reports go into the
+///   AgentRoutingState that all tables share.
 ///
-/// Survives: lost, repeated and reordered heartbeats, restarts at the same
-/// address, replaced VMs, a rack lost at once, all agents restarting at once,
-/// and a pause of this process, which is not taken for the agents' silence.
+/// Tolerates lost, repeated and reordered heartbeats, restarts at the same
+/// address, replaced VMs, the loss of a whole rack, a simultaneous restart of
+/// all agents, and a pause of this process, which does not count as missing
+/// heartbeats.
 class AgentDirectory
 {
 public:
   explicit AgentDirectory(DirectorySettings aSettings = {});
 
-  /// The interval at which agents now send; see HeartbeatInterval(). To be
-  /// called whenever the number of live entries changed.
+  /// Sets the interval at which agents send; see HeartbeatInterval(). Must be
+  /// called whenever the number of live entries changes.
   void ExpectInterval(Duration aInterval);
 
-  /// True until an entry that starts among running agents has heard of all of
-  /// them. While it holds, an entry should not report itself ready: it would
-  /// take an agent for the holder of an idempotency key that is not.
+  /// True while an entry that started among running agents has not discovered
+  /// all of them. Until then it should not report itself ready: it could select
+  /// the wrong agent as the holder of an idempotency key.
   bool IsDiscovering(Instant aNow) const;
 
   HeartbeatEffect Apply(const Heartbeat& aHeartbeat, Instant aNow);
 
-  /// Call at least each heartbeat interval.
+  /// Must be called at least once per heartbeat interval.
   void Advance(Instant aNow);
 
-  /// Changes of phase since the last call, by Apply() and Advance().
+  /// Returns the phase changes since the last call, by Apply() and Advance().
   std::vector<MembershipEvent> TakeEvents();
 
-  /// True when Table() would differ from the last one returned.
+  /// True if Table() would differ from the last one returned.
   bool Changed() const { return !mDirty.empty(); }
 
-  /// The table as of now. Rebuilds the services that changed: for each, time
-  /// in proportion to its agents. Publish it at once after a drain; after other
-  /// changes a delay up to 100 ms saves work when many agents change at once.
+  /// The current table. Rebuilds the services that changed, each in time linear
+  /// in its agents. Must be published at once after a drain; after other
+  /// changes a delay of up to 100 ms saves work if many agents change together.
   std::shared_ptr<const RoutingTable> Table();
 
-  /// Null when unknown. Valid until the next Apply() or Advance().
+  /// Null if unknown. Valid until the next Apply() or Advance().
   const AgentRecord* Find(const AgentId& aAgent) const;
 
-  /// Every known agent, in no order. Valid as for Find().
+  /// All known agents, unordered. Valid until the next Apply() or Advance().
   std::vector<const AgentRecord*> Agents() const;
 
 private:
@@ -86,8 +89,8 @@
     }
   };
 
-  /// By failure domain, then id, as ServiceTable wants them; neither changes
-  /// while an incarnation is listed.
+  /// By failure domain, then id, as ServiceTable requires; neither changes
+  /// during an incarnation.
   struct InTableOrder
   {
     bool operator()(const AgentRecord* aLeft, const AgentRecord* aRight) const
@@ -101,7 +104,8 @@
   {
     absl::btree_set<AgentRecord*, InTableOrder> mAgents;
     std::vector<FormerAgent> mFormer;
-    Instant mStartedAt = Instant::max(); ///< Its first serving agent.
+    /// When its first agent became routable.
+    Instant mStartedAt = Instant::max();
     std::shared_ptr<ServiceHealth> mHealth;
   };
 
@@ -118,7 +122,7 @@
   void Route(AgentRecord& aRecord, Instant aNow);
   void Unroute(AgentRecord& aRecord, bool aReachable, Instant aNow);
   void DiscountOwnPause(Instant aNow);
-  void ForgetOld(Instant aNow);
+  void ForgetGone(Instant aNow);
   void ForgetFormer(Instant aNow);
   Service& ServiceOf(const ServiceId& aService);
   std::shared_ptr<const ServiceTable> Build(const ServiceId& aId,
--- a/src/core/membership/AgentPhase.h
+++ b/src/core/membership/AgentPhase.h
@@ -5,14 +5,14 @@
 
 namespace foxtailbarrow {
 
-/// How an entry sees an agent.
+/// State of an agent as determined by an entry.
 enum class AgentPhase : std::uint8_t
 {
-  Starting, ///< Announced, takes nothing yet.
+  Starting, ///< Registered, accepts nothing yet.
   Serving,
-  Suspect,  ///< Silent; gets new work only when no other serves.
+  Suspect,  ///< Missed heartbeats; gets requests only if no other serves.
   Draining, ///< Gets no new work.
-  Gone,     ///< Silent for long, or replaced at its address.
+  Gone,     ///< No heartbeat for long, or replaced at its address.
 };
 
 std::string_view ToString(AgentPhase aPhase);
--- a/src/core/membership/AgentRecord.h
+++ b/src/core/membership/AgentRecord.h
@@ -14,8 +14,8 @@
 
 namespace foxtailbarrow {
 
-/// What the directory keeps of one agent: its newest heartbeat (without the
-/// tasks) and what follows from it.
+/// State of one agent in the directory: its newest heartbeat, without the
+/// tasks, and values derived from it.
 struct AgentRecord
 {
   AgentId mAgent;
@@ -31,10 +31,10 @@
 
   AgentPhase mPhase = AgentPhase::Starting;
   Instant mHeartbeatAt{};
-  Duration mInterval{}; ///< Learned time between its heartbeats.
+  Duration mInterval{}; ///< Learned interval of its heartbeats.
   std::shared_ptr<AgentRoutingState> mRoutingState;
 
-  /// As listed in routing tables; null while it gets no requests.
+  /// Its entry in routing tables; null while it gets no requests.
   RoutableAgentPointer mRoutable;
 };
 
--- a/src/core/membership/HeartbeatInterval.cpp
+++ b/src/core/membership/HeartbeatInterval.cpp
@@ -12,7 +12,7 @@
                          aSettings.mBytesPerSecond;
   const auto needed = std::chrono::duration_cast<Duration>(
     std::chrono::duration<double>(seconds));
-  return std::max(aSettings.mShortest, needed);
+  return std::max(aSettings.mMinInterval, needed);
 }
 
 } // namespace foxtailbarrow
--- a/src/core/membership/HeartbeatInterval.h
+++ b/src/core/membership/HeartbeatInterval.h
@@ -8,20 +8,20 @@
 
 struct HeartbeatSettings
 {
-  Duration mShortest = std::chrono::seconds(1);
+  Duration mMinInterval = std::chrono::seconds(1);
 
-  /// Bytes a second for heartbeats and their replies, both directions, of one
-  /// agent. Less than the 8 KB a second that a node has for all control, to
-  /// leave room for assignments and announcements out of turn.
+  /// Bytes per second of one agent's heartbeats and replies, in both
+  /// directions. Below the 8 KB/s that a node may use for all control traffic,
+  /// to leave bandwidth for assignments and unscheduled heartbeats.
   double mBytesPerSecond = 7.0 * 1024;
 };
 
 /// Time between two heartbeats of an agent to the same entry:
 ///
-///   max(shortest, entries * bytes of one exchange / bytes a second)
+///   max(minimum interval, entries * bytes per exchange / bytes per second)
 ///
-/// so that the agent stays within its budget whatever the number of entries.
-/// Entries use the same formula to judge an agent's silence.
+/// so that the agent stays within its budget for any number of entries. Entries
+/// use the same formula to detect missing heartbeats.
 Duration HeartbeatInterval(const HeartbeatSettings& aSettings,
                            std::size_t aEntries,
                            double aBytesPerExchange);
--- a/src/core/membership/HeartbeatSchedule.cpp
+++ b/src/core/membership/HeartbeatSchedule.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Assumed until the first is measured.
+/// Initial value of the moving average.
 constexpr double kBytesPerExchange = 1500;
 
 /// Weight of the newest size in the mean.
@@ -26,17 +26,17 @@
                                    Instant aNow,
                                    absl::BitGenRef aRandom)
 {
-  std::vector<ScheduledEntry> turns;
-  turns.reserve(aEntries.size());
+  std::vector<ScheduledEntry> schedule;
+  schedule.reserve(aEntries.size());
   for (const Endpoint& entry : aEntries) {
     const auto known =
       std::ranges::find(mSchedule, entry, &ScheduledEntry::mEntry);
     const bool isNew = known == mSchedule.end();
     const Instant first =
-      aNow + Jitter(Duration::zero(), mSettings.mShortest, aRandom);
-    turns.push_back({ entry, isNew ? first : known->mDue, isNew });
+      aNow + Jitter(Duration::zero(), mSettings.mMinInterval, aRandom);
+    schedule.push_back({ entry, isNew ? first : known->mDue, isNew });
   }
-  mSchedule = std::move(turns);
+  mSchedule = std::move(schedule);
 }
 
 void HeartbeatSchedule::RecordExchangeSize(std::size_t aBytes)
@@ -55,16 +55,16 @@
 {
   std::vector<Endpoint> due;
   const Duration interval = Interval();
-  for (ScheduledEntry& turn : mSchedule) {
-    if (turn.mDue > aNow) {
+  for (ScheduledEntry& entry : mSchedule) {
+    if (entry.mDue > aNow) {
       continue;
     }
-    due.push_back(turn.mEntry);
-    // The second turn spreads the entries over the whole interval.
-    turn.mDue =
+    due.push_back(entry.mEntry);
+    // The second heartbeat is spread over the whole interval.
+    entry.mDue =
       aNow +
-      (turn.mIsFirst ? Jitter(Duration::zero(), interval, aRandom) : interval);
-    turn.mIsFirst = false;
+      (entry.mIsFirst ? Jitter(Duration::zero(), interval, aRandom) : interval);
+    entry.mIsFirst = false;
   }
   return due;
 }
@@ -72,16 +72,16 @@
 Instant HeartbeatSchedule::NextDue() const
 {
   Instant next = Instant::max();
-  for (const ScheduledEntry& turn : mSchedule) {
-    next = std::min(next, turn.mDue);
+  for (const ScheduledEntry& entry : mSchedule) {
+    next = std::min(next, entry.mDue);
   }
   return next;
 }
 
 void HeartbeatSchedule::MakeAllDue(Instant aNow)
 {
-  for (ScheduledEntry& turn : mSchedule) {
-    turn.mDue = std::min(turn.mDue, aNow);
+  for (ScheduledEntry& entry : mSchedule) {
+    entry.mDue = std::min(entry.mDue, aNow);
   }
 }
 
--- a/src/core/membership/HeartbeatSchedule.h
+++ b/src/core/membership/HeartbeatSchedule.h
@@ -14,38 +14,37 @@
 
 /// Decides when an agent sends heartbeats and to which entries. Inputs: the
 /// live entries, the measured size of exchanges, the time. Output: the entries
-/// that are due. One thread.
+/// that are due. Not thread-safe.
 ///
-/// Every entry gets a heartbeat once an interval (HeartbeatInterval()). Its
-/// first turn is drawn at random within the shortest interval, its second
-/// within the interval, so that agents that start together do not send
-/// together, and one agent's heartbeats spread over the interval. What every
-/// entry must hear at once (a drain, a task's end) goes out of turn by
-/// MakeAllDue().
+/// Every entry gets one heartbeat per interval (HeartbeatInterval()). The first
+/// is sent at a random time within the minimum interval, the second within the
+/// interval, so that agents that start together do not send together and one
+/// agent's heartbeats are spread over the interval. Changes that every entry
+/// must receive at once (a drain, the end of a task) are sent by MakeAllDue().
 class HeartbeatSchedule
 {
 public:
   explicit HeartbeatSchedule(HeartbeatSettings aSettings = {});
 
-  /// The entries now live. Those already known keep their turn; new ones get a
-  /// first turn within the shortest interval.
+  /// Sets the live entries. Known ones keep their schedule; new ones are first
+  /// due within the minimum interval.
   void SetEntries(std::span<const Endpoint> aEntries,
                   Instant aNow,
                   absl::BitGenRef aRandom);
 
-  /// Bytes of one exchange, heartbeat and reply with all headers. A mean over
-  /// the latest is kept.
+  /// Updates the moving average with the bytes of one exchange: heartbeat and
+  /// reply with all headers.
   void RecordExchangeSize(std::size_t aBytes);
 
   Duration Interval() const;
 
-  /// The entries that are due, each once an interval.
+  /// Returns the entries that are due and schedules their next heartbeat.
   std::vector<Endpoint> Due(Instant aNow, absl::BitGenRef aRandom);
 
-  /// When Due() returns something next.
+  /// The earliest time at which Due() returns an entry.
   Instant NextDue() const;
 
-  /// Makes all entries due now, then again an interval later.
+  /// Makes all entries due now, then again one interval later.
   void MakeAllDue(Instant aNow);
 
 private:
--- a/src/core/membership/MembershipEvent.h
+++ b/src/core/membership/MembershipEvent.h
@@ -8,16 +8,16 @@
 
 namespace foxtailbarrow {
 
-/// What a heartbeat did to the directory.
+/// Effect of a heartbeat on the directory.
 enum class HeartbeatEffect : std::uint8_t
 {
-  Added,     ///< Agent unknown before.
+  Added,     ///< The agent was unknown.
   Restarted, ///< New incarnation of a known agent.
   Updated,
-  Outdated, ///< Older than what is known; ignored.
+  Outdated, ///< Not newer than the last one applied; ignored.
 };
 
-/// A change of an agent's phase, worth a line in the log.
+/// A change of an agent's phase, for the log.
 struct MembershipEvent
 {
   AgentId mAgent;
--- a/src/core/placement/FairOrder.cpp
+++ b/src/core/placement/FairOrder.cpp
@@ -17,14 +17,14 @@
 std::optional<CustomerId> FairOrder::Pop()
 {
   while (!mCandidates.empty()) {
-    const Candidate taken = mCandidates.top();
+    const Candidate top = mCandidates.top();
     mCandidates.pop();
-    Candidate current = CandidateOf(taken.mCustomer);
-    if (current > taken) {
+    Candidate current = CandidateOf(top.mCustomer);
+    if (current > top) {
       mCandidates.push(std::move(current));
       continue;
     }
-    return taken.mCustomer;
+    return top.mCustomer;
   }
   return std::nullopt;
 }
--- a/src/core/placement/FairOrder.h
+++ b/src/core/placement/FairOrder.h
@@ -11,9 +11,9 @@
 
 namespace foxtailbarrow {
 
-/// Whose job is looked at next: the customer of the team with the least
-/// dominant share, then the customer with fewest running jobs. Shares only
-/// grow during a round, so a stale share is noticed when it comes up.
+/// Chooses the customer whose job is placed next: the one whose team has the
+/// least dominant share, then the one with fewest running jobs. Shares only
+/// grow during a round, so a stale entry is detected when it is popped.
 class FairOrder
 {
 public:
@@ -25,7 +25,7 @@
 
   void Push(const CustomerId& aCustomer);
 
-  /// nullopt when no customer is left.
+  /// nullopt if no customer is left.
   std::optional<CustomerId> Pop();
 
 private:
--- a/src/core/placement/FirstFit.cpp
+++ b/src/core/placement/FirstFit.cpp
@@ -13,7 +13,7 @@
     if (!slot || *slot < from) {
       return std::nullopt;
     }
-    if (IsWanted(aRequest, aWorkers, *slot, aLoad)) {
+    if (IsAcceptable(aRequest, aWorkers, *slot, aLoad)) {
       return slot;
     }
     from = *slot + 1;
--- a/src/core/placement/FirstFit.h
+++ b/src/core/placement/FirstFit.h
@@ -8,7 +8,7 @@
 
 namespace foxtailbarrow {
 
-/// Baseline: the first worker, in order of arrival, that takes the job.
+/// Baseline: the first worker, in order of registration, that fits.
 class FirstFit
 {
 public:
--- a/src/core/placement/FreeTree.cpp
+++ b/src/core/placement/FreeTree.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-Resources Greatest(const Resources& aLeft, const Resources& aRight)
+Resources ElementwiseMax(const Resources& aLeft, const Resources& aRight)
 {
   return { std::max(aLeft.mMillicores, aRight.mMillicores),
            std::max(aLeft.mMemoryMb, aRight.mMemoryMb),
@@ -33,7 +33,7 @@
               mSize,
               nodes.begin() + static_cast<std::ptrdiff_t>(leaves));
   for (std::size_t i = leaves - 1; i > 0; --i) {
-    nodes[i] = Greatest(nodes[2 * i], nodes[2 * i + 1]);
+    nodes[i] = ElementwiseMax(nodes[2 * i], nodes[2 * i + 1]);
   }
   mNodes = std::move(nodes);
   mLeaves = leaves;
@@ -44,11 +44,12 @@
   std::size_t node = mLeaves + aSlot;
   mNodes[node] = aFree;
   for (node /= 2; node > 0; node /= 2) {
-    const Resources greatest = Greatest(mNodes[2 * node], mNodes[2 * node + 1]);
-    if (greatest == mNodes[node]) {
+    const Resources maximum =
+      ElementwiseMax(mNodes[2 * node], mNodes[2 * node + 1]);
+    if (maximum == mNodes[node]) {
       return;
     }
-    mNodes[node] = greatest;
+    mNodes[node] = maximum;
   }
 }
 
--- a/src/core/placement/FreeTree.h
+++ b/src/core/placement/FreeTree.h
@@ -9,19 +9,19 @@
 
 namespace foxtailbarrow {
 
-/// Finds a worker with enough free resources. A segment tree over worker
-/// slots whose nodes hold the greatest free amount of each resource below
-/// them: Set() and a usual Find() take O(log n). Where the maxima come from
-/// different workers Find() looks further, at most kMaxVisits nodes.
+/// Finds a worker with enough free resources. A segment tree over worker slots
+/// whose nodes hold the maximum free amount of each resource below them: Set()
+/// and a typical Find() take O(log n). If the maxima come from different
+/// workers, Find() has to backtrack, visiting at most kMaxVisits nodes.
 class FreeTree
 {
 public:
   using Slot = std::uint32_t;
 
-  /// Free amounts of a slot that must never be found.
+  /// Free amounts of a slot that Find() must not return.
   static constexpr Resources kUnavailable{ -1, -1, -1 };
 
-  /// Adds a slot at the end.
+  /// Appends a slot.
   Slot Add(const Resources& aFree);
 
   void Set(Slot aSlot, const Resources& aFree);
--- a/src/core/placement/PlacementLoad.h
+++ b/src/core/placement/PlacementLoad.h
@@ -10,8 +10,8 @@
 
 namespace foxtailbarrow {
 
-/// Where each customer's jobs are: processors by worker, and number of jobs by
-/// rack and failure domain. Serves the share per worker and the spread.
+/// Counts each customer's jobs: processors by worker, number of jobs by rack
+/// and failure domain. Used for the share per worker and for spreading.
 class PlacementLoad
 {
 public:
--- a/src/core/placement/PlacementPolicy.h
+++ b/src/core/placement/PlacementPolicy.h
@@ -11,7 +11,7 @@
 
 namespace foxtailbarrow {
 
-/// How a worker is picked. The baselines are there to be measured against.
+/// How a worker is chosen. FirstFit and RandomFit are baselines for comparison.
 using PlacementPolicy = std::variant<Placer, FirstFit, RandomFit>;
 
 inline std::optional<WorkerSlot> Choose(const PlacementPolicy& aPolicy,
--- a/src/core/placement/Placer.cpp
+++ b/src/core/placement/Placer.cpp
@@ -18,21 +18,21 @@
 
 namespace {
 
-double Portion(std::int64_t aPart, std::int64_t aWhole)
+double Fraction(std::int64_t aPart, std::int64_t aWhole)
 {
   return aWhole > 0 ? static_cast<double>(aPart) / static_cast<double>(aWhole)
                     : 0.0;
 }
 
-/// What stays free of the scarcer resource, 0..1: less is a tighter fit.
+/// Sum of the fractions of each resource left free: less is a tighter fit.
 double UnusedShare(const Resources& aFree,
                    const Resources& aSize,
                    const Resources& aCapacity)
 {
   const Resources left = aFree - aSize;
-  return Portion(left.mMillicores, aCapacity.mMillicores) +
-         Portion(left.mMemoryMb, aCapacity.mMemoryMb) +
-         Portion(left.mAccelerators, aCapacity.mAccelerators);
+  return Fraction(left.mMillicores, aCapacity.mMillicores) +
+         Fraction(left.mMemoryMb, aCapacity.mMemoryMb) +
+         Fraction(left.mAccelerators, aCapacity.mAccelerators);
 }
 
 bool IsAvoided(const PlacementRequest& aRequest, WorkerSlot aSlot)
@@ -40,42 +40,41 @@
   return std::ranges::find(aRequest.mAvoid, aSlot) != aRequest.mAvoid.end();
 }
 
-/// Less is better.
+/// Lower is better.
 double Cost(const PlacementRequest& aRequest,
             const WorkerInfo& aWorker,
             const Resources& aFree,
             const PlacementLoad& aLoad)
 {
-  const double leftover = UnusedShare(aFree, aRequest.mSize, aWorker.mCapacity);
+  const double unused = UnusedShare(aFree, aRequest.mSize, aWorker.mCapacity);
   if (aRequest.mKind == JobKind::Batch) {
-    return leftover;
+    return unused;
   }
   constexpr double kDomainWeight = 100.0;
   constexpr double kRackWeight = 10.0;
   return kDomainWeight *
            aLoad.InDomain(aRequest.mCustomer, aWorker.mFailureDomain) +
-         kRackWeight * aLoad.InRack(aRequest.mCustomer, aWorker.mRack) -
-         leftover;
+         kRackWeight * aLoad.InRack(aRequest.mCustomer, aWorker.mRack) - unused;
 }
 
-/// Keeps the best of the candidates offered.
-class Best
+/// Keeps the candidate with the lowest cost.
+class BestCandidate
 {
 public:
-  Best(const PlacementRequest& aRequest,
-       const WorkerIndex& aWorkers,
-       const PlacementLoad& aLoad)
+  BestCandidate(const PlacementRequest& aRequest,
+                const WorkerIndex& aWorkers,
+                const PlacementLoad& aLoad)
     : mRequest(aRequest)
     , mWorkers(aWorkers)
     , mLoad(aLoad)
   {
   }
 
-  /// False when the candidate is not wanted.
+  /// Returns false if the candidate is not acceptable.
   bool Offer(WorkerSlot aSlot)
   {
     const WorkerInfo& worker = mWorkers.At(aSlot);
-    if (!IsWanted(mRequest, mWorkers, aSlot, mLoad)) {
+    if (!IsAcceptable(mRequest, mWorkers, aSlot, mLoad)) {
       return false;
     }
     const double cost = Cost(mRequest, worker, mWorkers.Free(aSlot), mLoad);
@@ -98,10 +97,10 @@
 
 } // namespace
 
-bool IsWanted(const PlacementRequest& aRequest,
-              const WorkerIndex& aWorkers,
-              WorkerSlot aSlot,
-              const PlacementLoad& aLoad)
+bool IsAcceptable(const PlacementRequest& aRequest,
+                  const WorkerIndex& aWorkers,
+                  WorkerSlot aSlot,
+                  const PlacementLoad& aLoad)
 {
   return !IsAvoided(aRequest, aSlot) &&
          WithinShare(aRequest,
@@ -119,7 +118,7 @@
   }
   const auto last = static_cast<WorkerSlot>(aWorkers.Size() - 1);
   absl::uniform_int_distribution<WorkerSlot> anySlot(0, last);
-  Best best(aRequest, aWorkers, aLoad);
+  BestCandidate best(aRequest, aWorkers, aLoad);
   for (int i = 0; i < mSettings.mSamples; ++i) {
     const auto slot = aWorkers.Find(aRequest.mSize, anySlot(aRandom));
     if (!slot) {
@@ -128,7 +127,7 @@
     best.Offer(*slot);
   }
   WorkerSlot from = anySlot(aRandom);
-  for (int i = 0; i < mSettings.mWalk && !best.Slot(); ++i) {
+  for (int i = 0; i < mSettings.mMaxFallbackProbes && !best.Slot(); ++i) {
     const auto slot = aWorkers.Find(aRequest.mSize, from);
     if (!slot) {
       return std::nullopt;
@@ -151,10 +150,10 @@
   }
   absl::uniform_int_distribution<std::size_t> anySlot(0, count - 1);
   const std::size_t first = anySlot(aRandom);
-  const std::size_t looked = std::min(count, kSamples);
-  // Spread evenly over the fleet: neighbours often share a rack.
-  const std::size_t stride = count / looked;
-  for (std::size_t i = 0; i < looked; ++i) {
+  const std::size_t sampled = std::min(count, kSamples);
+  // Spread evenly over the fleet: adjacent slots often share a rack.
+  const std::size_t stride = count / sampled;
+  for (std::size_t i = 0; i < sampled; ++i) {
     const auto slot = static_cast<WorkerSlot>((first + i * stride) % count);
     const WorkerInfo& worker = aWorkers.At(slot);
     if (aWorkers.Placeable(slot) && aRequest.mSize.FitsIn(worker.mCapacity) &&
--- a/src/core/placement/Placer.h
+++ b/src/core/placement/Placer.h
@@ -14,47 +14,48 @@
 
 namespace foxtailbarrow {
 
-/// What has to be placed.
+/// A job to place.
 struct PlacementRequest
 {
   CustomerId mCustomer;
   JobKind mKind = JobKind::Batch;
   Resources mSize;
-  double mSharePerWorker = 1.0;       ///< Of the contract, 0..1.
+  double mSharePerWorker = 1.0;       ///< From the contract, 0..1.
   std::span<const WorkerSlot> mAvoid; ///< Where it failed or was refused.
 };
 
-/// True when the request stays within the customer's share of the worker, of
-/// which it uses that much already.
+/// True if the request stays within the customer's share of the worker, given
+/// the customer's present usage there.
 bool WithinShare(const PlacementRequest& aRequest,
                  const WorkerInfo& aWorker,
                  std::int64_t aUsedMillicores);
 
-/// Workers on which the request would fit if they were empty, for evictions:
-/// some spread evenly over the fleet. The share per worker is not looked at,
-/// since it depends on who is evicted.
+/// A sample of workers, spread evenly over the fleet, on which the request
+/// would fit if they were empty; used for evictions. Ignores the share per
+/// worker, which depends on the evicted tasks.
 std::vector<WorkerSlot> SampleWorkers(const PlacementRequest& aRequest,
                                       const WorkerIndex& aWorkers,
                                       absl::BitGenRef aRandom);
 
-/// Whether a job may go to this worker, as far as the customer is concerned.
-bool IsWanted(const PlacementRequest& aRequest,
-              const WorkerIndex& aWorkers,
-              WorkerSlot aSlot,
-              const PlacementLoad& aLoad);
+/// True if the worker is not to be avoided and the customer's share allows it.
+bool IsAcceptable(const PlacementRequest& aRequest,
+                  const WorkerIndex& aWorkers,
+                  WorkerSlot aSlot,
+                  const PlacementLoad& aLoad);
 
-/// Picks the worker for a job. Samples feasible workers and keeps the best:
-/// batch goes where it fits most tightly, so that large holes stay; exclusive
-/// and standing work goes where the customer has least in the failure domain
-/// and rack, so that one fault stops little of it. Draws the sample from
-/// random starting points, so that several entries rarely choose alike.
+/// Chooses the worker for a job: the best of a sample of feasible workers.
+/// Batch jobs use the tightest fit, to keep large free blocks; exclusive and
+/// standing jobs go where the customer has fewest jobs in the failure domain
+/// and rack, to limit the effect of one fault. Samples start at random slots,
+/// so that several entries rarely choose the same worker.
 class Placer
 {
 public:
   struct Settings
   {
     int mSamples = 8;
-    int mWalk = 64; ///< Neighbours tried when the whole sample is unwanted.
+    /// Following slots tried if no worker of the sample is acceptable.
+    int mMaxFallbackProbes = 64;
   };
 
   Placer() = default;
@@ -63,8 +64,8 @@
   {
   }
 
-  /// nullopt: no worker now. Never a worker that is quarantined, suspect or
-  /// draining, nor one in `mAvoid`, nor one where the request exceeds the free
+  /// nullopt if no worker fits now. Never returns a worker that is quarantined,
+  /// suspect, draining or in `mAvoid`, or where the request exceeds the free
   /// resources or the customer's share.
   std::optional<WorkerSlot> Choose(const PlacementRequest& aRequest,
                                    const WorkerIndex& aWorkers,
--- a/src/core/placement/Preemption.cpp
+++ b/src/core/placement/Preemption.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Every eviction costs something, however young the task.
+/// Includes a fixed cost per eviction, regardless of the run time.
 double CostOf(const EvictionCandidate& aCandidate)
 {
   using Seconds = std::chrono::duration<double>;
--- a/src/core/placement/Preemption.h
+++ b/src/core/placement/Preemption.h
@@ -15,7 +15,7 @@
 {
   TaskKey mKey;
   Resources mSize;
-  Duration mRunTime{};  ///< Since it started: work at risk.
+  Duration mRunTime{};  ///< Since it started: work that may be lost.
   double mWeight = 1.0; ///< Of evictions in its customer's contract.
 };
 
@@ -23,12 +23,12 @@
 struct EvictionPlan
 {
   std::vector<TaskKey> mVictims;
-  double mCost = 0.0; ///< Weighted work at risk; less is better.
+  double mCost = 0.0; ///< Weighted work that may be lost; lower is better.
 };
 
-/// Picks what to evict so that `aNeed` fits beside what stays: the least
-/// weighted work, then nobody who need not go. nullopt: even without all the
-/// candidates it does not fit. An empty plan: it fits as it is.
+/// Chooses the tasks to evict so that `aNeed` fits: cheapest first by weighted
+/// work, then spares those not needed. nullopt if it does not fit even without
+/// all candidates; an empty plan if it fits already.
 std::optional<EvictionPlan> PlanEviction(
   const Resources& aNeed,
   const Resources& aFree,
--- a/src/core/placement/QuantileSketch.cpp
+++ b/src/core/placement/QuantileSketch.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kWidth = 1.15;
+constexpr double kBucketRatio = 1.15;
 
 } // namespace
 
@@ -15,7 +15,7 @@
 {
   const double amount = static_cast<double>(std::max<std::int64_t>(aAmount, 1));
   const auto bucket =
-    static_cast<std::size_t>(std::log(amount) / std::log(kWidth));
+    static_cast<std::size_t>(std::log(amount) / std::log(kBucketRatio));
   return std::min(bucket, kBuckets - 1);
 }
 
@@ -45,7 +45,7 @@
     below += mCounts[i];
     if (below > 0 && below >= wanted) {
       return static_cast<std::int64_t>(
-        std::ceil(std::pow(kWidth, static_cast<double>(i + 1))));
+        std::ceil(std::pow(kBucketRatio, static_cast<double>(i + 1))));
     }
   }
   return 0;
--- a/src/core/placement/QuantileSketch.h
+++ b/src/core/placement/QuantileSketch.h
@@ -5,15 +5,15 @@
 
 namespace foxtailbarrow {
 
-/// Quantiles of positive amounts, by counts in buckets of relative width 15 %.
-/// Fixed size. Forgets: once full, every count is halved, so that old runs
-/// fade.
+/// Quantiles of positive amounts, from counts in buckets of relative width
+/// 15 %. Fixed size. Once the total reaches kMaxCount, all counts are halved,
+/// so that old runs lose weight.
 class QuantileSketch
 {
 public:
   void Add(std::int64_t aAmount);
 
-  /// Upper edge of the bucket that holds the quantile `aPart`, 0..1; 0 when
+  /// Upper bound of the bucket that contains the quantile `aPart`, 0..1; 0 if
   /// nothing was added. At most 15 % above the true value.
   std::int64_t Quantile(double aPart) const;
 
--- a/src/core/placement/QuarantinePolicy.cpp
+++ b/src/core/placement/QuarantinePolicy.cpp
@@ -10,14 +10,14 @@
 {
   WorkerRecord& record = mWorkers[aWorker];
   if (aNow >= record.mWindowEnds) {
-    Forget(record);
+    ResetWindow(record);
     record.mWindowEnds = aNow + mSettings.mWindow;
   }
   return record;
 }
 
-/// Starts a worker's window anew and takes its runs out of the totals.
-void QuarantinePolicy::Forget(WorkerRecord& aRecord)
+/// Starts a new window for a worker and subtracts its runs from the totals.
+void QuarantinePolicy::ResetWindow(WorkerRecord& aRecord)
 {
   for (const auto& [program, tally] : aRecord.mPrograms) {
     const auto total = mPrograms.find(program);
@@ -31,7 +31,7 @@
   aRecord.mFailedJobs.clear();
 }
 
-void QuarantinePolicy::Succeeded(WorkerSlot aWorker,
+void QuarantinePolicy::OnSuccess(WorkerSlot aWorker,
                                  const ProgramKey& aProgram,
                                  Instant aNow)
 {
@@ -39,50 +39,51 @@
   ++mPrograms[aProgram].mRuns;
 }
 
-bool QuarantinePolicy::Failed(WorkerSlot aWorker,
-                              const JobId& aJob,
-                              const ProgramKey& aProgram,
-                              std::size_t aWorkers,
-                              Instant aNow)
+bool QuarantinePolicy::OnFailure(WorkerSlot aWorker,
+                                 const JobId& aJob,
+                                 const ProgramKey& aProgram,
+                                 std::size_t aWorkers,
+                                 Instant aNow)
 {
   WorkerRecord& record = RecordOf(aWorker, aNow);
-  Tally& here = record.mPrograms[aProgram];
-  ++here.mRuns;
-  ++here.mFailures;
+  Tally& tally = record.mPrograms[aProgram];
+  ++tally.mRuns;
+  ++tally.mFailures;
   Tally& total = mPrograms[aProgram];
   ++total.mRuns;
   ++total.mFailures;
   record.mFailedJobs.insert(aJob);
   const double share = mSettings.mMaxShare * static_cast<double>(aWorkers);
   const auto limit = std::max<std::size_t>(1, static_cast<std::size_t>(share));
-  if (record.mUntil || mQuarantined >= limit || !ExceedsFailureBound(record)) {
+  if (record.mQuarantinedUntil || mQuarantined >= limit ||
+      !ExceedsFailureBound(record)) {
     return false;
   }
   record.mPause = record.mPause == Duration{}
                     ? mSettings.mPause
                     : std::min(record.mPause * 2, mSettings.mMaxPause);
-  record.mUntil = aNow + record.mPause;
+  record.mQuarantinedUntil = aNow + record.mPause;
   ++mQuarantined;
   return true;
 }
 
-/// True when the failures exceed those to expect, were the worker like all
-/// others, by more than chance explains.
+/// True if the failures significantly exceed those expected from the failure
+/// rates of the same programs on other workers.
 bool QuarantinePolicy::ExceedsFailureBound(const WorkerRecord& aRecord) const
 {
-  // Before anything is known of a program, a tenth of its runs may fail.
+  // Prior for a program without data: a tenth of its runs fails.
   constexpr double kPriorFailures = 0.5;
   constexpr double kPriorRuns = 5.0;
   constexpr double kMinVariance = 0.5;
   constexpr double kProbationDivisor = 3.0;
   double excess = 0.0;
   double variance = kMinVariance;
-  for (const auto& [program, here] : aRecord.mPrograms) {
+  for (const auto& [program, tally] : aRecord.mPrograms) {
     const Tally& total = mPrograms.at(program);
-    const double rate = (total.mFailures - here.mFailures + kPriorFailures) /
-                        (total.mRuns - here.mRuns + kPriorRuns);
-    excess += here.mFailures - here.mRuns * rate;
-    variance += here.mRuns * rate * (1.0 - rate);
+    const double rate = (total.mFailures - tally.mFailures + kPriorFailures) /
+                        (total.mRuns - tally.mRuns + kPriorRuns);
+    excess += tally.mFailures - tally.mRuns * rate;
+    variance += tally.mRuns * rate * (1.0 - rate);
   }
   const bool onProbation = aRecord.mPause != Duration{};
   const std::size_t jobs = onProbation ? 1 : mSettings.mDistinctJobs;
@@ -94,20 +95,20 @@
 
 std::vector<WorkerSlot> QuarantinePolicy::EndQuarantines(Instant aNow)
 {
-  std::vector<WorkerSlot> readmitted;
+  std::vector<WorkerSlot> released;
   if (mQuarantined == 0) {
-    return readmitted;
+    return released;
   }
   for (auto& [worker, record] : mWorkers) {
-    if (record.mUntil && aNow >= *record.mUntil) {
-      record.mUntil.reset();
-      Forget(record);
+    if (record.mQuarantinedUntil && aNow >= *record.mQuarantinedUntil) {
+      record.mQuarantinedUntil.reset();
+      ResetWindow(record);
       --mQuarantined;
-      readmitted.push_back(worker);
+      released.push_back(worker);
     }
   }
-  std::ranges::sort(readmitted);
-  return readmitted;
+  std::ranges::sort(released);
+  return released;
 }
 
 } // namespace foxtailbarrow
--- a/src/core/placement/QuarantinePolicy.h
+++ b/src/core/placement/QuarantinePolicy.h
@@ -14,19 +14,20 @@
 
 namespace foxtailbarrow {
 
-/// Tells bad workers from bad jobs. A worker is quarantined when several jobs
-/// failed there, and far more often than the same programs fail elsewhere; a
-/// program that fails everywhere is no evidence against any worker. After a
-/// pause the worker is tried again and judged more strictly; the pause doubles
-/// each time. At most a fixed share of the workers is in quarantine.
+/// Distinguishes faulty workers from faulty jobs. A worker is quarantined if
+/// several jobs failed on it, significantly more often than the same programs
+/// fail elsewhere; a program that fails everywhere is no evidence against a
+/// worker. A quarantine ends after a pause that doubles each time; the worker
+/// is then on probation, with stricter limits. At most a fixed share of the
+/// workers is in quarantine.
 class QuarantinePolicy
 {
 public:
   struct Settings
   {
-    std::size_t mDistinctJobs = 3; ///< Failed before a worker is judged.
-    double mDeviations = 3.5;      ///< Standard deviations above expected.
-    double mMaxShare = 0.2;        ///< Of all workers, at least one.
+    std::size_t mDistinctJobs = 3; ///< Minimum number of failed jobs.
+    double mDeviations = 3.5;      ///< Minimum excess, in standard deviations.
+    double mMaxShare = 0.2;        ///< Of all workers; at least one.
     Duration mWindow = std::chrono::minutes(10);
     Duration mPause = std::chrono::minutes(2);
     Duration mMaxPause = std::chrono::hours(1);
@@ -38,16 +39,16 @@
   {
   }
 
-  void Succeeded(WorkerSlot aWorker, const ProgramKey& aProgram, Instant aNow);
+  void OnSuccess(WorkerSlot aWorker, const ProgramKey& aProgram, Instant aNow);
 
-  /// True when the worker must be quarantined now.
-  bool Failed(WorkerSlot aWorker,
-              const JobId& aJob,
-              const ProgramKey& aProgram,
-              std::size_t aWorkers,
-              Instant aNow);
+  /// Returns true if the worker must be quarantined now.
+  bool OnFailure(WorkerSlot aWorker,
+                 const JobId& aJob,
+                 const ProgramKey& aProgram,
+                 std::size_t aWorkers,
+                 Instant aNow);
 
-  /// Workers whose quarantine ends now: they are on probation.
+  /// Returns the workers whose quarantine ends now; they are on probation.
   std::vector<WorkerSlot> EndQuarantines(Instant aNow);
 
   std::size_t QuarantinedCount() const { return mQuarantined; }
@@ -63,13 +64,13 @@
   {
     absl::flat_hash_map<ProgramKey, Tally> mPrograms;
     absl::flat_hash_set<JobId> mFailedJobs;
-    std::optional<Instant> mUntil; ///< Set while in quarantine.
-    Duration mPause{};             ///< Of the last quarantine; 0 = never was.
+    std::optional<Instant> mQuarantinedUntil; ///< Set while in quarantine.
+    Duration mPause{}; ///< Of the last quarantine; 0 = none.
     Instant mWindowEnds{};
   };
 
   WorkerRecord& RecordOf(WorkerSlot aWorker, Instant aNow);
-  void Forget(WorkerRecord& aRecord);
+  void ResetWindow(WorkerRecord& aRecord);
   bool ExceedsFailureBound(const WorkerRecord& aRecord) const;
 
   Settings mSettings;
--- a/src/core/placement/QuotaTracker.cpp
+++ b/src/core/placement/QuotaTracker.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-double Part(std::int64_t aHeld, std::int64_t aTotal)
+double Fraction(std::int64_t aHeld, std::int64_t aTotal)
 {
   return aTotal > 0 ? static_cast<double>(aHeld) / static_cast<double>(aTotal)
                     : 0.0;
 }
 
 template<typename Map, typename Key>
-void Take(Map& aMap, const Key& aKey, const Resources& aSize, int aJobs)
+void RemoveUsage(Map& aMap, const Key& aKey, const Resources& aSize, int aJobs)
 {
   const auto found = aMap.find(aKey);
   if (found == aMap.end()) {
@@ -44,13 +44,13 @@
 
 void QuotaTracker::MoveUsage(const TeamId& aFrom,
                              const TeamId& aTo,
-                             const CustomerId& aWho)
+                             const CustomerId& aCustomer)
 {
-  const QuotaUsage usage = UsageOf(aWho);
+  const QuotaUsage usage = UsageOf(aCustomer);
   if (aFrom == aTo || usage.mJobs == 0) {
     return;
   }
-  Take(mTeams, aFrom, usage.mHeld, usage.mJobs);
+  RemoveUsage(mTeams, aFrom, usage.mHeld, usage.mJobs);
   mTeams[aTo].mHeld += usage.mHeld;
   mTeams[aTo].mJobs += usage.mJobs;
 }
@@ -93,8 +93,8 @@
 
 void QuotaTracker::Subtract(const CustomerId& aCustomer, const Resources& aSize)
 {
-  Take(mCustomers, aCustomer, aSize, 1);
-  Take(mTeams, TeamOf(aCustomer), aSize, 1);
+  RemoveUsage(mCustomers, aCustomer, aSize, 1);
+  RemoveUsage(mTeams, TeamOf(aCustomer), aSize, 1);
 }
 
 QuotaUsage QuotaTracker::UsageOf(const CustomerId& aCustomer) const
@@ -111,9 +111,9 @@
     return 0.0;
   }
   const Resources& held = found->second.mHeld;
-  return std::max({ Part(held.mMillicores, aTotal.mMillicores),
-                    Part(held.mMemoryMb, aTotal.mMemoryMb),
-                    Part(held.mAccelerators, aTotal.mAccelerators) });
+  return std::max({ Fraction(held.mMillicores, aTotal.mMillicores),
+                    Fraction(held.mMemoryMb, aTotal.mMemoryMb),
+                    Fraction(held.mAccelerators, aTotal.mAccelerators) });
 }
 
 const TeamId& QuotaTracker::TeamOf(const CustomerId& aCustomer) const
--- a/src/core/placement/QuotaTracker.h
+++ b/src/core/placement/QuotaTracker.h
@@ -11,17 +11,17 @@
 
 namespace foxtailbarrow {
 
-/// What a customer's or team's running jobs hold.
+/// Resources and number of a customer's or team's running jobs.
 struct QuotaUsage
 {
   Resources mHeld;
   std::int32_t mJobs = 0;
 };
 
-/// Holds every customer's running jobs against its contract, and tells which
-/// team has had least. Exact for a customer, since one process owns all its
+/// Checks customers' running jobs against their contracts and computes the
+/// teams' dominant shares. Exact for a customer, since one process owns all its
 /// jobs; per process for a team. A job counts from before its assignment is
-/// written until it certainly runs no more.
+/// written until it certainly no longer runs.
 class QuotaTracker
 {
 public:
@@ -29,11 +29,11 @@
   void Remove(const CustomerId& aCustomer);
   const Contract* Find(const CustomerId& aCustomer) const;
 
-  /// None: one more job of that size is within the contract. Else NoContract
+  /// None if one more job of that size is within the contract, else NoContract
   /// or WaitingForQuota.
   Reason Check(const CustomerId& aCustomer, const Resources& aSize) const;
 
-  /// False when the size alone exceeds the contract's total.
+  /// False if the size alone exceeds the contract's total.
   bool CanEverRun(const CustomerId& aCustomer, const Resources& aSize) const;
 
   void Add(const CustomerId& aCustomer, const Resources& aSize);
@@ -41,8 +41,8 @@
 
   QuotaUsage UsageOf(const CustomerId& aCustomer) const;
 
-  /// Greatest part of any resource of `aTotal` that the customer's team holds,
-  /// 0..1 (dominant share). Teams with less go first.
+  /// Maximum over the resources of the fraction of `aTotal` held by the
+  /// customer's team, 0..1. Teams with a lower share are served first.
   double DominantShare(const CustomerId& aCustomer,
                        const Resources& aTotal) const;
 
@@ -50,7 +50,7 @@
   const TeamId& TeamOf(const CustomerId& aCustomer) const;
   void MoveUsage(const TeamId& aFrom,
                  const TeamId& aTo,
-                 const CustomerId& aWho);
+                 const CustomerId& aCustomer);
 
   absl::flat_hash_map<CustomerId, Contract> mContracts;
   absl::flat_hash_map<CustomerId, QuotaUsage> mCustomers;
--- a/src/core/placement/RandomFit.h
+++ b/src/core/placement/RandomFit.h
@@ -8,7 +8,7 @@
 
 namespace foxtailbarrow {
 
-/// Baseline: any worker that takes the job, found from a random start.
+/// Baseline: a random worker that fits, searched from a random slot.
 class RandomFit
 {
 public:
--- a/src/core/placement/SizeLearner.cpp
+++ b/src/core/placement/SizeLearner.cpp
@@ -11,7 +11,7 @@
 constexpr double kProcessorMargin = 1.15;
 constexpr double kMemoryQuantile = 1.0;
 constexpr double kMemoryMargin = 1.1;
-/// Usage above this part of the reservation may have been cut off by it.
+/// Usage above this fraction of the reservation may have been limited by it.
 constexpr double kNearlyAll = 0.9;
 constexpr Resources kMinSize{ 50, 32, 0 };
 
@@ -20,8 +20,8 @@
   return static_cast<std::int64_t>(static_cast<double>(aAmount) * aFactor);
 }
 
-/// True when the run may have wanted more than it could get.
-bool WasCutOff(const RunObservation& aRun)
+/// True if the run may have needed more processors than were reserved.
+bool MayHaveBeenLimited(const RunObservation& aRun)
 {
   return aRun.mPeak.mMillicores >=
          Scaled(aRun.mReserved.mMillicores, kNearlyAll);
@@ -33,10 +33,10 @@
                          std::int64_t aDeclared,
                          std::int64_t aLeast)
 {
-  const std::int64_t seen = Scaled(aSketch.Quantile(aQuantile), aMargin);
+  const std::int64_t measured = Scaled(aSketch.Quantile(aQuantile), aMargin);
   const std::int64_t wanted = aSketch.Count() < SizeLearner::kEnoughRuns
-                                ? std::max(aDeclared, seen)
-                                : seen;
+                                ? std::max(aDeclared, measured)
+                                : measured;
   return std::max(wanted, aLeast);
 }
 
@@ -51,7 +51,7 @@
   if (aRun.mPeak.mMillicores > 0) {
     learned.mMillicores.Add(aRun.mPeak.mMillicores);
     learned.mMillicoresToTry =
-      WasCutOff(aRun) ? aRun.mReserved.mMillicores * 2 : 0;
+      MayHaveBeenLimited(aRun) ? aRun.mReserved.mMillicores * 2 : 0;
   }
   if (aRun.mMemoryOverrun) {
     learned.mMemoryMb.Add(aRun.mReserved.mMemoryMb * 2);
--- a/src/core/placement/SizeLearner.h
+++ b/src/core/placement/SizeLearner.h
@@ -12,7 +12,7 @@
 
 namespace foxtailbarrow {
 
-/// Jobs that are expected to behave alike.
+/// Identifies jobs that are expected to behave alike.
 struct ProgramKey
 {
   CustomerId mCustomer;
@@ -27,32 +27,32 @@
   }
 };
 
-/// What one run of a task showed.
+/// Measurements of one run of a task.
 struct RunObservation
 {
   Resources mReserved;
-  Resources mPeak; ///< Greatest usage measured; zero = not measured.
+  Resources mPeak; ///< Maximum usage; zero = not measured.
   Duration mRunTime{};
-  bool mFinished = false;      ///< Ran to its end.
+  bool mFinished = false;      ///< Ran to completion.
   bool mMemoryOverrun = false; ///< Stopped for using more than reserved.
 };
 
-/// Learns the size and run time of a customer's program in place of what its
-/// jobs declare. Input: usage measured during runs, and their ends. A run that
-/// used nearly all its processors may have wanted more: the next gets twice as
-/// many, until one leaves some unused. One stopped for its memory counts as
-/// having needed twice as much. So an underestimate doubles with each run.
+/// Learns the size and run time of a customer's program, to replace the
+/// declared values. Input: usage measured during runs, and their ends. After a
+/// run that used nearly all its processors, the next reserves twice as many,
+/// until a run leaves some unused. A run stopped for its memory usage counts as
+/// needing twice as much. An underestimate therefore doubles with each run.
 class SizeLearner
 {
 public:
   void Observe(const ProgramKey& aKey, const RunObservation& aRun);
 
-  /// What to reserve. The declared size until kEnoughRuns runs were seen, but
-  /// never less than they used; from then on what was learned. Accelerators
-  /// are as declared, since their use is not measured.
+  /// The size to reserve: until kEnoughRuns runs were measured, the declared
+  /// size, but at least what they used; then the learned size. Accelerators are
+  /// as declared, since their usage is not measured.
   Resources Estimate(const ProgramKey& aKey, const Resources& aDeclared) const;
 
-  /// Median run time; the declared one until enough runs ended.
+  /// Median run time; the declared one until kEnoughRuns runs ended.
   Duration ExpectedRunTime(const ProgramKey& aKey, Duration aDeclared) const;
 
   std::size_t Size() const { return mPrograms.size(); }
@@ -61,13 +61,14 @@
   static constexpr std::uint32_t kEnoughRuns = 3;
 
 private:
-  /// Programs remembered; beyond, some other is forgotten for each new one.
+  /// Limit of programs; beyond it, each new one replaces an arbitrary other.
   static constexpr std::size_t kMaxPrograms = 20'000;
 
   struct Learned
   {
     QuantileSketch mMillicores;
-    std::int64_t mMillicoresToTry = 0; ///< Twice the last that was cut off.
+    /// Twice the last reservation if it was nearly used up, else 0.
+    std::int64_t mMillicoresToTry = 0;
     QuantileSketch mMemoryMb;
     QuantileSketch mRunTimeMs;
   };
--- a/src/core/placement/WorkerIndex.h
+++ b/src/core/placement/WorkerIndex.h
@@ -17,10 +17,10 @@
 
 namespace foxtailbarrow {
 
-/// Number of a worker within one WorkerIndex. Never reused.
+/// Index of a worker in one WorkerIndex. Never reused.
 using WorkerSlot = FreeTree::Slot;
 
-/// One worker as its agent's heartbeats describe it.
+/// A worker as described by its agent's heartbeats.
 struct WorkerInfo
 {
   AgentId mAgent;
@@ -31,48 +31,48 @@
   std::uint64_t mSequence = 0; ///< Of the newest heartbeat.
   ServingState mState = ServingState::Starting;
   Resources mCapacity;
-  Resources mReserved;    ///< As the agent's ledger says.
-  Resources mPending;     ///< Placed by this process, not yet in the ledger's.
-  Instant mHeartbeatAt{}; ///< When the newest heartbeat came.
+  Resources mReserved;    ///< According to the agent's ledger.
+  Resources mPending;     ///< Placed by this process, not yet in the ledger.
+  Instant mHeartbeatAt{}; ///< Receipt of the newest heartbeat.
   bool mQuarantined = false;
   bool mSuspect = false; ///< Its heartbeats stopped.
 };
 
-/// What workers there are and what is free on them. A view: it may be late or
-/// wrong; the agent's grant alone commits anything. Input: heartbeats, own
-/// placements, quarantine. Survives lost, repeated and reordered heartbeats.
+/// The known workers and their free resources. May be outdated or wrong: only
+/// the agent's grant commits resources. Input: heartbeats, own placements,
+/// quarantine. Tolerates lost, repeated and reordered heartbeats.
 class WorkerIndex
 {
 public:
-  /// Takes a heartbeat. nullopt: it is older than one already taken, and must
-  /// be neither believed nor answered with a lease.
+  /// Applies a heartbeat. nullopt if it is not newer than the last one applied;
+  /// its contents must then be ignored and no lease granted in reply.
   std::optional<WorkerSlot> Update(const Heartbeat& aHeartbeat, Instant aNow);
 
-  /// Marks workers silent since before `aNow - aSilence` as suspect: nothing
-  /// is placed there. Returns how many became so.
+  /// Marks workers without a heartbeat since `aNow - aSilence` as suspect:
+  /// nothing is placed there. Returns how many were marked.
   int MarkSuspects(Instant aNow, Duration aSilence);
 
   void AddPending(WorkerSlot aSlot, const Resources& aSize);
   void RemovePending(WorkerSlot aSlot, const Resources& aSize);
 
-  /// Believes an agent's own word of what is free there.
+  /// Sets the free resources as reported by the agent.
   void CorrectFree(WorkerSlot aSlot, const Resources& aFree);
 
   void SetQuarantined(WorkerSlot aSlot, bool aQuarantined);
 
-  /// A worker that takes new work and has `aNeed` free, searching from slot
+  /// A worker that accepts new work and has `aNeed` free, searching from slot
   /// `aFrom` on, wrapping around.
   std::optional<WorkerSlot> Find(const Resources& aNeed, WorkerSlot aFrom) const
   {
     return mFree.Find(aNeed, aFrom);
   }
 
-  /// Free, as far as known; all negative where no work may be placed.
+  /// Free resources as far as known; all negative if no work may be placed.
   Resources Free(WorkerSlot aSlot) const;
   bool Placeable(WorkerSlot aSlot) const;
 
-  /// False when workers are known and none, however busy or silent, is as
-  /// large as that.
+  /// False if workers are known but none has that capacity, including busy and
+  /// suspect ones.
   bool FitsSomewhereEmpty(const Resources& aNeed) const;
 
   const WorkerInfo& At(WorkerSlot aSlot) const { return mWorkers[aSlot]; }
@@ -90,8 +90,8 @@
   FreeTree mFree;
   FreeTree mCapacities;
   Resources mTotal; ///< Of workers that are not suspect.
-  absl::btree_set<std::pair<Instant, WorkerSlot>>
-    mByHeartbeat; ///< Not suspect.
+  /// Workers that are not suspect, by last heartbeat.
+  absl::btree_set<std::pair<Instant, WorkerSlot>> mByHeartbeat;
 };
 
 } // namespace foxtailbarrow
--- a/tests/colocation/ColocationGuardTest.cpp
+++ b/tests/colocation/ColocationGuardTest.cpp
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr double kCalmMs = 10.0;
+constexpr double kBaselineMs = 10.0;
 
 Instant At(int aSecond)
 {
@@ -21,14 +21,14 @@
 
 struct FakeTask
 {
-  std::string mName;          ///< Of its class too.
-  double mInterference = 0.0; ///< Excess that it causes at full speed.
+  std::string mName;          ///< Also its class.
+  double mInterference = 0.0; ///< Excess caused at full speed.
   bool mEvictable = true;
-  int mFrom = 0; ///< Second of its start.
-  bool mIsGone = false;
+  int mFrom = 0; ///< Start, in seconds.
+  bool mIsEvicted = false;
 };
 
-/// A service at half load beside tasks, one second a step.
+/// Simulates a service at half load with colocated tasks, in steps of 1 s.
 class GuardRun
 {
 public:
@@ -48,8 +48,8 @@
       mGuard.SetTasks(aWithTasks ? Colocated() : std::vector<ColocatedTask>{},
                       At(second));
       Serve(second, aWithTasks);
-      for (const ColocationAction& act : mGuard.Advance(At(second + 1))) {
-        Note(act, second);
+      for (const ColocationAction& action : mGuard.Advance(At(second + 1))) {
+        RecordAction(action, second);
       }
     }
   }
@@ -64,16 +64,16 @@
   ColocationGuard mGuard;
 
 private:
-  bool IsHere(const FakeTask& aTask) const
+  bool IsRunning(const FakeTask& aTask) const
   {
-    return !aTask.mIsGone && aTask.mFrom <= mSecond;
+    return !aTask.mIsEvicted && aTask.mFrom <= mSecond;
   }
 
   std::vector<ColocatedTask> Colocated() const
   {
     std::vector<ColocatedTask> tasks;
     for (const FakeTask& task : mTasks) {
-      if (IsHere(task)) {
+      if (IsRunning(task)) {
         tasks.push_back({ { JobId(task.mName), 1 },
                           task.mName,
                           task.mEvictable,
@@ -88,25 +88,26 @@
   {
     double slowdown = 1.0;
     for (const FakeTask& task : mTasks) {
-      if (aWithTasks && IsHere(task)) {
+      if (aWithTasks && IsRunning(task)) {
         slowdown += task.mInterference * FractionOf(task.mName);
       }
     }
     LatencyWindow window{ At(aSecond), At(aSecond + 1), {} };
-    const auto micros = static_cast<std::int64_t>(kCalmMs * slowdown * 1000);
+    const auto micros =
+      static_cast<std::int64_t>(kBaselineMs * slowdown * 1000);
     window.mLevels[1].Add(ServiceHistogram::BucketOf(Duration(micros)), 100);
     mGuard.OnLatencies(window);
   }
 
-  void Note(const ColocationAction& aAct, int aSecond)
+  void RecordAction(const ColocationAction& aAction, int aSecond)
   {
     mSteps.push_back(aSecond);
-    if (const auto* const evict = std::get_if<EvictBatch>(&aAct)) {
+    if (const auto* const evict = std::get_if<EvictBatch>(&aAction)) {
       const std::string name = evict->mKey.mJob.Value();
       mEvicted.push_back(name);
       std::find_if(mTasks.begin(), mTasks.end(), [&](const FakeTask& aTask) {
         return aTask.mName == name;
-      })->mIsGone = true;
+      })->mIsEvicted = true;
     }
   }
 
@@ -129,7 +130,7 @@
 class GuardOutcome : public testing::TestWithParam<GuardCase>
 {};
 
-TEST_P(GuardOutcome, StepsAgainstTheTaskThatHurts)
+TEST_P(GuardOutcome, ActsOnTheInterferingTask)
 {
   GuardRun run(
     GetParam().mTasks, GetParam().mLatencyWeight, GetParam().mEvictionWeight);
@@ -191,7 +192,7 @@
   EXPECT_GE(run.mSteps[0], 30 + ColocationSettings{}.mBadWindows);
 }
 
-TEST(ColocationGuard, ThrottlesAKnownClassAtOnce)
+TEST(ColocationGuard, ThrottlesAKnownClassImmediately)
 {
   GuardRun run({ { "noisy", 2.0, false } }, 1, 1);
   run.Run(0, 30, false);
@@ -218,7 +219,8 @@
   EXPECT_EQ(history.AttributeUsage(key, 0.4, At(9)), 1.0);
   EXPECT_DOUBLE_EQ(history.Over(At(8), At(9))->mTasks[0].ProcessorShare(), 0.4);
   EXPECT_DOUBLE_EQ(history.Newest()->mTasks[0].ProcessorShare(), 0.25);
-  EXPECT_EQ(history.Over(At(9), At(11)), nullptr) << "it changed meanwhile";
+  EXPECT_EQ(history.Over(At(9), At(11)), nullptr)
+    << "the placement changed meanwhile";
   EXPECT_EQ(history.AttributeUsage(key, 0.4, At(-1)), std::nullopt);
 }
 
--- a/tests/contract/ConfigurationTest.cpp
+++ b/tests/contract/ConfigurationTest.cpp
@@ -32,13 +32,13 @@
   return FormatContract(contract);
 }
 
-/// The store's history of contract keys.
+/// History of the contract keys in the store.
 class History
 {
 public:
   void Change(const CustomerId& aCustomer, std::optional<std::string> aValue)
   {
-    mRevision += 3; // other keys of the store change in between
+    mRevision += 3; // other keys change in between
     mEvents.push_back({ Key(aCustomer), std::move(aValue), mRevision });
   }
 
@@ -86,9 +86,9 @@
 
 constexpr int kCustomers = 6;
 constexpr int kEntries = 3;
-constexpr std::size_t kTinyDelta = 200; // one contract a delta, or two
+constexpr std::size_t kTinyDelta = 200; // one or two contracts per delta
 
-/// A heartbeat and its answer on their way.
+/// A heartbeat and its reply in flight.
 struct Exchange
 {
   int mEntry = 0;
@@ -96,7 +96,7 @@
   ConfigurationDelta mDelta;
 };
 
-/// One agent, some entries and the store under a random schedule.
+/// One agent, several entries and the store under a random schedule.
 class Fleet
 {
 public:
@@ -143,13 +143,13 @@
     for (int round = 0; round < 40; ++round) {
       for (int entry = 0; entry < kEntries; ++entry) {
         Send(entry);
-        Deliver(static_cast<int>(mOnTheWay.size()) - 1, false);
+        Deliver(static_cast<int>(mInFlight.size()) - 1, false);
       }
     }
   }
 
-  /// A contract that concerns the agent neither as it is nor as it is held may
-  /// be held outdated.
+  /// A contract may be outdated if neither its current nor its held version is
+  /// relevant to the agent.
   void CheckEqual() const
   {
     for (int i = 0; i < kCustomers; ++i) {
@@ -183,20 +183,20 @@
     heartbeat.mTasks.resize(1);
     heartbeat.mTasks[0].mStatus.mCustomer = mTaskCustomer;
     heartbeat.mConfiguration = mFollower.CursorFor(Name(aEntry));
-    mOnTheWay.push_back({ aEntry,
+    mInFlight.push_back({ aEntry,
                           FilterFor(heartbeat),
                           mEntries[aEntry]->Answer(heartbeat, kTinyDelta) });
   }
 
-  void Deliver(int aNumber, bool aAgain)
+  void Deliver(int aNumber, bool aDuplicate)
   {
-    if (mOnTheWay.empty()) {
+    if (mInFlight.empty()) {
       return;
     }
-    const std::size_t place = aNumber % mOnTheWay.size();
-    const Exchange exchange = mOnTheWay[place];
-    if (!aAgain) {
-      mOnTheWay.erase(mOnTheWay.begin() + static_cast<std::ptrdiff_t>(place));
+    const std::size_t index = aNumber % mInFlight.size();
+    const Exchange exchange = mInFlight[index];
+    if (!aDuplicate) {
+      mInFlight.erase(mInFlight.begin() + static_cast<std::ptrdiff_t>(index));
     }
     mFollower.Apply(Name(exchange.mEntry), exchange.mDelta, exchange.mFilter);
     CheckNothingReverted();
@@ -206,17 +206,17 @@
   {
     for (int i = 0; i < kCustomers; ++i) {
       const CustomerId customer = Customer(i);
-      Seen& seen = mSeen[i];
+      Observed& observed = mObserved[i];
       const Contract* held = mFollower.Find(customer);
       if (held == nullptr) {
-        RC_ASSERT(!seen.mInForce ||
-                  mHistory.Current(customer) != seen.mRevision);
-        seen.mInForce = false;
+        RC_ASSERT(!observed.mInForce ||
+                  mHistory.Current(customer) != observed.mRevision);
+        observed.mInForce = false;
         continue;
       }
-      RC_ASSERT(held->mRevision > seen.mRevision ||
-                (seen.mInForce && held->mRevision == seen.mRevision));
-      seen = { held->mRevision, true };
+      RC_ASSERT(held->mRevision > observed.mRevision ||
+                (observed.mInForce && held->mRevision == observed.mRevision));
+      observed = { held->mRevision, true };
     }
   }
 
@@ -225,7 +225,7 @@
     return EntryId("entry" + std::to_string(aEntry));
   }
 
-  struct Seen
+  struct Observed
   {
     Revision mRevision = 0;
     bool mInForce = false;
@@ -235,8 +235,8 @@
   std::unique_ptr<ConfigurationSource> mEntries[kEntries];
   ConfigurationFollower mFollower;
   CustomerId mTaskCustomer = Customer(0);
-  std::vector<Exchange> mOnTheWay;
-  Seen mSeen[kCustomers];
+  std::vector<Exchange> mInFlight;
+  Observed mObserved[kCustomers];
 };
 
 RC_GTEST_PROP(
@@ -252,7 +252,7 @@
   fleet.CheckEqual();
 }
 
-TEST(ConfigurationSource, GivesNothingOutOnceAnAgentStatedANewerChange)
+TEST(ConfigurationSource, SendsNothingAfterAnAgentStatedANewerChange)
 {
   History history;
   history.Change(Customer(1), Document(Customer(1), 0));
--- a/tests/contract/ContractDocumentTest.cpp
+++ b/tests/contract/ContractDocumentTest.cpp
@@ -27,7 +27,7 @@
   return contract;
 }
 
-TEST(ContractDocument, ComesBackFromItsText)
+TEST(ContractDocument, RoundTripsThroughItsText)
 {
   EXPECT_TRUE(CheckContract(Valid()).empty());
   const auto back = ParseContract(FormatContract(Valid()));
@@ -37,7 +37,7 @@
 
 struct BadContract
 {
-  void (*mBreak)(Contract&);
+  void (*mInvalidate)(Contract&);
   const char* mProblem;
 
   friend std::ostream& operator<<(std::ostream& aOut, const BadContract& aCase)
@@ -52,7 +52,7 @@
 TEST_P(BadContracts, AreRefusedByCheckAndParse)
 {
   Contract contract = Valid();
-  GetParam().mBreak(contract);
+  GetParam().mInvalidate(contract);
   const FieldProblems problems = CheckContract(contract);
   ASSERT_EQ(problems.size(), 1u);
   EXPECT_THAT(ToString(problems[0]), HasSubstr(GetParam().mProblem));
--- a/tests/job/EndedRecordsTest.cpp
+++ b/tests/job/EndedRecordsTest.cpp
@@ -21,7 +21,7 @@
 class EndedRecord : public testing::TestWithParam<Observation>
 {};
 
-TEST_P(EndedRecord, GoesAfterItWasTheSameForTheKeepingTime)
+TEST_P(EndedRecord, MayBeDeletedAfterTheRetentionTime)
 {
   EndedRecords records{ hours(24) };
   EXPECT_FALSE(records.OnFinalRecord(kShard, kJob, 7, kStart));
@@ -36,7 +36,7 @@
                                          Observation{ hours(24), 7, true },
                                          Observation{ hours(24), 8, false }));
 
-TEST(EndedRecords, StartAnewWithANewOwner)
+TEST(EndedRecords, StartOverWithANewOwner)
 {
   EndedRecords records{ hours(24) };
   records.OnFinalRecord(kShard, kJob, 7, kStart);
--- a/tests/job/JobSchedulerPropertyTest.cpp
+++ b/tests/job/JobSchedulerPropertyTest.cpp
@@ -44,7 +44,7 @@
   return faults;
 }
 
-RC_GTEST_PROP(JobSchedulerFaults, BreakNoPromise, (std::uint64_t aSeed))
+RC_GTEST_PROP(JobSchedulerFaults, PreserveAllGuarantees, (std::uint64_t aSeed))
 {
   JobSchedulerSettings settings;
   settings.mAttemptsLimit = 1000;
@@ -62,7 +62,7 @@
   fleet.Run(100s);
   RC_ASSERT(fleet.Violations() == std::vector<std::string>{});
 
-  // Nothing accepted is lost: what still stands runs, the rest has ended.
+  // No accepted job is lost: standing jobs run, all others have ended.
   for (int i = 0; i < kJobs; ++i) {
     const JobSpec spec = SpecOf(i);
     const JobState state = fleet.Record(spec.mId).mState;
@@ -86,7 +86,7 @@
 class FrozenAgentAndPausedOwner : public testing::TestWithParam<PairCase>
 {};
 
-TEST_P(FrozenAgentAndPausedOwner, NeverDoubleAStandingJob)
+TEST_P(FrozenAgentAndPausedOwner, NeverRunAStandingJobTwice)
 {
   ModelFleet fleet(1, {});
   const JobSpec spec = SpecOf(2);
