--- a/tests/job/JobSchedulerTest.cpp
+++ b/tests/job/JobSchedulerTest.cpp
@@ -51,7 +51,7 @@
   }
 
   template<typename Action>
-  std::vector<Action> Only(const JobScheduler::Actions& aActions)
+  std::vector<Action> ActionsOf(const JobScheduler::Actions& aActions)
   {
     std::vector<Action> found;
     for (const JobAction& action : aActions) {
@@ -89,9 +89,9 @@
     return report;
   }
 
-  CommitRecord TheCommit(const JobScheduler::Actions& aActions)
+  CommitRecord OnlyCommit(const JobScheduler::Actions& aActions)
   {
-    const auto commits = Only<CommitRecord>(aActions);
+    const auto commits = ActionsOf<CommitRecord>(aActions);
     EXPECT_EQ(commits.size(), 1U);
     return commits.empty() ? CommitRecord{} : commits.front();
   }
@@ -102,10 +102,11 @@
       aCommit.mToken, CommitOutcome::Applied, aCommit.mExpected + 1 });
   }
 
-  /// Places, commits and starts the job; its Assign.
+  /// Places, commits and starts the job; returns its Assign.
   SendAssign Start()
   {
-    const auto sent = Only<SendAssign>(Apply(TheCommit(Dispatch(Tick{}))));
+    const auto sent =
+      ActionsOf<SendAssign>(Apply(OnlyCommit(Dispatch(Tick{}))));
     EXPECT_EQ(sent.size(), 1U);
     return sent.empty() ? SendAssign{} : sent.front();
   }
@@ -117,17 +118,17 @@
   JobScheduler mScheduler;
 };
 
-TEST_F(JobSchedulerTest, WritesTheAssignmentBeforeItSendsIt)
+TEST_F(JobSchedulerTest, CommitsTheAssignmentBeforeSendingIt)
 {
   const auto placed = Dispatch(Tick{});
-  EXPECT_TRUE(Only<SendAssign>(placed).empty());
-  const CommitRecord commit = TheCommit(placed);
+  EXPECT_TRUE(ActionsOf<SendAssign>(placed).empty());
+  const CommitRecord commit = OnlyCommit(placed);
   EXPECT_EQ(commit.mRecord.mState, JobState::Assigned);
   EXPECT_EQ(commit.mRecord.mEpoch, 1U);
   EXPECT_EQ(commit.mExpected, 5);
   EXPECT_EQ(commit.mGeneration, kGeneration);
 
-  const auto sent = Only<SendAssign>(Apply(commit));
+  const auto sent = ActionsOf<SendAssign>(Apply(commit));
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(sent.front().mAssign.mTask.mKey, (TaskKey{ kJob, 1 }));
   EXPECT_EQ(sent.front().mAssign.mSequence, mSequence);
@@ -137,7 +138,7 @@
 {
   std::string_view mName;
   TaskState mReported;
-  JobState mRecorded;
+  JobState mCommitted;
 };
 
 class JobSchedulerEnd
@@ -145,16 +146,16 @@
   , public testing::WithParamInterface<EndCase>
 {};
 
-TEST_P(JobSchedulerEnd, IsRecordedAndOnlyThenAcknowledged)
+TEST_P(JobSchedulerEnd, IsCommittedBeforeItIsAcknowledged)
 {
   Start();
   const auto reported = SendHeartbeat({ Report(1, GetParam().mReported) });
-  EXPECT_TRUE(Only<AcknowledgeTasks>(reported).empty());
-  const CommitRecord commit = TheCommit(reported);
-  EXPECT_EQ(commit.mRecord.mState, GetParam().mRecorded);
+  EXPECT_TRUE(ActionsOf<AcknowledgeTasks>(reported).empty());
+  const CommitRecord commit = OnlyCommit(reported);
+  EXPECT_EQ(commit.mRecord.mState, GetParam().mCommitted);
   EXPECT_EQ(commit.mRecord.mEpoch, 1U);
 
-  const auto acknowledged = Only<AcknowledgeTasks>(Apply(commit));
+  const auto acknowledged = ActionsOf<AcknowledgeTasks>(Apply(commit));
   ASSERT_EQ(acknowledged.size(), 1U);
   EXPECT_EQ(acknowledged.front().mKeys.front(), (TaskKey{ kJob, 1 }));
 }
@@ -172,30 +173,30 @@
 TEST_F(JobSchedulerTest, ResumesFromTheCheckpointUnderTheNextEpoch)
 {
   Start();
-  Apply(TheCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
+  Apply(OnlyCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
   const SendAssign resumed = Start();
   EXPECT_EQ(resumed.mAssign.mTask.mKey.mEpoch, 2U);
   EXPECT_EQ(resumed.mAssign.mTask.mCheckpoint, "checkpoint");
 }
 
-TEST_F(JobSchedulerTest, CancelsAWaitingJobAtOnce)
+TEST_F(JobSchedulerTest, CancelsAWaitingJobImmediately)
 {
-  const CommitRecord commit = TheCommit(Dispatch(CancelRequested{ kJob }));
+  const CommitRecord commit = OnlyCommit(Dispatch(CancelRequested{ kJob }));
   EXPECT_EQ(commit.mRecord.mState, JobState::Cancelled);
 }
 
-TEST_F(JobSchedulerTest, StopsARunningJobBeforeItCountsAsCancelled)
+TEST_F(JobSchedulerTest, StopsARunningJobBeforeCancellingIt)
 {
   Start();
   SendHeartbeat({ Report(1, TaskState::Running) });
-  const CommitRecord mark = TheCommit(Dispatch(CancelRequested{ kJob }));
+  const CommitRecord mark = OnlyCommit(Dispatch(CancelRequested{ kJob }));
   EXPECT_EQ(mark.mRecord.mState, JobState::Assigned);
   EXPECT_TRUE(mark.mRecord.mCancelRequested);
-  const auto stops = Only<SendControl>(Apply(mark));
+  const auto stops = ActionsOf<SendControl>(Apply(mark));
   ASSERT_EQ(stops.size(), 1U);
   EXPECT_EQ(stops.front().mControl.mAction, TaskAction::Stop);
   const auto stopped = SendHeartbeat({ Report(1, TaskState::Stopped) });
-  EXPECT_EQ(TheCommit(stopped).mRecord.mState, JobState::Cancelled);
+  EXPECT_EQ(OnlyCommit(stopped).mRecord.mState, JobState::Cancelled);
 }
 
 struct WaitCase
@@ -213,7 +214,7 @@
   , public testing::WithParamInterface<WaitCase>
 {};
 
-TEST_P(JobSchedulerWait, SaysWhyAndParksWhatCanNeverRun)
+TEST_P(JobSchedulerWait, ReportsTheReasonAndParksJobsThatCannotRun)
 {
   const WaitCase& given = GetParam();
   Contract contract = TestContract();
@@ -227,7 +228,7 @@
   EXPECT_EQ(mScheduler.Explain(kJob).back().mReason, given.mReason);
   mNow += 11s;
   SendHeartbeat({});
-  const auto commits = Only<CommitRecord>(Dispatch(Tick{}));
+  const auto commits = ActionsOf<CommitRecord>(Dispatch(Tick{}));
   ASSERT_EQ(!commits.empty(), given.mParks);
   EXPECT_TRUE(!given.mParks ||
               commits.front().mRecord.mState == JobState::Parked);
@@ -279,23 +280,23 @@
   urgent.mSpec.mPriority = JobPriority::Urgent;
   urgent.mSpec.mDeclared = { 8000, 1024, 0 };
   Dispatch(JobRead{ kShard, { urgent, 9 } });
-  const auto evictions = Only<SendControl>(Dispatch(Tick{}));
+  const auto evictions = ActionsOf<SendControl>(Dispatch(Tick{}));
   ASSERT_EQ(evictions.size(), 1U);
   EXPECT_EQ(evictions.front().mControl.mAction, TaskAction::Evict);
   EXPECT_EQ(evictions.front().mControl.mReason, Reason::EvictedForUrgent);
 
-  // The room is held until the worker's own count shows it.
+  // The capacity stays reserved until the worker reports it as free.
   mNow += 1s;
-  EXPECT_TRUE(Only<CommitRecord>(Dispatch(Tick{})).empty());
+  EXPECT_TRUE(ActionsOf<CommitRecord>(Dispatch(Tick{})).empty());
   mReserved = {};
-  Apply(TheCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
-  const auto commits = Only<CommitRecord>(Dispatch(Tick{}));
+  Apply(OnlyCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
+  const auto commits = ActionsOf<CommitRecord>(Dispatch(Tick{}));
   ASSERT_FALSE(commits.empty());
   EXPECT_EQ(commits.front().mRecord.mSpec.mId, urgent.mSpec.mId);
   EXPECT_EQ(commits.front().mRecord.mState, JobState::Assigned);
 }
 
-TEST_F(JobSchedulerTest, LeavesASilentJobToItsFormerOwnerUntilCleared)
+TEST_F(JobSchedulerTest, KeepsAnUnreportedInheritedJobUntilCleared)
 {
   JobRecord inherited = TestRecord();
   inherited.mState = JobState::Assigned;
@@ -304,10 +305,10 @@
   Dispatch(
     ShardAcquired{ kShard, kGeneration + 1, { { inherited, 9 } }, false });
   mNow += 1h;
-  EXPECT_TRUE(Only<CommitRecord>(Dispatch(Tick{})).empty());
+  EXPECT_TRUE(ActionsOf<CommitRecord>(Dispatch(Tick{})).empty());
   SendHeartbeat({});
-  auto commits = Only<CommitRecord>(Dispatch(ShardCleared{ kShard }));
-  for (const auto& commit : Only<CommitRecord>(Dispatch(Tick{}))) {
+  auto commits = ActionsOf<CommitRecord>(Dispatch(ShardCleared{ kShard }));
+  for (const auto& commit : ActionsOf<CommitRecord>(Dispatch(Tick{}))) {
     commits.push_back(commit);
   }
   ASSERT_FALSE(commits.empty());
@@ -325,11 +326,12 @@
   , public testing::WithParamInterface<SilenceCase>
 {};
 
-TEST_P(JobSchedulerSilence, IsJudgedByTheIntervalOfHeartbeats)
+TEST_P(JobSchedulerSilence, DependsOnTheHeartbeatInterval)
 {
   mScheduler.ExpectInterval(GetParam().mInterval);
   mNow += 10s;
-  EXPECT_EQ(!Only<CommitRecord>(Dispatch(Tick{})).empty(), GetParam().mPlaced);
+  EXPECT_EQ(!ActionsOf<CommitRecord>(Dispatch(Tick{})).empty(),
+            GetParam().mPlaced);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
@@ -340,10 +342,10 @@
 TEST_F(JobSchedulerTest, DisownsATaskOfAnEarlierEpoch)
 {
   Start();
-  Apply(TheCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
+  Apply(OnlyCommit(SendHeartbeat({ Report(1, TaskState::Checkpointed) })));
   Start();
   const auto disowned =
-    Only<DisownTasks>(SendHeartbeat({ Report(1, TaskState::Running) }));
+    ActionsOf<DisownTasks>(SendHeartbeat({ Report(1, TaskState::Running) }));
   ASSERT_EQ(disowned.size(), 1U);
   EXPECT_EQ(disowned.front().mKeys.front(), (TaskKey{ kJob, 1 }));
 }
@@ -353,7 +355,7 @@
   const CustomerId customer("qoima.kz");
   EXPECT_EQ(ShardOf(JobIdFor(customer, "a1"), 64),
             ShardOf(JobIdFor(customer, "b2"), 64));
-  // Written down: a build that hashes otherwise would lose stored jobs.
+  // A fixed value: a build with another hash would lose stored jobs.
   EXPECT_EQ(ShardOf(JobIdFor(CustomerId("trasowka"), "1"), 64), 22U);
 }
 
--- a/tests/job/ModelAgent.cpp
+++ b/tests/job/ModelAgent.cpp
@@ -26,8 +26,8 @@
   heartbeat.mSequence = ++mSequence;
   heartbeat.mLoad.mCapacity = mCapacity;
   mSentAt[mSequence] = aNow;
-  if (mRebuildBeats > 0) {
-    --mRebuildBeats;
+  if (mRebuildHeartbeats > 0) {
+    --mRebuildHeartbeats;
     heartbeat.mState = ServingState::Starting;
     return heartbeat;
   }
@@ -82,7 +82,7 @@
   return reply;
 }
 
-AssignReply ModelAgent::Take(const Assign& aAssign, Instant aNow)
+AssignReply ModelAgent::Handle(const Assign& aAssign, Instant aNow)
 {
   const TaskStart& start = aAssign.mTask;
   AssignReply granted;
@@ -97,7 +97,7 @@
                       aNow < sent->second + start.mLease;
   const bool current = aAssign.mGeneration >= mGenerations[aAssign.mShard] &&
                        start.mKey.mEpoch > mEpochs[start.mKey.mJob];
-  if (mRebuildBeats > 0 || !leased || !current ||
+  if (mRebuildHeartbeats > 0 || !leased || !current ||
       mRefused.contains(start.mKey)) {
     return Refuse(start.mKey, Reason::StaleEpoch);
   }
@@ -115,7 +115,7 @@
   return granted;
 }
 
-ControlReply ModelAgent::Take(const Control& aControl)
+ControlReply ModelAgent::Handle(const Control& aControl)
 {
   ControlReply reply;
   const auto found = mTasks.find(aControl.mKey);
@@ -143,7 +143,7 @@
   Control control;
   control.mKey = victim->first;
   control.mAction = TaskAction::Evict;
-  Take(control);
+  Handle(control);
 }
 
 void ModelAgent::Replace()
@@ -155,12 +155,12 @@
   RestartProcess(0);
 }
 
-void ModelAgent::RestartProcess(int aRebuildBeats)
+void ModelAgent::RestartProcess(int aRebuildHeartbeats)
 {
   ++mIncarnation;
   mSequence = 0;
   mSentAt.clear();
-  mRebuildBeats = aRebuildBeats;
+  mRebuildHeartbeats = aRebuildHeartbeats;
 }
 
 std::vector<JobId> ModelAgent::RunningJobs() const
--- a/tests/job/ModelAgent.h
+++ b/tests/job/ModelAgent.h
@@ -13,14 +13,14 @@
 
 using Random = std::mt19937_64;
 
-/// True with this chance in a thousand.
+/// True with a probability of aPerMille / 1000.
 inline bool Chance(Random& aRandom, int aPerMille)
 {
   return static_cast<int>(aRandom() % 1000) < aPerMille;
 }
 
-/// An agent and its worker, by the rules of the protocol and no others. The
-/// worker goes on by itself while the agent is frozen.
+/// Model of an agent and its worker that implements only the protocol. The
+/// worker continues while the agent is frozen.
 class ModelAgent
 {
 public:
@@ -36,17 +36,17 @@
                const std::vector<ShardLease>& aLeases,
                const std::vector<TaskKey>& aAcknowledged,
                const std::vector<TaskKey>& aDisowned);
-  AssignReply Take(const Assign& aAssign, Instant aNow);
-  ControlReply Take(const Control& aControl);
+  AssignReply Handle(const Assign& aAssign, Instant aNow);
+  ControlReply Handle(const Control& aControl);
 
   /// Writes a checkpoint of some running task and stops it.
   void EvictOne(Random& aRandom);
 
-  /// The virtual machine is replaced by an empty one.
+  /// Replaces the VM by an empty one.
   void Replace();
 
-  /// The process starts again and has yet to ask the worker for its tasks.
-  void RestartProcess(int aRebuildBeats);
+  /// Restarts the agent process, which must first read the tasks of its worker.
+  void RestartProcess(int aRebuildHeartbeats);
 
   bool Frozen(Instant aNow) const { return aNow < mFrozenUntil; }
   std::vector<JobId> RunningJobs() const;
@@ -75,7 +75,7 @@
   std::map<JobId, Epoch> mEpochs;
   std::set<TaskKey> mRefused;
   std::uint64_t mSequence = 0;
-  int mRebuildBeats = 0; ///< Heartbeats until it knows its tasks again.
+  int mRebuildHeartbeats = 0; ///< Heartbeats until its ledger is rebuilt.
 };
 
 } // namespace foxtailbarrow::test
--- a/tests/job/ModelFleet.cpp
+++ b/tests/job/ModelFleet.cpp
@@ -91,9 +91,9 @@
   }
   if (Chance(mRandom, mFaults.mEntryCrash)) {
     Entry& entry = mEntries[mRandom() % 2];
-    const std::uint64_t life = entry.mRestarts + 1;
+    const std::uint64_t restarts = entry.mRestarts + 1;
     entry = Entry{};
-    entry.mRestarts = life;
+    entry.mRestarts = restarts;
     entry.mScheduler = std::make_unique<JobScheduler>(mSettings);
   }
 }
@@ -104,7 +104,7 @@
   if (mNow < entry.mPausedUntil) {
     return;
   }
-  // What waited is worked off first: a paused owner does not know better.
+  // Events received while paused are handled first, as after a real pause.
   for (const JobEvent& event : std::exchange(entry.mInbox, {})) {
     Deliver(aIndex, entry.mRestarts, event);
   }
@@ -112,7 +112,7 @@
     if (entry.mGeneration == mGeneration && mNow < mStoreLeaseUntil) {
       mStoreLeaseUntil = mNow + kStoreLease;
       entry.mValidUntil = mNow + kValidity;
-      ListAgain(aIndex);
+      RelistJobs(aIndex);
     } else {
       entry.mGeneration = 0;
       Deliver(aIndex, entry.mRestarts, ShardLost{ kShard });
@@ -123,8 +123,8 @@
   Deliver(aIndex, entry.mRestarts, Tick{});
 }
 
-/// Hints get lost: the shell lists its shards now and then.
-void ModelFleet::ListAgain(std::size_t aIndex)
+/// Lists the shard occasionally, since hints may be lost.
+void ModelFleet::RelistJobs(std::size_t aIndex)
 {
   if (Chance(mRandom, 10)) {
     for (const auto& [id, job] : mRecords) {
@@ -156,11 +156,11 @@
 }
 
 void ModelFleet::Deliver(std::size_t aIndex,
-                         std::uint64_t aLife,
+                         std::uint64_t aRestarts,
                          const JobEvent& aEvent)
 {
   Entry& entry = mEntries[aIndex];
-  if (entry.mRestarts != aLife) {
+  if (entry.mRestarts != aRestarts) {
     return;
   }
   if (mNow < entry.mPausedUntil) {
@@ -169,7 +169,7 @@
   }
   const auto actions = entry.mScheduler->Handle(aEvent, mNow, mRandom);
   for (const JobAction& action : actions) {
-    std::visit([&](const auto& aKind) { Do(aIndex, aKind); }, action);
+    std::visit([&](const auto& aKind) { Execute(aIndex, aKind); }, action);
   }
 }
 
@@ -178,8 +178,8 @@
   const Heartbeat heartbeat = aAgent.SendHeartbeat(mNow);
   for (std::size_t i = 0; i < mEntries.size(); ++i) {
     if (!Chance(mRandom, mFaults.mHeartbeatLost)) {
-      After(Delay(300), [this, i, life = mEntries[i].mRestarts, heartbeat] {
-        Deliver(i, life, HeartbeatReceived{ heartbeat });
+      After(Delay(300), [this, i, restarts = mEntries[i].mRestarts, heartbeat] {
+        Deliver(i, restarts, HeartbeatReceived{ heartbeat });
       });
     }
   }
@@ -194,7 +194,7 @@
   const bool assigns =
     aAfter.mEpoch == aBefore.mEpoch + 1 && aAfter.mState == JobState::Assigned;
   if (!assigns && aAfter.mEpoch != aBefore.mEpoch) {
-    AddViolation("epoch moved without an assignment: " + job);
+    AddViolation("epoch changed without an assignment: " + job);
   }
   const bool evicted = aAfter.mEvictions != aBefore.mEvictions;
   if (evicted != (aAfter.mCheckpoint != aBefore.mCheckpoint)) {
@@ -216,7 +216,7 @@
 {
   const JobRecord& record = Record(aKey.mJob);
   if (record.mEpoch == aKey.mEpoch && record.mState == JobState::Assigned) {
-    AddViolation("acknowledged before it was recorded: " + aKey.mJob.Value());
+    AddViolation("acknowledged before it was committed: " + aKey.mJob.Value());
   }
 }
 
@@ -239,7 +239,7 @@
   }
   for (const ModelAgent& agent : mAgents) {
     if (!agent.Reserved().FitsIn(agent.mCapacity)) {
-      AddViolation("over its size: " + agent.mId.Value());
+      AddViolation("exceeds its capacity: " + agent.mId.Value());
     }
   }
 }
--- a/tests/job/ModelFleet.h
+++ b/tests/job/ModelFleet.h
@@ -12,24 +12,24 @@
 
 namespace foxtailbarrow::test {
 
-/// How often each fault happens, in a thousand chances.
+/// Probabilities of faults, per mille of the opportunities.
 struct Faults
 {
-  int mStoreUnknown = 0; ///< Reply lost; the write applied, or applies later.
+  int mStoreUnknown = 0; ///< Reply lost; the write is applied later.
   int mStoreNotRun = 0;
-  int mAssignLost = 0; ///< Answer lost; the call may arrive much later.
+  int mAssignLost = 0; ///< Reply lost; the call may arrive much later.
   int mHeartbeatLost = 0;
-  int mAgentFreeze = 0; ///< Each step, for some agent.
+  int mAgentFreeze = 0; ///< Per step, for a random agent.
   int mAgentReplace = 0;
   int mAgentRestart = 0;
   int mEntryPause = 0;
   int mEntryCrash = 0;
   int mEvict = 0;
-  int mTaskFails = 0; ///< Each step, each task.
+  int mTaskFails = 0; ///< Per step and task.
 };
 
-/// Two entries that hand one shard to each other, a store and four agents, in
-/// virtual time. Every broken promise is noted in Violations().
+/// Simulates two entries that take over one shard from each other, a store and
+/// four agents, in virtual time. Violations() lists every broken guarantee.
 class ModelFleet
 {
 public:
@@ -59,11 +59,11 @@
   struct Entry
   {
     std::unique_ptr<JobScheduler> mScheduler;
-    std::vector<JobEvent> mInbox; ///< While paused.
+    std::vector<JobEvent> mInbox; ///< Events received while paused.
     Instant mPausedUntil{};
     Instant mValidUntil{};
-    Generation mGeneration = 0;  ///< 0 = believes to own nothing.
-    std::uint64_t mRestarts = 0; ///< Raised by a crash.
+    Generation mGeneration = 0;  ///< 0 = does not own the shard.
+    std::uint64_t mRestarts = 0; ///< Incremented by a crash.
     std::map<AgentId, std::vector<TaskKey>> mAcknowledge;
     std::map<AgentId, std::vector<TaskKey>> mDisown;
   };
@@ -71,17 +71,19 @@
   void Step();
   void InjectFaults();
   void StepEntry(std::size_t aIndex);
-  void ListAgain(std::size_t aIndex);
+  void RelistJobs(std::size_t aIndex);
   void Acquire(std::size_t aIndex);
   void SendHeartbeat(ModelAgent& aAgent);
-  void Deliver(std::size_t aIndex, std::uint64_t aLife, const JobEvent& aEvent);
-  void Do(std::size_t aIndex, const CommitRecord& aAction);
-  void Do(std::size_t aIndex, const SendAssign& aAction);
-  void Do(std::size_t aIndex, const SendControl& aAction);
-  void Do(std::size_t aIndex, const AcknowledgeTasks& aAction);
-  void Do(std::size_t aIndex, const DisownTasks& aAction);
-  void Do(std::size_t aIndex, const ExtendLeases& aAction);
-  void Do(std::size_t aIndex, const ReadJob& aAction);
+  void Deliver(std::size_t aIndex,
+               std::uint64_t aRestarts,
+               const JobEvent& aEvent);
+  void Execute(std::size_t aIndex, const CommitRecord& aAction);
+  void Execute(std::size_t aIndex, const SendAssign& aAction);
+  void Execute(std::size_t aIndex, const SendControl& aAction);
+  void Execute(std::size_t aIndex, const AcknowledgeTasks& aAction);
+  void Execute(std::size_t aIndex, const DisownTasks& aAction);
+  void Execute(std::size_t aIndex, const ExtendLeases& aAction);
+  void Execute(std::size_t aIndex, const ReadJob& aAction);
   CommitDone Write(const CommitRecord& aCommit);
   void CheckWrite(const JobRecord& aBefore, const JobRecord& aAfter);
   void CheckStart(const TaskStart& aStart);
--- a/tests/job/ModelFleetActions.cpp
+++ b/tests/job/ModelFleetActions.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-/// How the model carries out the scheduler's actions.
+/// The part of ModelFleet that executes the scheduler's actions.
 namespace foxtailbarrow::test {
 
 using namespace std::chrono_literals;
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void ModelFleet::Do(std::size_t aIndex, const ExtendLeases& aAction)
+void ModelFleet::Execute(std::size_t aIndex, const ExtendLeases& aAction)
 {
   Entry& entry = mEntries[aIndex];
   const bool owns = entry.mGeneration != 0 && mNow < entry.mValidUntil;
@@ -42,11 +42,11 @@
   AfterThaw(agent, Delay(300), deliver);
 }
 
-void ModelFleet::Do(std::size_t aIndex, const CommitRecord& aAction)
+void ModelFleet::Execute(std::size_t aIndex, const CommitRecord& aAction)
 {
-  const std::uint64_t life = mEntries[aIndex].mRestarts;
-  const auto answer = [this, aIndex, life](CommitDone aDone) {
-    After(Delay(100), [=, this] { Deliver(aIndex, life, aDone); });
+  const std::uint64_t restarts = mEntries[aIndex].mRestarts;
+  const auto answer = [this, aIndex, restarts](CommitDone aDone) {
+    After(Delay(100), [=, this] { Deliver(aIndex, restarts, aDone); });
   };
   if (Chance(mRandom, mFaults.mStoreNotRun)) {
     answer({ aAction.mToken, CommitOutcome::NotRun, 0 });
@@ -70,15 +70,15 @@
   return { aCommit.mToken, CommitOutcome::Applied, job.mRevision };
 }
 
-void ModelFleet::Do(std::size_t aIndex, const SendAssign& aAction)
+void ModelFleet::Execute(std::size_t aIndex, const SendAssign& aAction)
 {
-  const std::uint64_t life = mEntries[aIndex].mRestarts;
+  const std::uint64_t restarts = mEntries[aIndex].mRestarts;
   const TaskKey key = aAction.mAssign.mTask.mKey;
   ModelAgent& agent = Find(aAction.mAgent);
   const bool lost = Chance(mRandom, mFaults.mAssignLost);
   const auto arrive = [=, this, &agent] {
     const std::size_t before = agent.mStarted.size();
-    const AssignReply reply = agent.Take(aAction.mAssign, mNow);
+    const AssignReply reply = agent.Handle(aAction.mAssign, mNow);
     if (agent.mStarted.size() > before) {
       CheckStart(aAction.mAssign.mTask);
     }
@@ -88,7 +88,7 @@
     }
     if (!lost) {
       After(Delay(100), [=, this] {
-        Deliver(aIndex, life, AssignDone{ key, reply });
+        Deliver(aIndex, restarts, AssignDone{ key, reply });
       });
     }
   };
@@ -97,45 +97,45 @@
     const auto error = WithVerdict(absl::DeadlineExceededError("no answer"),
                                    Verdict::MayHaveRun);
     After(kCallTimeout, [=, this] {
-      Deliver(aIndex, life, AssignDone{ key, error });
+      Deliver(aIndex, restarts, AssignDone{ key, error });
     });
   }
 }
 
-void ModelFleet::Do(std::size_t aIndex, const SendControl& aAction)
+void ModelFleet::Execute(std::size_t aIndex, const SendControl& aAction)
 {
   ModelAgent& agent = Find(aAction.mAgent);
-  const std::uint64_t life = mEntries[aIndex].mRestarts;
+  const std::uint64_t restarts = mEntries[aIndex].mRestarts;
   AfterThaw(agent, Delay(100), [=, this, &agent] {
-    const ControlReply reply = agent.Take(aAction.mControl);
-    Deliver(aIndex, life, ControlDone{ aAction.mControl.mKey, reply });
+    const ControlReply reply = agent.Handle(aAction.mControl);
+    Deliver(aIndex, restarts, ControlDone{ aAction.mControl.mKey, reply });
   });
 }
 
-void ModelFleet::Do(std::size_t aIndex, const AcknowledgeTasks& aAction)
+void ModelFleet::Execute(std::size_t aIndex, const AcknowledgeTasks& aAction)
 {
   auto& keys = mEntries[aIndex].mAcknowledge[aAction.mAgent];
   keys.insert(keys.end(), aAction.mKeys.begin(), aAction.mKeys.end());
 }
 
-void ModelFleet::Do(std::size_t aIndex, const DisownTasks& aAction)
+void ModelFleet::Execute(std::size_t aIndex, const DisownTasks& aAction)
 {
   auto& keys = mEntries[aIndex].mDisown[aAction.mAgent];
   keys.insert(keys.end(), aAction.mKeys.begin(), aAction.mKeys.end());
 }
 
-void ModelFleet::Do(std::size_t aIndex, const ReadJob& aAction)
+void ModelFleet::Execute(std::size_t aIndex, const ReadJob& aAction)
 {
-  const std::uint64_t life = mEntries[aIndex].mRestarts;
+  const std::uint64_t restarts = mEntries[aIndex].mRestarts;
   After(Delay(100), [=, this] {
     const auto found = mRecords.find(aAction.mJob);
     if (Chance(mRandom, mFaults.mStoreNotRun)) {
-      Deliver(aIndex, life, JobReadFailed{ kShard, aAction.mJob });
+      Deliver(aIndex, restarts, JobReadFailed{ kShard, aAction.mJob });
     } else if (found == mRecords.end()) {
-      Deliver(aIndex, life, JobMissing{ kShard, aAction.mJob });
+      Deliver(aIndex, restarts, JobMissing{ kShard, aAction.mJob });
     } else {
       const JobEvent read = JobRead{ kShard, found->second };
-      After(Delay(100), [=, this] { Deliver(aIndex, life, read); });
+      After(Delay(100), [=, this] { Deliver(aIndex, restarts, read); });
     }
   });
 }
--- a/tests/membership/AgentDirectoryTest.cpp
+++ b/tests/membership/AgentDirectoryTest.cpp
@@ -25,7 +25,7 @@
   return service == nullptr ? 0 : service->Routable().size();
 }
 
-/// What is heard of agent 0 after its first heartbeat, and what follows.
+/// Heartbeats of agent 0 after its first one, and the expected phase.
 struct PhaseCase
 {
   const char* mName;
@@ -153,7 +153,7 @@
   EXPECT_EQ(RoutableCount(directory), 3U);
 }
 
-TEST(AgentDirectory, DoesNotTakeItsOwnPauseForSilence)
+TEST(AgentDirectory, DoesNotCountItsOwnPauseAsMissingHeartbeats)
 {
   AgentDirectory directory = DirectoryOf(3);
   directory.Advance(kStart);
@@ -161,7 +161,7 @@
   EXPECT_EQ(directory.Find(AgentId("agent-0"))->mPhase, AgentPhase::Serving);
 }
 
-TEST(AgentDirectory, ForgetsWhatIsGone)
+TEST(AgentDirectory, DeletesAgentsThatAreGone)
 {
   AgentDirectory directory = DirectoryOf(100);
   for (seconds age(1); age < seconds(200); ++age) {
@@ -171,7 +171,7 @@
   EXPECT_TRUE(directory.Table()->All().empty());
 }
 
-TEST(AgentDirectory, MakesATableOnlyForAChangeOfMembership)
+TEST(AgentDirectory, RebuildsTheTableOnlyIfMembershipChanged)
 {
   AgentDirectory directory = DirectoryOf(3);
   const auto table = directory.Table();
@@ -221,7 +221,7 @@
       0,
       *rc::gen::inRange(1, 4));
     heartbeat.mSequence = static_cast<std::uint64_t>(i);
-    // An address is fixed for one incarnation of an agent, as in the fleet.
+    // As in the fleet, an incarnation of an agent has one address.
     const auto address = (heartbeat.mAgent.Value().back() - '0') *
                          static_cast<int>(heartbeat.mIncarnation) % 3;
     heartbeat.mEndpoint = HeartbeatOf(address).mEndpoint;
--- a/tests/membership/HeartbeatScheduleTest.cpp
+++ b/tests/membership/HeartbeatScheduleTest.cpp
@@ -72,13 +72,13 @@
     schedule.RecordExchangeSize(kBytes);
   }
   schedule.SetEntries(EntriesOf(GetParam()), kStart, random);
-  std::map<Endpoint, Instant> heard;
+  std::map<Endpoint, Instant> lastSent;
   std::map<std::int64_t, std::size_t> bytesInSecond;
   Duration longestGap{};
   for (Instant now = schedule.NextDue(); now < kStart + kDuration;
        now = schedule.NextDue()) {
     for (const Endpoint& entry : schedule.Due(now, random)) {
-      const auto [last, isNew] = heard.try_emplace(entry, kStart);
+      const auto [last, isNew] = lastSent.try_emplace(entry, kStart);
       longestGap = std::max(longestGap, now - last->second);
       last->second = now;
       bytesInSecond[(now - kStart) / seconds(1)] += kBytes;
@@ -88,7 +88,7 @@
   for (const auto& [second, bytes] : bytesInSecond) {
     total += bytes;
   }
-  EXPECT_EQ(heard.size(), GetParam());
+  EXPECT_EQ(lastSent.size(), GetParam());
   EXPECT_LE(longestGap, schedule.Interval());
   EXPECT_LE(static_cast<double>(total) / kDuration.count(), kBudget);
 }
@@ -109,7 +109,7 @@
   }
 }
 
-TEST(HeartbeatSchedule, KeepsTurnsOfKnownEntriesAndHurries)
+TEST(HeartbeatSchedule, KeepsTheScheduleOfKnownEntriesAndMakesAllDue)
 {
   std::mt19937_64 random(1);
   HeartbeatSchedule schedule;
--- a/tests/placement/PlacementPolicyTest.cpp
+++ b/tests/placement/PlacementPolicyTest.cpp
@@ -30,7 +30,7 @@
 }
 
 RC_GTEST_PROP(PlacementPolicy,
-              FindsAWorkerJustWhenOneFits,
+              FindsAWorkerIfAndOnlyIfOneFits,
               (std::uint64_t aSeed))
 {
   std::mt19937_64 random(aSeed);
@@ -39,9 +39,9 @@
   for (int i = 0; i < workers; ++i) {
     index.Update(AnyHeartbeat(i), kNow);
   }
-  const WorkerSlot bad =
+  const WorkerSlot quarantined =
     *rc::gen::inRange<WorkerSlot>(0, static_cast<WorkerSlot>(workers));
-  index.SetQuarantined(bad, true);
+  index.SetQuarantined(quarantined, true);
   const std::vector<WorkerSlot> avoid{ *rc::gen::inRange<WorkerSlot>(
     0, static_cast<WorkerSlot>(workers)) };
   PlacementRequest request;
@@ -58,7 +58,7 @@
     const auto slot = Choose(policy, request, index, load, random);
     RC_ASSERT(slot.has_value() == fits);
     if (slot) {
-      RC_ASSERT(*slot != bad);
+      RC_ASSERT(*slot != quarantined);
       RC_ASSERT(*slot != avoid.front());
       RC_ASSERT(request.mSize.FitsIn(index.Free(*slot)));
     }
@@ -107,7 +107,7 @@
     quotas.Apply(contract);
     order.Push(contract.mCustomer);
   }
-  // Three tenths of the processors weigh against one of the memory.
+  // Dominant shares per job: 9 % of the processors, 3 % of the memory.
   int cpuJobs = 0;
   for (int i = 0; i < 8; ++i) {
     const auto customer = order.Pop();
--- a/tests/placement/PreemptionTest.cpp
+++ b/tests/placement/PreemptionTest.cpp
@@ -33,7 +33,7 @@
 class PlanEvictionTest : public testing::TestWithParam<EvictionCase>
 {};
 
-TEST_P(PlanEvictionTest, LosesLeastWork)
+TEST_P(PlanEvictionTest, ChoosesTheLeastWork)
 {
   const EvictionCase& given = GetParam();
   const auto plan = PlanEviction({ given.mNeedCores * 1000, 100, 0 },
@@ -54,7 +54,7 @@
   PlanEvictionTest,
   testing::Values(
     EvictionCase{ "FitsAsItIs", 2, 2, { Running("a", 4, 1s) }, Names{} },
-    EvictionCase{ "TooLittleInAll", 9, 2, { Running("a", 4, 1s) }, {} },
+    EvictionCase{ "NotEnoughInTotal", 9, 2, { Running("a", 4, 1s) }, {} },
     EvictionCase{ "Youngest",
                   4,
                   0,
@@ -65,7 +65,7 @@
                   0,
                   { Running("dear", 4, 1min, 100.0), Running("cheap", 4, 1h) },
                   Names{ "cheap" } },
-    EvictionCase{ "NobodyInVain",
+    EvictionCase{ "NoNeedlessVictim",
                   8,
                   0,
                   { Running("small", 1, 1s), Running("large", 8, 1min) },
--- a/tests/placement/QuarantinePolicyTest.cpp
+++ b/tests/placement/QuarantinePolicyTest.cpp
@@ -23,9 +23,9 @@
 class QuarantinePolicyTest : public testing::TestWithParam<FailureCase>
 {};
 
-TEST_P(QuarantinePolicyTest, TellsABadWorkerFromABadJob)
+TEST_P(QuarantinePolicyTest, DistinguishesFaultyWorkersFromFaultyJobs)
 {
-  QuarantinePolicy judge;
+  QuarantinePolicy policy;
   bool quarantined = false;
   const Instant now{ 1000s };
   for (int i = 0; i < 110; ++i) {
@@ -35,8 +35,8 @@
     const bool fails = (GetParam().mBadWorker && worker == 0) ||
                        (GetParam().mBadJobs && program == 0);
     if (!fails) {
-      judge.Succeeded(worker, key, now);
-    } else if (judge.Failed(
+      policy.OnSuccess(worker, key, now);
+    } else if (policy.OnFailure(
                  worker, JobId(std::to_string(i)), key, kWorkers, now)) {
       EXPECT_EQ(worker, 0U);
       quarantined = true;
@@ -48,7 +48,7 @@
 INSTANTIATE_TEST_SUITE_P(
   All,
   QuarantinePolicyTest,
-  testing::Values(FailureCase{ "AllWell", 3, false, false, false },
+  testing::Values(FailureCase{ "NoFailures", 3, false, false, false },
                   FailureCase{ "BadWorker", 3, true, false, true },
                   FailureCase{ "BadWorkerOneProgram", 1, true, false, true },
                   FailureCase{ "BadProgram", 3, false, true, false },
@@ -56,26 +56,26 @@
                   FailureCase{ "Both", 3, true, true, true }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(QuarantinePolicy, BoundsQuarantineAndTriesAgain)
+TEST(QuarantinePolicy, LimitsQuarantineAndEndsIt)
 {
-  QuarantinePolicy judge;
+  QuarantinePolicy policy;
   const Instant now{ 1000s };
   const ProgramKey key{ CustomerId("c"), "p" };
-  const ProgramKey sound{ CustomerId("c"), "never fails elsewhere" };
+  const ProgramKey reliable{ CustomerId("c"), "never fails elsewhere" };
   for (int i = 0; i < 1000; ++i) {
-    judge.Succeeded(static_cast<WorkerSlot>(i) % 50 + 50, key, now);
-    judge.Succeeded(static_cast<WorkerSlot>(i) % 50 + 50, sound, now);
+    policy.OnSuccess(static_cast<WorkerSlot>(i) % 50 + 50, key, now);
+    policy.OnSuccess(static_cast<WorkerSlot>(i) % 50 + 50, reliable, now);
   }
   for (int i = 0; i < 500; ++i) {
     const auto worker = static_cast<WorkerSlot>(i) % 50;
-    judge.Failed(worker, JobId(std::to_string(i)), key, 100, now);
+    policy.OnFailure(worker, JobId(std::to_string(i)), key, 100, now);
   }
-  EXPECT_EQ(judge.QuarantinedCount(), 20U);
-  EXPECT_TRUE(judge.EndQuarantines(now + 1min).empty());
-  EXPECT_EQ(judge.EndQuarantines(now + 2min).size(), 20U);
-  EXPECT_EQ(judge.QuarantinedCount(), 0U);
-  // On probation one failure is enough.
-  EXPECT_TRUE(judge.Failed(0, JobId("again"), sound, 100, now + 2min));
+  EXPECT_EQ(policy.QuarantinedCount(), 20U);
+  EXPECT_TRUE(policy.EndQuarantines(now + 1min).empty());
+  EXPECT_EQ(policy.EndQuarantines(now + 2min).size(), 20U);
+  EXPECT_EQ(policy.QuarantinedCount(), 0U);
+  // On probation, one failure suffices.
+  EXPECT_TRUE(policy.OnFailure(0, JobId("again"), reliable, 100, now + 2min));
 }
 
 } // namespace
--- a/tests/placement/SizeLearnerTest.cpp
+++ b/tests/placement/SizeLearnerTest.cpp
@@ -18,7 +18,7 @@
 class SizeLearnerTest : public testing::TestWithParam<WrongSize>
 {
 protected:
-  /// A run that gets what is reserved, and dies when that is too little memory.
+  /// Simulates a run that fails if the reserved memory is too small.
   void Run()
   {
     const Resources& truth = GetParam().mTrue;
@@ -62,7 +62,7 @@
     WrongSize{ "MemoryTooSmall", { 2000, 400, 0 }, { 2000, 4000, 0 } }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(SizeLearner, NeverGoesBelowWhatWasSeenBeforeItKnowsEnough)
+TEST(SizeLearner, ReservesAtLeastTheMeasuredUsageInTheFirstRuns)
 {
   const ProgramKey key{ CustomerId("c"), "p" };
   const Resources declared{ 1000, 1000, 2 };
