--- a/src/platform/contract/ContractRegistry.cpp
+++ b/src/platform/contract/ContractRegistry.cpp
@@ -142,7 +142,7 @@
 {
   const absl::StatusOr<StoredContract> now = ReadStored(aKey);
   if (!now.ok() || now->mRevision == aStored.mRevision) {
-    // A write that does not show may still be on its way.
+    // A write that is not visible may still be in flight.
     return ContractUnknown{ aLost };
   }
   if (now->mValue == aValue) {
--- a/src/platform/contract/ContractRegistry.h
+++ b/src/platform/contract/ContractRegistry.h
@@ -17,21 +17,21 @@
   Revision mRevision = 0;
 };
 
-/// The store held the same contract already; nothing was written.
+/// The store already had the same contract; nothing was written.
 struct ContractUnchanged
 {
   Revision mRevision = 0;
 };
 
-/// The store holds another revision than expected: another operator was
-/// faster. 0 = the contract does not exist.
+/// The stored revision differs from the expected one, because of a concurrent
+/// change. 0 = the contract does not exist.
 struct ContractConflict
 {
   Revision mFound = 0;
 };
 
-/// The reply was lost, and the store could not be read back or does not show
-/// the write (yet).
+/// The reply was lost, and the key could not be read back or does not show the
+/// write (yet).
 struct ContractUnknown
 {
   absl::Status mStatus;
@@ -43,10 +43,10 @@
                                      ContractUnknown,
                                      absl::Status>;
 
-/// Contracts as the store holds them. Every change is one compare-and-swap on
-/// the revision that was read (or expected by the operator). After a lost
-/// reply the key is read back and judged by what it holds; nothing is written
-/// twice. An absl::Status in the outcome means that nothing was changed.
+/// Contracts in the store. Every change is one compare-and-swap on the revision
+/// that was read (or expected by the operator). After a lost reply the outcome
+/// is determined by reading the key back; nothing is written twice. An
+/// absl::Status in the outcome means that nothing was changed.
 class ContractRegistry
 {
 public:
@@ -55,7 +55,7 @@
   {
   }
 
-  /// Every contract, or an error that names the key that cannot be read.
+  /// Every contract, or an error that names the invalid key.
   absl::StatusOr<std::vector<Contract>> List();
 
   /// NotFound when there is none.
@@ -69,7 +69,7 @@
                          std::optional<Revision> aExpected);
 
 private:
-  struct StoredContract; ///< What the store holds under a key.
+  struct StoredContract; ///< Value and revision of a key.
 
   absl::StatusOr<StoredContract> ReadStored(const std::string& aKey);
   ContractOutcome Write(const StoredContract& aStored,
--- a/src/platform/store/Backoff.h
+++ b/src/platform/store/Backoff.h
@@ -12,9 +12,10 @@
   Duration mMax = std::chrono::seconds(5);
 };
 
-/// Waits between attempts: uniform between the minimum and a ceiling that
-/// doubles with each failure, so that many processes that lost the store at
-/// once do not come back at once. Pure: randomness is passed in.
+/// Exponential backoff with jitter. Each wait is uniform between the minimum
+/// and a ceiling that doubles with each failure, so that processes that lose
+/// the store at the same time do not reconnect at the same time. Pure:
+/// randomness is passed in.
 class Backoff
 {
 public:
@@ -23,7 +24,7 @@
   /// The wait before the next attempt.
   Duration Next(absl::BitGenRef aRandom);
 
-  /// To be called after a success.
+  /// Call after a success.
   void Reset() { mCeiling = mLimits.mMin; }
 
 private:
--- a/src/platform/store/BatchCommitter.cpp
+++ b/src/platform/store/BatchCommitter.cpp
@@ -10,21 +10,21 @@
 
 namespace {
 
-/// Commits of one group whose replies were all lost.
+/// Attempts to commit one group when every reply is lost.
 constexpr int kMaxCommits = 3;
 
 using Indices = std::vector<std::size_t>;
 
-/// What one key says about a write whose reply was lost.
+/// State of a key as read after a write whose reply was lost.
 enum class KeyState : std::uint8_t
 {
   OwnValue,    ///< The write took effect.
   Unchanged,   ///< It has not taken effect so far.
-  Deleted,     ///< The key is deleted, as this write wanted.
-  Overwritten, ///< Another has written since.
+  Deleted,     ///< The key is gone, as this deletion intended.
+  Overwritten, ///< Another writer has changed the key.
 };
 
-/// What a group of writes that takes effect as a whole shows.
+/// State of a group of writes, which take effect all at once.
 enum class GroupState : std::uint8_t
 {
   Applied,
@@ -34,14 +34,15 @@
 
 absl::Status KeyConflict(Verdict aVerdict)
 {
-  return WithVerdict(absl::AbortedError("the key has another revision"),
+  return WithVerdict(absl::AbortedError("the key is at a different revision"),
                      aVerdict);
 }
 
 absl::Status GuardConflict()
 {
-  return WithVerdict(absl::FailedPreconditionError("the guard does not hold"),
-                     Verdict::NotRun);
+  return WithVerdict(
+    absl::FailedPreconditionError("the guard condition failed"),
+    Verdict::NotRun);
 }
 
 KeyState KeyStateOf(const RecordWrite& aRecord,
@@ -94,7 +95,7 @@
   return transaction;
 }
 
-/// Whether one record can be the cause of the refusal of its whole group.
+/// Whether a single record can cause the refusal of its whole group.
 bool MayConcernOneRecord(const absl::Status& aWhy)
 {
   return absl::IsInvalidArgument(aWhy) || absl::IsNotFound(aWhy);
@@ -119,7 +120,7 @@
   std::span<const RecordWrite> aRecords)
 {
   Work work{ aRecords, {}, {} };
-  work.mOutcomes.assign(aRecords.size(), absl::UnknownError("not settled"));
+  work.mOutcomes.assign(aRecords.size(), absl::UnknownError("not committed"));
   Indices all(aRecords.size());
   std::iota(all.begin(), all.end(), 0);
   work.mPending.push_back(std::move(all));
@@ -176,8 +177,8 @@
     if (readBack.mState == GroupState::Unclear) {
       return aWork.SetAll(aGroup, KeyConflict(Verdict::MayHaveRun));
     }
-    // A condition that has failed once never holds again, so that the lost
-    // transaction can no longer take effect either.
+    // Revisions only grow: a condition that failed once fails for ever, so the
+    // lost transaction cannot take effect any more.
     if (result.ok()) {
       return OnConflict(aWork, aGroup);
     }
--- a/src/platform/store/BatchCommitter.h
+++ b/src/platform/store/BatchCommitter.h
@@ -11,39 +11,40 @@
 
 namespace foxtailbarrow {
 
-/// Writes a batch of records by as few transactions as it can and finds out
+/// Writes a batch of records in as few transactions as possible and determines
 /// the outcome of each record.
 ///
-/// A transaction applies as a whole, so that one record whose condition fails
-/// would fail all: such a batch is halved until the good ones have been
-/// applied. A transaction whose reply was lost is looked for in the store: one
-/// record with our value says that all were applied; one that is unchanged says
-/// that none was so far, and the same transaction is sent again under the same
-/// conditions, so that it cannot take effect twice.
+/// A transaction is atomic, so one record whose condition fails would fail all:
+/// such a batch is bisected until all other records are applied. After a lost
+/// reply the keys are read back: one record with its new value shows that all
+/// were applied; an unchanged one shows that none was so far, and the same
+/// transaction is sent again under the same conditions, so that it cannot take
+/// effect twice.
 class BatchCommitter
 {
 public:
   using Outcome = absl::StatusOr<Revision>;
 
-  /// Both references outlive this object.
+  /// Both references must outlive this object.
   BatchCommitter(Store& aStore, BatchCounters& aCounters);
 
-  /// The outcomes in the order of `aRecords`, whose keys are distinct: the
-  /// revision of the write (0 for a deletion found done after a lost reply), or
+  /// Returns the outcomes in the order of `aRecords`, whose keys are distinct:
+  /// the revision of the write (0 for a deletion confirmed by reading back), or
   /// - Aborted, NotRun: the key did not have the expected revision;
-  /// - FailedPrecondition, NotRun: the guard did not hold;
-  /// - Aborted, MayHaveRun: the reply was lost and another has written since;
+  /// - FailedPrecondition, NotRun: the guard condition failed;
+  /// - Aborted, MayHaveRun: the reply was lost and the key was written by
+  ///   another writer since;
   /// - the store's own error with its verdict. MayHaveRun means that the write
-  ///   was not seen, but may still take effect.
+  ///   was not found, but may still take effect.
   ///
-  /// Not covered: a record that must not exist, whose write is delayed on the
-  /// way while another creates and deletes the key.
+  /// Not covered: a delayed write of a record that must not exist, while
+  /// another writer creates and deletes the key.
   std::vector<Outcome> CommitAll(std::span<const RecordWrite> aRecords);
 
 private:
   using Indices = std::vector<std::size_t>;
 
-  /// What the store shows after a lost reply.
+  /// State of a group as read from the store after a lost reply.
   struct ReadBackResult;
 
   struct Work
--- a/src/platform/store/BatchLane.cpp
+++ b/src/platform/store/BatchLane.cpp
@@ -33,7 +33,7 @@
   Lock lock(mMutex);
   mStopping = true;
   for (const auto& write : mQueue.TakeAll()) {
-    write->mOutcome.set_value(Refused("the writer stops"));
+    write->mOutcome.set_value(Refused("the writer is stopping"));
   }
   mWake.notify_all();
   mWake.wait(lock, [this] { return !mFlushing; });
@@ -49,7 +49,7 @@
     return status;
   }
   if (start) {
-    // The fiber keeps the lane alive until it has left every member alone.
+    // Keeps the lane alive until the fiber has finished using its members.
     mSpawn([self = shared_from_this()] { self->Flush(); });
   }
   return outcome.get();
@@ -61,7 +61,7 @@
   const Lock lock(mMutex);
   if (mStopping || mQueue.Full()) {
     ++mCounters.mRefused;
-    return Refused("too many writes wait");
+    return Refused("too many queued writes");
   }
   mQueue.Push(std::move(aWrite));
   aStart = !std::exchange(mFlushing, true);
--- a/src/platform/store/BatchLane.h
+++ b/src/platform/store/BatchLane.h
@@ -12,14 +12,14 @@
 
 namespace foxtailbarrow {
 
-/// Queue of writes with one fiber that commits them batch by batch. The fiber
-/// lives while writes wait. Safe from any fiber of any thread.
+/// Queue of writes and the fiber that commits them batch by batch. The fiber
+/// exists while writes are queued. Safe from any fiber of any thread.
 class BatchLane : public std::enable_shared_from_this<BatchLane>
 {
 public:
   using Spawn = std::function<void(std::function<void()>)>;
 
-  /// Every reference stays valid until Stop() has returned.
+  /// Every reference must stay valid until Stop() has returned.
   BatchLane(Store& aStore,
             const BatchSettings& aSettings,
             BatchCounters& aCounters,
@@ -28,7 +28,7 @@
   /// Suspends the fiber until the outcome is known.
   absl::StatusOr<Revision> Write(RecordWrite aRecord);
 
-  /// Refuses what waits and waits for the batch on its way.
+  /// Refuses queued writes and waits for the batch in flight.
   void Stop();
 
 private:
--- a/src/platform/store/BatchQueue.cpp
+++ b/src/platform/store/BatchQueue.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What the writes taken so far use of one transaction.
+/// Operations and bytes that the chosen writes use of one transaction.
 class Usage
 {
 public:
@@ -18,7 +18,7 @@
   {
   }
 
-  /// Adds the record unless it does not fit.
+  /// Adds the record if it fits; the first one always does.
   bool Add(const RecordWrite& aRecord)
   {
     const std::size_t bytes = mBytes + BytesOf(aRecord);
--- a/src/platform/store/BatchQueue.h
+++ b/src/platform/store/BatchQueue.h
@@ -14,7 +14,7 @@
 
 namespace foxtailbarrow {
 
-/// A write that waits for its batch, and the promise of its outcome.
+/// A queued write and the promise of its outcome.
 struct PendingWrite
 {
   RecordWrite mRecord;
@@ -22,8 +22,8 @@
   boost::fibers::promise<absl::StatusOr<Revision>> mOutcome;
 };
 
-/// Waiting writes of one lane in order. Decides which of them go into the next
-/// transaction. Pure. Not synchronised.
+/// Queued writes of one lane in order. Chooses those of the next transaction.
+/// Pure. Not synchronised.
 class BatchQueue
 {
 public:
@@ -36,18 +36,19 @@
 
   void Push(std::unique_ptr<PendingWrite> aWrite);
 
-  /// Whether a whole transaction waits, so that lingering gains nothing.
+  /// Whether a full transaction is queued, so that lingering is pointless.
   bool BatchReady() const { return mWrites.size() >= mSettings.mMaxOperations; }
 
-  /// When the oldest write has lingered enough. The queue must not be empty.
+  /// When the linger time of the oldest write ends. The queue must not be
+  /// empty.
   Instant LingerEnd() const;
 
-  /// Takes the oldest writes that fit into one transaction: at most
-  /// mMaxOperations with their guards, at most mMaxBytes unless it is a single
+  /// Removes the oldest writes that fit into one transaction: at most
+  /// mMaxOperations including guards, at most mMaxBytes unless it is a single
   /// write, no key twice.
   Batch TakeBatch();
 
-  /// Takes every write.
+  /// Removes every write.
   Batch TakeAll();
 
 private:
--- a/src/platform/store/BatchWriter.cpp
+++ b/src/platform/store/BatchWriter.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// A record that no transaction can hold would fail its whole batch.
+/// Rejects a record that no transaction accepts; it would fail its whole batch.
 absl::Status Check(const RecordWrite& aRecord)
 {
   if (aRecord.mWrite.mKey.empty()) {
     return absl::InvalidArgumentError("key is empty");
   }
   if (!aRecord.mWrite.mValue && aRecord.mExpected == 0) {
-    return absl::InvalidArgumentError("a deletion needs a revision");
+    return absl::InvalidArgumentError(
+      "a deletion requires an expected revision");
   }
   return absl::OkStatus();
 }
--- a/src/platform/store/BatchWriter.h
+++ b/src/platform/store/BatchWriter.h
@@ -11,12 +11,12 @@
 
 namespace foxtailbarrow {
 
-/// Gathers single record writes into few transactions, since the store allows
-/// far fewer calls than records change. Each write has its own condition and
-/// gets its own outcome; see BatchCommitter::CommitAll().
+/// Batches single record writes into few transactions, because the store's call
+/// limit is far below the rate of record changes. Each write has its own
+/// condition and gets its own outcome; see BatchCommitter::CommitAll().
 ///
-/// Writes of one lane to one key are applied in the order they were offered. A
-/// write over the bound of its lane's queue is refused at once (Unavailable,
+/// Writes of one lane to one key are applied in the order of the calls. A write
+/// that exceeds the bound of its lane's queue is refused at once (Unavailable,
 /// NotRun).
 class BatchWriter
 {
@@ -24,10 +24,10 @@
   /// Starts a fiber, for example by FiberRuntime::Spawn().
   using Spawn = BatchLane::Spawn;
 
-  /// `aStore` outlives this object, which is destroyed while the fibers that
-  /// `aSpawn` starts still run, and after the last call of Write().
+  /// `aStore` must outlive this object. Destroy it after the last call of
+  /// Write() and while fibers started by `aSpawn` can still run.
   BatchWriter(Store& aStore, BatchSettings aSettings, Spawn aSpawn);
-  ~BatchWriter(); ///< Waits for the batches on their way, refuses the rest.
+  ~BatchWriter(); ///< Waits for the batches in flight, refuses the rest.
 
   BatchWriter(const BatchWriter&) = delete;
   BatchWriter& operator=(const BatchWriter&) = delete;
--- a/src/platform/store/CountingStore.h
+++ b/src/platform/store/CountingStore.h
@@ -5,8 +5,8 @@
 
 namespace foxtailbarrow {
 
-/// Passes every call on to another store and counts it by kind, since the
-/// store counts and limits calls too. Both references outlive this object.
+/// Forwards every call to another store and counts calls by kind, because the
+/// store limits calls. `aStore` must outlive this object.
 class CountingStore : public Store
 {
 public:
--- a/src/platform/store/EtcdCodec.cpp
+++ b/src/platform/store/EtcdCodec.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// The protocol's way to say "to the last key".
-constexpr std::string_view kLastKey("\0", 1);
+/// As a range end: unbounded. As a key: the smallest valid one.
+constexpr std::string_view kZeroByte("\0", 1);
 
 absl::Status Unexpected(const char* aField)
 {
   return absl::InternalError(
-    std::string("reply of the store has an unexpected ") + aField);
+    std::string("the reply of the store has an unexpected ") + aField);
 }
 
 const Json::Value& Member(const Json::Value& aObject, const char* aName)
@@ -26,12 +26,12 @@
 
 void SetRange(Json::Value& aRequest, const KeyRange& aRange)
 {
-  // An empty key is not valid; a zero byte is the first key there can be.
+  // An empty key is not valid.
   const std::string_view begin =
-    aRange.mBegin.empty() ? kLastKey : std::string_view(aRange.mBegin);
+    aRange.mBegin.empty() ? kZeroByte : std::string_view(aRange.mBegin);
   aRequest["key"] = EncodeBytes(begin);
   aRequest["range_end"] =
-    EncodeBytes(aRange.mEnd ? std::string_view(*aRange.mEnd) : kLastKey);
+    EncodeBytes(aRange.mEnd ? std::string_view(*aRange.mEnd) : kZeroByte);
 }
 
 std::optional<Revision> HeaderRevision(const Json::Value& aReply)
--- a/src/platform/store/EtcdError.cpp
+++ b/src/platform/store/EtcdError.cpp
@@ -59,7 +59,7 @@
   if (!body.ok()) {
     return error;
   }
-  // absl's canonical codes are gRPC's.
+  // absl's status codes have the same numbers as gRPC's.
   const Json::Value& code = (*body)["code"];
   if (code.isInt() && code.asInt() > 0) {
     error.mCode = static_cast<absl::StatusCode>(code.asInt());
--- a/src/platform/store/EtcdError.h
+++ b/src/platform/store/EtcdError.h
@@ -7,14 +7,13 @@
 
 namespace foxtailbarrow::etcd {
 
-/// The error, with its verdict, that a reply other than 200 stands for. The
-/// gateway reports a gRPC code in the body; the HTTP status decides when it
-/// does not.
+/// Converts a reply other than 200 to an error with a verdict. The code is the
+/// gRPC code in the body, or is derived from the HTTP status without one.
 ///
-/// NotRun for every read, for every refusal before the call was proposed
-/// (malformed, not found, over a ceiling, no leader). Any other error of a
-/// write is MayHaveRun: the gateway answers 503 also for a proposal whose fate
-/// it does not know.
+/// NotRun for every read and for every refusal before the call was proposed
+/// (malformed, not found, rate-limited, no leader). Any other error of a write
+/// is MayHaveRun: the gateway also answers 503 for a proposal whose outcome it
+/// does not know.
 absl::Status ErrorOf(const net::HttpResponse& aReply, StoreCall aCall);
 
 /// `aStatus` with NotRun when `aCall` changes nothing; unchanged otherwise.
--- a/src/platform/store/EtcdStore.cpp
+++ b/src/platform/store/EtcdStore.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// A page of a thousand values of 64 KB.
+/// Fits a page of a thousand values of 64 KB.
 constexpr std::size_t kMaxReplyBytes = 64 * kKibibyte * kKibibyte;
 
-/// A listing starts anew when its revision has left the store's history.
+/// A listing restarts when its revision has been compacted.
 constexpr int kListAttempts = 3;
 
 constexpr unsigned kOk = 200;
@@ -49,8 +49,8 @@
   return absl::IsUnavailable(aError) || absl::IsDeadlineExceeded(aError);
 }
 
-/// Decodes a good reply. One that does not decode says nothing about whether a
-/// write ran.
+/// Decodes a successful reply. A write whose reply cannot be decoded may have
+/// run.
 template<typename T>
 absl::StatusOr<T> Decoded(StoreCall aCall,
                           const absl::StatusOr<Json::Value>& aReply,
@@ -238,7 +238,7 @@
   auto body = etcd::ParseObject(reply->mBody);
   if (!body.ok()) {
     return etcd::WithVerdictOfCall(
-      absl::InternalError("reply of the store is not JSON"), aCall);
+      absl::InternalError("the reply of the store is not JSON"), aCall);
   }
   return body;
 }
--- a/src/platform/store/EtcdStore.h
+++ b/src/platform/store/EtcdStore.h
@@ -19,26 +19,26 @@
 struct EtcdSettings
 {
   std::vector<Endpoint> mEndpoints;                ///< At least one.
-  Duration mCallTimeout = std::chrono::seconds(1); ///< All attempts together.
+  Duration mCallTimeout = std::chrono::seconds(1); ///< For all attempts.
   Duration mConnectTimeout = std::chrono::milliseconds(300);
-  /// A watch without a change for this long is taken for dead, since a
-  /// connection cut on the way shows nothing.
+  /// A watch without a change for this long is considered broken, because a
+  /// dropped connection is not reported.
   Duration mWatchIdleTimeout = std::chrono::seconds(30);
-  std::size_t mPageKeys = 1000; ///< Most keys read by one call of List().
+  std::size_t mPageKeys = 1000; ///< Maximum number of keys per page of List().
 };
 
-/// Store over etcd v3's JSON gateway. Call it from fibers of the runtime; safe
-/// from any of its threads.
+/// Store client for etcd v3's JSON gateway. Callable from fibers of the
+/// runtime, on any of its threads.
 ///
-/// Survives the loss of all endpoints but one: a call goes on to the next
-/// endpoint when it certainly did not run at this one, and a failing endpoint
-/// is left for the next call as well. A call over the service's rate ceiling
-/// (ResourceExhausted, NotRun) is not tried again. List() reads page by page,
-/// one counted call a page, all as of the first page's revision.
+/// One working endpoint is enough: a call that certainly did not run is retried
+/// at the next endpoint, and later calls skip the failed endpoint as well. A
+/// call over the service's rate limit (ResourceExhausted, NotRun) is not
+/// retried. List() reads one page per call, all as of the first page's
+/// revision.
 class EtcdStore final : public Store
 {
 public:
-  /// `aRuntime` outlives this object.
+  /// `aRuntime` must outlive this object.
   EtcdStore(net::FiberRuntime& aRuntime, EtcdSettings aSettings);
 
   absl::StatusOr<StoreEntry> Read(std::string_view aKey) override;
--- a/src/platform/store/FaultInjector.h
+++ b/src/platform/store/FaultInjector.h
@@ -8,17 +8,17 @@
 
 namespace foxtailbarrow {
 
-/// What becomes of one call to a store for tests.
+/// Result of fault injection for one call to a test store.
 enum class FaultDecision : std::uint8_t
 {
   Proceed,   ///< Applied and answered.
-  Refuse,    ///< Not applied: over the rate ceiling.
+  Refuse,    ///< Not applied: over the rate limit.
   Outage,    ///< Not applied: the store is down.
   LoseReply, ///< Applied, not answered.
 };
 
-/// Decides the fate of each call from the faults in force. A ceiling allows a
-/// burst of one second's calls. Pure: the time is passed in. Not synchronised.
+/// Applies the configured faults to each call. A rate limit allows a burst of
+/// one second's calls. Pure: the time is passed in. Not synchronised.
 class FaultInjector
 {
 public:
--- a/src/platform/store/GatewayJson.cpp
+++ b/src/platform/store/GatewayJson.cpp
@@ -30,7 +30,7 @@
 
 bool Parse(std::string_view aText, Json::Value& aValue, std::string& aErrors)
 {
-  // JsonCpp throws where input nests too deeply.
+  // JsonCpp throws on input that is nested too deeply.
   try {
     return MakeReader()->parse(
       aText.data(), aText.data() + aText.size(), &aValue, &aErrors);
--- a/src/platform/store/GatewayJson.h
+++ b/src/platform/store/GatewayJson.h
@@ -9,11 +9,11 @@
 
 #include "absl/status/statusor.h"
 
-/// Text forms shared by both sides of etcd v3's JSON gateway: bytes travel as
-/// base64, 64-bit integers as decimal strings, default values are left out.
+/// Encodings shared by client and server of etcd v3's JSON gateway: bytes are
+/// base64, 64-bit integers are decimal strings, default values are omitted.
 namespace foxtailbarrow::etcd {
 
-/// Targets of the gateway; each answers POST alone.
+/// Targets of the gateway; each accepts only POST.
 inline constexpr std::string_view kRangeTarget = "/v3/kv/range";
 inline constexpr std::string_view kPutTarget = "/v3/kv/put";
 inline constexpr std::string_view kTxnTarget = "/v3/kv/txn";
@@ -23,8 +23,8 @@
 inline constexpr std::string_view kLegacyRevokeTarget = "/v3/kv/lease/revoke";
 inline constexpr std::string_view kWatchTarget = "/v3/watch";
 
-/// Parses one JSON object; InvalidArgument for anything else, for input after
-/// it and for nesting deeper than the protocol has.
+/// Parses one JSON object; InvalidArgument for anything else, for trailing
+/// input and for nesting deeper than the protocol uses.
 absl::StatusOr<Json::Value> ParseObject(std::string_view aText);
 
 /// One line of JSON without a newline.
@@ -37,7 +37,7 @@
 
 Json::Value EncodeInteger(std::int64_t aNumber);
 
-/// Takes a decimal string or a number; 0 when missing, nullopt otherwise.
+/// Accepts a decimal string or a number; 0 when missing, nullopt otherwise.
 std::optional<std::int64_t> DecodeInteger(const Json::Value& aField);
 
 } // namespace foxtailbarrow::etcd
--- a/src/platform/store/HealthTrackingStore.h
+++ b/src/platform/store/HealthTrackingStore.h
@@ -6,9 +6,9 @@
 
 namespace foxtailbarrow {
 
-/// Passes every call on to another store and notes whether it is answered. A
-/// watch that waits is no unanswered call, but its answers count. All calls
-/// come from one thread.
+/// Forwards every call to another store and tracks whether the store answers.
+/// An open watch does not count as an unanswered call, but its events count as
+/// answers. All calls must come from one thread.
 class HealthTrackingStore : public Store
 {
 private:
--- a/src/platform/store/KeyRange.h
+++ b/src/platform/store/KeyRange.h
@@ -10,7 +10,7 @@
 struct KeyRange
 {
   std::string mBegin;
-  std::optional<std::string> mEnd; ///< No value: to the last key.
+  std::optional<std::string> mEnd; ///< No value: unbounded.
 
   bool Contains(std::string_view aKey) const;
 
--- a/src/platform/store/KeyValueTable.cpp
+++ b/src/platform/store/KeyValueTable.cpp
@@ -206,13 +206,13 @@
 
 void KeyValueTable::Expire(Instant aNow)
 {
-  std::vector<StoreLease> lapsed;
+  std::vector<StoreLease> expired;
   for (const auto& [lease, record] : mLeases) {
     if (record.mExpiry <= aNow) {
-      lapsed.push_back(lease);
+      expired.push_back(lease);
     }
   }
-  for (const StoreLease lease : lapsed) {
+  for (const StoreLease lease : expired) {
     RevokeLease(lease).IgnoreError();
   }
 }
--- a/src/platform/store/KeyValueTable.h
+++ b/src/platform/store/KeyValueTable.h
@@ -18,7 +18,7 @@
 
 namespace foxtailbarrow {
 
-/// Most compares and most writes of one transaction.
+/// Maximum number of compares, and of writes, per transaction.
 inline constexpr std::size_t kMaxTransactionOperations = 128;
 
 inline constexpr std::size_t kKibibyte = 1024;
@@ -32,7 +32,7 @@
   std::size_t mHistoryChanges = 100'000;
 };
 
-/// A part of the keys of a range, as of one revision.
+/// Part of the keys in a range, as of one revision.
 struct KeyValuePage
 {
   std::vector<StoreEntry> mEntries; ///< Sorted by key.
@@ -42,8 +42,8 @@
 
 /// Keys and values with revisions, transactions, leases and a history of
 /// changes, with the semantics of etcd v3. Pure: no I/O, no clock; the time is
-/// passed in. Not synchronised. Errors carry no verdict: whatever is refused
-/// here has changed nothing.
+/// passed in. Not synchronised. Errors carry no verdict: a refused call changes
+/// nothing.
 class KeyValueTable
 {
 public:
@@ -68,7 +68,7 @@
   /// Deletes the lease's keys; NotFound when the lease does not exist.
   absl::Status RevokeLease(StoreLease aLease);
 
-  /// Revokes every lease that has lapsed by `aNow`.
+  /// Revokes every lease that has expired by `aNow`.
   void Expire(Instant aNow);
 
   /// Changes after revision `aFrom`, in revision order. OutOfRange when some of
@@ -112,8 +112,8 @@
 
   KeyValueLimits mLimits;
   Revision mRevision = 1;
-  Revision mCompactedRevision =
-    0; ///< History holds every change after this revision.
+  /// The history holds every change after this revision.
+  Revision mCompactedRevision = 0;
   StoreLease mLastLease = 0;
   Entries mEntries;
   std::map<StoreLease, LeaseRecord> mLeases;
--- a/src/platform/store/MemoryStore.cpp
+++ b/src/platform/store/MemoryStore.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Bound on how late a watch notices a lapsed lease.
+/// Longest delay until a watch notices an expired lease.
 constexpr Duration kExpiryCheckInterval = std::chrono::milliseconds(10);
 
 absl::Status Refused(std::string_view aReason)
--- a/src/platform/store/MemoryStore.h
+++ b/src/platform/store/MemoryStore.h
@@ -12,11 +12,11 @@
 
 namespace foxtailbarrow {
 
-/// Store within the process, for tests and stand-ins, with switches for
-/// faults. Keeps nothing beyond its own life. Callable from any fiber and any
-/// plain thread; a call that waits suspends only its own fiber or thread.
+/// In-memory store with fault injection, for tests and stand-ins. Its contents
+/// are lost on destruction. Callable from any fiber and any plain thread; a
+/// call that waits suspends only its own fiber or thread.
 ///
-/// Verdicts: NotRun for whatever was refused, MayHaveRun for a lost reply.
+/// Verdicts: NotRun for a refused call, MayHaveRun for a lost reply.
 class MemoryStore final : public Store
 {
 public:
@@ -29,7 +29,7 @@
   void SetFaults(const StoreFaults& aFaults);
   StoreFaults Faults() const;
 
-  /// Every call that arrived, the refused ones included.
+  /// Counts every call, including refused ones.
   const StoreCallCounts& Counts() const { return mCounts; }
 
   /// Ends every watch; later calls fail as in an outage.
@@ -48,15 +48,15 @@
 
   Revision LatestRevision() const;
 
-  /// As List(), for any range and page by page; see KeyValueTable::Range().
-  /// `aCall` says whether it counts as a Read or a List.
+  /// Like List() for any range, one page per call; see KeyValueTable::Range().
+  /// `aCall` is the kind that the call counts as: Read or List.
   absl::StatusOr<KeyValuePage> Range(StoreCall aCall,
                                      const KeyRange& aRange,
                                      std::size_t aLimit,
                                      Revision aAt);
 
-  /// As Watch(), for any range. Also calls `aOnEvents` with no events each
-  /// `aSilence` without a change, so that it can tell whether to go on.
+  /// Like Watch() for any range. Also calls `aOnEvents` without events after
+  /// each `aSilence` without a change, so that it can end the watch.
   absl::Status WatchRange(const KeyRange& aRange,
                           Revision aFrom,
                           Duration aSilence,
--- a/src/platform/store/RecordWrite.h
+++ b/src/platform/store/RecordWrite.h
@@ -6,17 +6,17 @@
 
 namespace foxtailbarrow {
 
-/// One record to be written under a condition of its own.
+/// A record and the condition of its write.
 ///
-/// The value must be unique to this write (hold an epoch or a token): after a
-/// lost reply it is what tells this write from another's.
+/// The value must be unique to this write (contain an epoch or a token): after
+/// a lost reply, it distinguishes this write from that of another writer.
 struct RecordWrite
 {
   StoreWrite mWrite;
-  /// Mod revision that the key must have; 0 = the key must not exist. A
-  /// deletion needs one that is not 0.
+  /// Mod revision that the key must have; 0 = the key must not exist. Must not
+  /// be 0 for a deletion.
   Revision mExpected = 0;
-  /// A further condition, for example that the writer still owns the shard.
+  /// Additional condition, for example that the writer still owns the shard.
   /// Writes with the same guard share one compare.
   std::optional<StoreCompare> mGuard;
 };
--- a/src/platform/store/StoreCall.h
+++ b/src/platform/store/StoreCall.h
@@ -6,7 +6,7 @@
 
 namespace foxtailbarrow {
 
-/// Kinds of calls to the store, one for each method of Store.
+/// Kinds of store calls, one per method of Store.
 enum class StoreCall : std::uint8_t
 {
   Read,
@@ -20,12 +20,12 @@
 
 inline constexpr std::size_t kStoreCallKinds = 7;
 
-/// Label in metrics: `read`, `list`, `commit`, `grant-lease`, `keep-alive`,
+/// The metrics label: `read`, `list`, `commit`, `grant-lease`, `keep-alive`,
 /// `revoke-lease` or `watch`.
 std::string_view ToString(StoreCall aCall);
 
-/// Whether the call changes the store, so that a lost reply leaves open
-/// whether it took effect. Also says which rate ceiling applies.
+/// Whether the call changes the store, so that its outcome is unknown after a
+/// lost reply. Also selects the rate limit.
 constexpr bool IsWrite(StoreCall aCall)
 {
   return aCall == StoreCall::Commit || aCall == StoreCall::GrantLease ||
--- a/src/platform/store/StoreCallCounts.h
+++ b/src/platform/store/StoreCallCounts.h
@@ -8,8 +8,7 @@
 
 namespace foxtailbarrow {
 
-/// Number of calls to the store by kind since the start of the process. Safe
-/// from any thread.
+/// Number of store calls by kind since construction. Safe from any thread.
 class StoreCallCounts
 {
 public:
--- a/src/platform/store/WatchedKeys.h
+++ b/src/platform/store/WatchedKeys.h
@@ -9,17 +9,17 @@
 
 namespace foxtailbarrow {
 
-/// What a feed knows of the keys under its prefix. Turns listings and events
-/// into the changes that are new, so that a key never goes back to an older
-/// revision. Pure. Not synchronised.
+/// Revisions of the keys under the prefix of a WatchFeed. Reduces listings and
+/// events to new changes, so that a key never returns to an older revision.
+/// Pure. Not synchronised.
 class WatchedKeys
 {
 public:
   using Changes = std::vector<StoreEvent>;
 
-  /// The changes that lead from what is known to the listing, in revision
-  /// order; a deletion noticed only now bears the listing's revision. nullopt
-  /// when the listing is older than what is known.
+  /// The changes from the known state to the listing, in revision order. A
+  /// deletion that the listing reveals gets the listing's revision. nullopt
+  /// when the listing is older than the known state.
   std::optional<Changes> Apply(const StoreListing& aListing);
 
   /// The events that are new.
--- a/src/platform/worker/RpcWorker.h
+++ b/src/platform/worker/RpcWorker.h
@@ -8,13 +8,13 @@
 
 namespace foxtailbarrow {
 
-/// The platform's worker, by JSON-RPC 2.0 over HTTP. Callable from any fiber of
-/// the client's runtime. A reply that cannot be read is an error with verdict
-/// MayHaveRun.
+/// JSON-RPC 2.0 over HTTP client of the platform's worker. Callable from any
+/// fiber of the client's runtime. A reply that cannot be parsed is an error
+/// with verdict MayHaveRun.
 class RpcWorker final : public Worker
 {
 public:
-  /// `aTimeout`: of one call.
+  /// `aTimeout` applies to each call.
   RpcWorker(net::HttpClient& aClient, Endpoint aEndpoint, Duration aTimeout);
 
   absl::StatusOr<WorkerView> View() override;
--- a/src/platform/worker/WorkerMessages.cpp
+++ b/src/platform/worker/WorkerMessages.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-absl::Status Malformed(const char* aAllowed)
+absl::Status Malformed(const char* aMessage)
 {
-  return absl::InvalidArgumentError(aAllowed);
+  return absl::InvalidArgumentError(aMessage);
 }
 
 } // namespace
@@ -27,7 +27,7 @@
 absl::StatusOr<std::vector<TaskKey>> KeysFromJson(const Json::Value& aValue)
 {
   if (!aValue.isObject() || !aValue["keys"].isArray()) {
-    return Malformed("keys: an array of task keys is needed");
+    return Malformed("keys: must be an array of task keys");
   }
   std::vector<TaskKey> keys;
   for (const Json::Value& element : aValue["keys"]) {
@@ -54,7 +54,7 @@
     return keys.status();
   }
   if (!aValue["leaseUs"].isInt64() || aValue["leaseUs"].asInt64() < 0) {
-    return Malformed("leaseUs: an integer >= 0 is needed");
+    return Malformed("leaseUs: must be an integer >= 0");
   }
   return RenewRequest{ *std::move(keys),
                        Duration(aValue["leaseUs"].asInt64()) };
@@ -71,7 +71,7 @@
 absl::StatusOr<ThrottleRequest> ThrottleFromJson(const Json::Value& aValue)
 {
   if (!aValue.isObject() || !aValue["fraction"].isNumeric()) {
-    return Malformed("fraction: a number is needed");
+    return Malformed("fraction: must be a number");
   }
   absl::StatusOr<TaskKey> key = FromJson<TaskKey>(aValue["key"]);
   if (!key.ok()) {
@@ -90,7 +90,7 @@
 absl::StatusOr<std::string> CheckpointFromJson(const Json::Value& aValue)
 {
   if (!aValue.isObject() || !aValue["checkpoint"].isString()) {
-    return Malformed("checkpoint: a text is needed");
+    return Malformed("checkpoint: must be a string");
   }
   return aValue["checkpoint"].asString();
 }
--- a/src/platform/worker/WorkerMessages.h
+++ b/src/platform/worker/WorkerMessages.h
@@ -11,7 +11,7 @@
 #include "foxtailbarrow/Worker.h"
 
 /// Parameters and results of the worker's JSON-RPC methods, for RpcWorker and
-/// for the stand-in. Reading checks every member.
+/// the stand-in. The FromJson functions check every member.
 namespace foxtailbarrow {
 
 inline constexpr char kWorkerView[] = "worker.view";
@@ -22,14 +22,14 @@
 inline constexpr char kWorkerStop[] = "worker.stop";
 inline constexpr char kWorkerAcknowledge[] = "worker.acknowledge";
 
-/// Of worker.renew; worker.acknowledge sends the keys alone.
+/// Parameters of worker.renew; worker.acknowledge has only the keys.
 struct RenewRequest
 {
   std::vector<TaskKey> mKeys;
   Duration mLease{};
 };
 
-/// Of worker.throttle.
+/// Parameters of worker.throttle.
 struct ThrottleRequest
 {
   TaskKey mKey;
--- a/tests/store/BatchCommitterTest.cpp
+++ b/tests/store/BatchCommitterTest.cpp
@@ -105,7 +105,7 @@
   EXPECT_EQ(mCounters.mCommits, 2U);
 }
 
-TEST_F(Committer, KeepsARecordOfALapsedLeaseFromFailingItsBatch)
+TEST_F(Committer, IsolatesARecordWithAnExpiredLease)
 {
   std::vector<RecordWrite> records = { Record("/a", "1"), Record("/b", "2") };
   records[0].mWrite.mLease = 99;
@@ -127,7 +127,7 @@
   EXPECT_EQ(mStore.Counts().Count(StoreCall::Read), 2U);
 }
 
-TEST_F(Committer, TakesALostDeletionThatIsDoneForApplied)
+TEST_F(Committer, ReportsALostDeletionAsAppliedWhenTheKeyIsGone)
 {
   const Revision seeded = Seed("/a");
   const RecordWrite remove{ { "/a", std::nullopt, 0 }, seeded, std::nullopt };
@@ -136,7 +136,7 @@
   EXPECT_EQ(mStore.Counts().Count(StoreCall::Commit), 2U);
 }
 
-TEST_F(Committer, ReportsACleanConflictAfterALostReplyAsNotRun)
+TEST_F(Committer, ReportsAConflictAfterALostReplyAsNotRun)
 {
   const std::vector<RecordWrite> records = { Record("/a", "1"),
                                              Record("/taken", "2") };
@@ -148,7 +148,7 @@
   EXPECT_EQ(VerdictOf(outcomes[1].status()), Verdict::NotRun);
 }
 
-TEST_F(Committer, DoesNotClaimToKnowWhoWroteAfterALostReply)
+TEST_F(Committer, ReportsAnOverwrittenKeyAfterALostReplyAsMayHaveRun)
 {
   const std::vector<RecordWrite> records = { Record("/taken", "1") };
   Seed("/taken");
@@ -158,7 +158,7 @@
   EXPECT_EQ(VerdictOf(outcomes[0].status()), Verdict::MayHaveRun);
 }
 
-TEST_F(Committer, PassesOnAnOutage)
+TEST_F(Committer, ReportsAnOutageAsNotRun)
 {
   mStore.SetFaults({ .mOutage = true });
   const std::vector<RecordWrite> records = { Record("/a", "1"),
--- a/tests/store/BatchWriterTest.cpp
+++ b/tests/store/BatchWriterTest.cpp
@@ -27,7 +27,7 @@
   return { { aKey, "value", 0 }, aExpected, std::nullopt };
 }
 
-/// Offers all writes at once, each from a fiber, and returns their outcomes.
+/// Makes all writes concurrently, each in a fiber, and returns their outcomes.
 std::vector<absl::StatusOr<Revision>> WriteAll(
   BatchWriter& aWriter,
   const std::vector<RecordWrite>& aRecords)
@@ -107,7 +107,7 @@
   EXPECT_TRUE(absl::IsAborted(outcomes[2].status()));
 }
 
-TEST(BatchWriter, RefusesAtOnceBeyondItsBound)
+TEST(BatchWriter, RefusesWritesWhenTheQueueIsFull)
 {
   MemoryStore store;
   BatchWriter writer(store, { .mMaxQueued = 10 }, SpawnFiber);
@@ -123,7 +123,7 @@
   EXPECT_EQ(writer.Counters().mRefused, 5U);
 }
 
-TEST(BatchWriter, RefusesWhatNoTransactionCanHold)
+TEST(BatchWriter, RefusesInvalidRecords)
 {
   MemoryStore store;
   BatchWriter writer(store, {}, SpawnFiber);
@@ -140,7 +140,7 @@
   EXPECT_TRUE(outcomes[1].ok());
 }
 
-TEST(BatchWriter, RefusesWhatWaitsWhenItStops)
+TEST(BatchWriter, RefusesQueuedWritesWhenItStops)
 {
   MemoryStore store;
   absl::StatusOr<Revision> outcome;
@@ -158,13 +158,13 @@
   EXPECT_TRUE(absl::IsNotFound(store.Read("/a").status()));
 }
 
-/// What each write, known by its unique value, was reported.
+/// The reported outcome of one write, which its unique value identifies.
 struct WriteOutcome
 {
   absl::StatusOr<Revision> mOutcome;
 };
 
-/// Owners that owners for a few keys over an unreliable store.
+/// Owners that write a few shared keys over an unreliable store.
 class ConcurrentOwners
 {
 public:
@@ -233,7 +233,7 @@
 };
 
 RC_GTEST_PROP(BatchWriterProperty,
-              NeitherDoublesAWriteNorLosesOneNorDeniesIt,
+              AppliesAtMostOnceWithCorrectVerdicts,
               (std::uint32_t aSeed))
 {
   ConcurrentOwners owners(aSeed);
--- a/tests/store/EtcdStoreTest.cpp
+++ b/tests/store/EtcdStoreTest.cpp
@@ -20,7 +20,7 @@
 constexpr char kApplied[] =
   R"({"header":{"revision":"7"},"succeeded":true,"kvs":[]})";
 
-/// Answers every request alike and counts them.
+/// Answers every request with the same response and counts requests.
 struct FixedServer
 {
   FixedServer(net::FiberRuntime& aRuntime, unsigned aStatus, std::string aBody)
@@ -43,7 +43,7 @@
   std::unique_ptr<net::HttpServer> mServer;
 };
 
-/// A port where nobody listens.
+/// A port without a listener.
 Endpoint ClosedEndpoint(net::FiberRuntime& aRuntime)
 {
   return FixedServer(aRuntime, 200, "").At();
@@ -56,7 +56,7 @@
   const char* mBody;
   Code mCode;
   Verdict mOfWrite;
-  bool mNextTried = false; ///< Whether a read goes on to the next endpoint.
+  bool mNextTried = false; ///< Whether a read tries the next endpoint.
 };
 
 class EtcdReply : public testing::TestWithParam<ReplyCase>
@@ -118,7 +118,7 @@
   net::FiberRuntime mRuntime{ 1 };
 };
 
-TEST_F(EtcdEndpoints, GoesOnWhenNobodyListensAndStaysThere)
+TEST_F(EtcdEndpoints, SwitchesPermanentlyFromAClosedEndpoint)
 {
   FixedServer second(mRuntime, 200, kApplied);
   const Endpoint closed = ClosedEndpoint(mRuntime);
@@ -145,7 +145,7 @@
   });
 }
 
-TEST_F(EtcdEndpoints, ReportsNotRunWhenNobodyListens)
+TEST_F(EtcdEndpoints, ReportsNotRunWhenAllEndpointsAreClosed)
 {
   const Endpoint closed = ClosedEndpoint(mRuntime);
   EtcdStore store(mRuntime, { .mEndpoints = { closed, closed } });
--- a/tests/store/GatewayTest.cpp
+++ b/tests/store/GatewayTest.cpp
@@ -55,7 +55,7 @@
   , public testing::TestWithParam<BadRequest>
 {};
 
-TEST_P(GatewayRefuses, WhatIsMalformedAndLivesOn)
+TEST_P(GatewayRefuses, MalformedRequestsAndKeepsServing)
 {
   const auto& [name, target, body, status] = GetParam();
   const net::HttpResponse response = Send("POST", target, body);
--- a/tests/store/KeyValueTableTest.cpp
+++ b/tests/store/KeyValueTableTest.cpp
@@ -50,7 +50,7 @@
   KeyValueTable mTable{ { .mHistoryChanges = 4 } };
 };
 
-TEST_F(Table, ShowsAnEarlierRevision)
+TEST_F(Table, ReadsAnEarlierRevision)
 {
   Put("/a", "1");
   const Revision early = mTable.LatestRevision();
@@ -64,7 +64,7 @@
   EXPECT_EQ(page->mRevision, mTable.LatestRevision());
 }
 
-TEST_F(Table, SaysThatItHasForgottenOldChanges)
+TEST_F(Table, ReportsCompactedRevisions)
 {
   const Revision early = mTable.LatestRevision();
   for (int change = 0; change < 5; ++change) {
@@ -85,7 +85,7 @@
   EXPECT_EQ(mTable.LatestRevision(), before);
 }
 
-TEST(FaultInjector, FillsItsCeilingsWithTime)
+TEST(FaultInjector, RefillsItsRateLimitsOverTime)
 {
   FaultInjector injector;
   Instant now{};
--- a/tests/store/NamedCase.h
+++ b/tests/store/NamedCase.h
@@ -6,9 +6,9 @@
 namespace foxtailbarrow {
 namespace {
 
-/// Prints a row of a table by its name, so that no test's name holds bytes of
-/// memory, which differ from run to run. Found by GoogleTest in the unnamed
-/// namespace of the test's own file.
+/// Prints a test parameter by its name. GoogleTest would otherwise put the
+/// bytes of the object, which vary between runs, into the test's name.
+/// GoogleTest finds this function in the unnamed namespace of the test's file.
 template<typename Case>
 requires requires(const Case& aCase)
 {
@@ -19,7 +19,7 @@
   *aOut << aCase.mName;
 }
 
-/// Names the tests of a table after its rows.
+/// Names parameterised tests after their parameters.
 [[maybe_unused]] constexpr auto kNameOfCase = [](const auto& aInfo) {
   return std::string(aInfo.param.mName);
 };
--- a/tests/store/StoreConformanceTest.cpp
+++ b/tests/store/StoreConformanceTest.cpp
@@ -78,7 +78,7 @@
   });
 }
 
-TEST_P(StoreConformance, TakesAMegabyteAndRefusesMore)
+TEST_P(StoreConformance, AcceptsAMegabyteAndRefusesMore)
 {
   mHarness->Run([&] {
     const std::string most(kMegabyte, 'x');
@@ -111,7 +111,7 @@
   });
 }
 
-TEST_P(StoreConformance, AppliesATransactionWholeOrNotAtAll)
+TEST_P(StoreConformance, AppliesTransactionsAtomically)
 {
   mHarness->Run([&] {
     const Revision first = Put("/x", "1")->mRevision;
@@ -150,25 +150,25 @@
   });
 }
 
-TEST_P(StoreConformance, LetsOneOfManyRacersWin)
+TEST_P(StoreConformance, AppliesOneOfManyConcurrentCreations)
 {
-  std::atomic<int> wins = 0;
+  std::atomic<int> applied = 0;
   std::atomic<int> ended = 0;
-  constexpr int kRacers = 8;
+  constexpr int kWriters = 8;
   mHarness->Run([&] {
-    for (int racer = 0; racer < kRacers; ++racer) {
-      mHarness->RunConcurrently([&, racer] {
-        const auto result = Put("/race", std::to_string(racer));
-        wins += result.ok() && result->mApplied ? 1 : 0;
+    for (int writer = 0; writer < kWriters; ++writer) {
+      mHarness->RunConcurrently([&, writer] {
+        const auto result = Put("/race", std::to_string(writer));
+        applied += result.ok() && result->mApplied ? 1 : 0;
         ++ended;
       });
     }
-    EXPECT_TRUE(Eventually([&] { return ended == kRacers; }));
+    EXPECT_TRUE(Eventually([&] { return ended == kWriters; }));
   });
-  EXPECT_EQ(wins, 1);
+  EXPECT_EQ(applied, 1);
 }
 
-TEST_P(StoreConformance, DropsTheKeysOfALapsedLease)
+TEST_P(StoreConformance, DeletesTheKeysOfAnExpiredLease)
 {
   mHarness->Run([&] {
     const auto lease = mStore.GrantLease(5s);
@@ -265,7 +265,7 @@
   });
 }
 
-TEST_P(StoreConformance, TellsALostReplyFromARefusal)
+TEST_P(StoreConformance, DistinguishesALostReplyFromARefusal)
 {
   mHarness->Run([&] {
     mHarness->SetFaults({ .mLoseReplies = 1 });
@@ -277,7 +277,7 @@
   });
 }
 
-TEST_P(StoreConformance, RefusesBeyondTheCeilings)
+TEST_P(StoreConformance, RefusesCallsOverTheRateLimits)
 {
   mHarness->Run([&] {
     mHarness->SetFaults({ .mWritesPerSecond = 2, .mReadsPerSecond = 3 });
--- a/tests/store/StoreHarness.h
+++ b/tests/store/StoreHarness.h
@@ -11,7 +11,7 @@
 
 namespace foxtailbarrow {
 
-/// A store under test together with its switches for faults and its clock.
+/// A store under test with its fault injection and its clock.
 class StoreHarness
 {
 public:
@@ -19,10 +19,10 @@
 
   virtual Store& Client() = 0;
 
-  /// Runs the body of a test where the client may be called.
+  /// Runs the body of a test in a context from which the client may be called.
   virtual void Run(const std::function<void()>& aBody) = 0;
 
-  /// Runs a second body beside the first; joined at the end of the test.
+  /// Runs another body concurrently; joined at the end of the test.
   virtual void RunConcurrently(std::function<void()> aBody) = 0;
 
   void SetFaults(const StoreFaults& aFaults) { mBackend.SetFaults(aFaults); }
@@ -39,7 +39,7 @@
   } };
 };
 
-/// Waits until `aCondition` holds; false after a generous bound.
+/// Waits until `aCondition` holds; false after 20 seconds.
 inline bool Eventually(const std::function<bool()>& aCondition)
 {
   const Instant end = MonotonicNow() + std::chrono::seconds(20);
--- a/tests/store/UnreliableStore.h
+++ b/tests/store/UnreliableStore.h
@@ -10,9 +10,9 @@
 
 namespace foxtailbarrow {
 
-/// Passes calls on to another store, at random losing replies, refusing calls,
-/// and delaying a transaction on its way past its own timeout: it is answered
-/// MayHaveRun and takes effect during some later call, or never.
+/// Forwards calls to another store and randomly loses replies, refuses calls
+/// and delays transactions beyond their timeout: such a transaction is answered
+/// MayHaveRun and takes effect during a later call, or never.
 class UnreliableStore final : public CountingStore
 {
 public:
@@ -51,7 +51,7 @@
     return mStore.Read(aKey);
   }
 
-  /// Lets every delayed transaction arrive.
+  /// Commits every delayed transaction.
   void DeliverDelayed()
   {
     for (const StoreTransaction& transaction : std::exchange(mDelayed, {})) {
@@ -66,10 +66,11 @@
                        Verdict::MayHaveRun);
   }
 
-  /// Gives other fibers their turn, so that calls interleave.
+  /// Yields to other fibers, so that calls interleave, and sometimes commits
+  /// the delayed transactions.
   void InterleaveAndDeliver()
   {
-    for (auto turns = mRandom() % 3; turns > 0; --turns) {
+    for (auto yields = mRandom() % 3; yields > 0; --yields) {
       boost::this_fiber::yield();
     }
     if (mRandom() % 4 == 0) {
--- a/tests/store/WatchFeedTest.cpp
+++ b/tests/store/WatchFeedTest.cpp
@@ -20,7 +20,7 @@
   bool mListing;
   Revision mRevision; ///< Of the listing.
   std::vector<StoreEvent> mKeys;
-  std::optional<std::vector<Revision>> mNew; ///< Revisions handed over.
+  std::optional<std::vector<Revision>> mNew; ///< Revisions delivered.
 };
 
 struct StepsCase
@@ -32,7 +32,7 @@
 class WatchedKeysSteps : public testing::TestWithParam<StepsCase>
 {};
 
-TEST_P(WatchedKeysSteps, HandOverOnlyWhatIsNew)
+TEST_P(WatchedKeysSteps, ReturnOnlyNewChanges)
 {
   WatchedKeys keys;
   for (const Step& step : GetParam().mSteps) {
@@ -90,7 +90,7 @@
   {
     const std::lock_guard lock(mMutex);
     for (const StoreEvent& change : aChanges) {
-      // One transaction changes several keys at one revision.
+      // One transaction changes several keys at the same revision.
       EXPECT_GE(change.mModRevision, mLatest);
       EXPECT_GT(change.mModRevision, mRevisions[change.mKey]);
       mRevisions[change.mKey] = change.mModRevision;
@@ -118,7 +118,7 @@
                    { 1ms, 20ms } };
 };
 
-TEST_F(FeedOverAStore, FollowsThroughAnOutageAndTellsHowStaleItIs)
+TEST_F(FeedOverAStore, RecoversFromAnOutageAndReportsItsStaleness)
 {
   Put("/c/a", "1");
   EXPECT_EQ(mFeed.Staleness(MonotonicNow()), std::nullopt);
@@ -144,7 +144,7 @@
   mStore.Close();
 }
 
-TEST(Backoff, GrowsToItsCeilingAndStartsAnew)
+TEST(Backoff, GrowsToItsMaximumAndResets)
 {
   std::mt19937 random(7);
   Backoff backoff({ 10ms, 1s });
