--- a/tests/platform/AdviceCodecTest.cpp
+++ b/tests/platform/AdviceCodecTest.cpp
@@ -14,7 +14,7 @@
 
 const cell::TaskRef kTask{ JobId("5c0e7a21d94b36f8"), 0, 1, 0 };
 
-TEST(AdviceCodec, AsksByStepAndWorkers)
+TEST(AdviceCodec, FormatsStepAndWorkersOfAQuery)
 {
   EXPECT_EQ(FormatAdviceQuery({ kTask,
                                 { cell::WorkerIncarnation("i-1"),
@@ -23,7 +23,7 @@
             R"({"Step":"5c0e7a21d94b36f8.0.1","Workers":["i-1","i-2"]})");
 }
 
-TEST(AdviceCodec, ReadsTickets)
+TEST(AdviceCodec, ParsesTickets)
 {
   const auto reply =
     ParseAdvice(R"({"Granted":[["i-1","c81e"]],"ValidMs":3000,"New":1})");
@@ -61,14 +61,14 @@
   EXPECT_NE(FormatStart(call).find(R"("Ticket":"c81e")"), std::string::npos);
 }
 
-TEST(AdviceCodec, ARejectedTicketIsToldApart)
+TEST(AdviceCodec, ARejectedTicketHasItsOwnOutcome)
 {
   const auto reply = ParseRefusal(R"({"ClockMs":5,"Reason":"ticket"})");
   ASSERT_TRUE(reply.ok());
   EXPECT_EQ(reply->mOutcome, cell::StartOutcome::NoTicket);
 }
 
-TEST(AdviceCodec, AQueueSaysHowItsServiceAnswers)
+TEST(AdviceCodec, AQueueHasTheTimesOfItsAdvisor)
 {
   const auto configuration = ParseConfiguration(
     R"({"Version":1,"Routes":[
--- a/tests/platform/CodecTest.cpp
+++ b/tests/platform/CodecTest.cpp
@@ -14,7 +14,7 @@
 
 const cell::TaskRef kTask{ JobId("5c0e7a21d94b36f8"), 0, 1, 17 };
 
-TEST(TaskName, IsReadBack)
+TEST(TaskName, RoundTrips)
 {
   EXPECT_EQ(FormatTaskName(kTask), "5c0e7a21d94b36f8.0.1.17");
   EXPECT_EQ(ParseTaskName("5c0e7a21d94b36f8.0.1.17"), kTask);
@@ -38,7 +38,7 @@
                                          ".0.1.2",
                                          "a.0.1."));
 
-TEST(WorkerCodec, ReadsALook)
+TEST(WorkerCodec, ParsesAPollReply)
 {
   const auto poll = ParsePollReply(
     R"({"ClockMs":482113,
@@ -73,7 +73,7 @@
                   R"({"Running":[["bad",1]]})",
                   R"({"Ended":[[1,"a.0.0.0",1,"odd"]]})"));
 
-TEST(WorkerCodec, WritesOrders)
+TEST(WorkerCodec, FormatsCalls)
 {
   EXPECT_EQ(FormatStart({ kTask, 2, "text", "", "", 486000, 7 }),
             R"({"DeadlineMs":486000,"Fence":7,"Run":2,"Spec":"text",)"
@@ -94,7 +94,7 @@
 class Refusals : public testing::TestWithParam<RefusalCase>
 {};
 
-TEST_P(Refusals, AreTold)
+TEST_P(Refusals, HaveTheirOutcome)
 {
   const auto reply = ParseRefusal(std::string(R"({"ClockMs":5,"Reason":")") +
                                   GetParam().mReason + R"("})");
@@ -111,7 +111,7 @@
                   RefusalCase{ "fence", cell::StartOutcome::NotStarted },
                   RefusalCase{ "new", cell::StartOutcome::NotStarted }));
 
-TEST(KvCodec, ReadsItemsAndChanges)
+TEST(KvCodec, ParsesItemsAndChanges)
 {
   const auto entry = ParseEntry(
     R"({"Key":"my/leader","Value":"bm9kZS0x","Revision":412,"Created":1,
@@ -131,7 +131,7 @@
   EXPECT_FALSE(changes->mEvents[1].mValue.has_value());
 }
 
-TEST(KvCodec, WritesATransaction)
+TEST(KvCodec, FormatsATransaction)
 {
   StoreTransaction transaction;
   transaction.mCompares = { { "k", 0 } };
@@ -159,7 +159,7 @@
                   R"({"events":[{"Value":"!"}],"CurrentRev":1})",
                   R"({"events":[],"CurrentRev":-1})"));
 
-TEST(ConfigurationCodec, ReadsRoutes)
+TEST(ConfigurationCodec, ParsesRoutes)
 {
   const auto configuration = ParseConfiguration(
     R"({"Version":7,"Routes":[{"Name":"r","Host":"h","Prefix":"/p/",
@@ -179,7 +179,7 @@
   EXPECT_TRUE(policy.mWorkersGuard);
 }
 
-TEST(WorkerHeartbeat, IsRead)
+TEST(WorkerHeartbeat, IsParsed)
 {
   net::HttpRequest request;
   request.mMethod = "PUT";
--- a/tests/platform/ForeignHeartbeatTest.cpp
+++ b/tests/platform/ForeignHeartbeatTest.cpp
@@ -41,16 +41,16 @@
   return ParseWorkerMessage(request);
 }
 
-TEST(ForeignHeartbeat, TheWorkersOwnIsTaken)
+TEST(ForeignHeartbeat, AcceptsTheFormatOfTheWorker)
 {
   EXPECT_TRUE(Parse(FormatJson(ValidBody())).ok());
 }
 
-/// Fields that a worker may leave out.
+/// Fields that a worker may omit.
 class OptionalField : public testing::TestWithParam<const char*>
 {};
 
-TEST_P(OptionalField, MayLack)
+TEST_P(OptionalField, MayBeAbsent)
 {
   Json::Value body = ValidBody();
   body.removeMember(GetParam());
@@ -66,12 +66,12 @@
                                          "Labels",
                                          "ClockMs"));
 
-/// What another writer may have made of one field.
+/// Change of one field that makes a heartbeat invalid.
 struct FieldMutation
 {
   const char* mName;
   std::function<void(Json::Value&, const char*)> mApply;
-  bool mAppliesToOptional = true; ///< Else of the needed ones only.
+  bool mAppliesToOptional = true; ///< Otherwise only to required fields.
 };
 
 void PrintTo(const FieldMutation& aMutation, std::ostream* aOut)
@@ -92,13 +92,13 @@
                                   "State",
                                   "CallSeq",
                                   "Capacity" };
-const char* const kOther[] = { "Addr",       "Version", "Slots",
-                               "ColdLeftMs", "Labels",  "ClockMs" };
+const char* const kOptional[] = { "Addr",       "Version", "Slots",
+                                  "ColdLeftMs", "Labels",  "ClockMs" };
 
 class MutatedField : public testing::TestWithParam<FieldMutation>
 {};
 
-TEST_P(MutatedField, NamesNoWorker)
+TEST_P(MutatedField, IsRefused)
 {
   const auto refused = [](const char* aField) {
     Json::Value body = ValidBody();
@@ -111,7 +111,7 @@
     refused(field);
   }
   if (GetParam().mAppliesToOptional) {
-    for (const char* field : kOther) {
+    for (const char* field : kOptional) {
       refused(field);
     }
   }
@@ -163,7 +163,7 @@
 class ForeignBody : public testing::TestWithParam<WholeBody>
 {};
 
-TEST_P(ForeignBody, NamesNoWorker)
+TEST_P(ForeignBody, IsRefused)
 {
   EXPECT_TRUE(absl::IsInvalidArgument(Parse(GetParam().mBody).status()));
 }
@@ -184,7 +184,7 @@
     WholeBody{ "MemoryAsText", Replaced("32768", "\"32768\"") }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(ForeignHeartbeat, ChangedBytesNeverNameAWorkerWithoutWhatIsNeeded)
+TEST(ForeignHeartbeat, AcceptedRandomChangesStillHaveTheRequiredFields)
 {
   const std::string valid = FormatJson(ValidBody());
   rc::check([&valid] {
--- a/tests/platform/JobApiTest.cpp
+++ b/tests/platform/JobApiTest.cpp
@@ -42,7 +42,7 @@
   return R"({"Spec":"text","Steps":[{)" + aFields + "}]}";
 }
 
-TEST(JobApi, ReadsAWholeJob)
+TEST(JobApi, ParsesAJob)
 {
   const auto request = ParseJobRequest(Request("POST",
                                                std::string("/queue/") + kId,
@@ -85,7 +85,7 @@
 class JobApiTargets : public testing::TestWithParam<TargetCase>
 {};
 
-TEST_P(JobApiTargets, SayWhatIsAsked)
+TEST_P(JobApiTargets, SelectTheKindOfRequest)
 {
   const auto request = ParseJobRequest(
     Request(GetParam().mMethod, GetParam().mTarget), Configuration());
@@ -217,7 +217,7 @@
       "no-such-queue" }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(JobApi, ARefusalSaysWhenToComeBack)
+TEST(JobApi, ARefusalHasARetryAfterHeader)
 {
   const net::HttpResponse response = FormatAnswer(
     cell::JobRefused{ cell::RefusalCause::NotReady, Verdict::NotRun, "" });
--- a/tests/platform/WatchStartTest.cpp
+++ b/tests/platform/WatchStartTest.cpp
@@ -15,7 +15,7 @@
   EXPECT_EQ(WatchStart(*entry), 900);
 }
 
-TEST(WatchStart, IsTheEntrysWhereTheStoreTellsNoOther)
+TEST(WatchStart, IsTheEntrysWhenTheStoreReportsNone)
 {
   EXPECT_EQ(WatchStart({ .mKey = "k", .mValue = "", .mModRevision = 4 }), 4);
 }
