--- a/src/telemetry/AdminPages.cpp
+++ b/src/telemetry/AdminPages.cpp
@@ -44,7 +44,8 @@
 {
   const std::string part(aPart);
   if (!part.empty() && !aState.isMember(part)) {
-    return Page(kNotFound, kTextType, "no such part: " + part + "\n");
+    return Page(
+      kNotFound, kTextType, "unknown part of the state: " + part + "\n");
   }
   const Json::Value& shown = part.empty() ? aState : aState[part];
   return Page(
--- a/src/telemetry/AdminPages.h
+++ b/src/telemetry/AdminPages.h
@@ -11,9 +11,9 @@
 
 namespace foxtailbarrow {
 
-/// Answers GET and HEAD of /metrics (Prometheus text), /healthz (200, or 503
-/// with the reason) and /state (JSON; /state/<part> for one part) for the
-/// handler of an HttpServer. Keeps references to its arguments.
+/// Serves GET and HEAD of /metrics (Prometheus text), /healthz (200, or 503
+/// with the reason) and /state (JSON; /state/<part> for one part) in the
+/// handler of an HttpServer. Keeps references to the metrics and the state.
 class AdminPages
 {
 public:
@@ -21,7 +21,7 @@
 
   AdminPages(Metrics& aMetrics, StateDump& aState, Health aHealth);
 
-  /// nullopt when the request is for none of these pages.
+  /// nullopt when the request is for another path.
   std::optional<net::HttpResponse> Answer(
     const net::HttpRequest& aRequest) const;
 
--- a/src/telemetry/BoundedOutput.cpp
+++ b/src/telemetry/BoundedOutput.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Lines of this long are written together: one wake-up and one system call
-/// for a burst instead of one a line.
+/// Lines of this period are written together, so that a burst takes one wake-up
+/// and one system call instead of one per line.
 constexpr std::chrono::milliseconds kFlushDelay(20);
-/// How long the end of the process waits for the reader.
+/// How long the destructor and Flush() wait for the reader.
 constexpr std::chrono::milliseconds kFlushTimeout(200);
 constexpr std::chrono::milliseconds kFlushPollInterval(2);
 
@@ -23,7 +23,7 @@
     if (written > 0) {
       aText.remove_prefix(static_cast<std::size_t>(written));
     } else if (errno != EINTR) {
-      return; // The reader is gone: there is no one to tell.
+      return; // The reader has closed the descriptor: nothing left to do.
     }
   }
 }
@@ -52,8 +52,8 @@
     mThread.join();
     return;
   }
-  // The thread waits for a reader. Only the end of the process destroys this
-  // object then, see Log.cpp, so that the thread ends with it.
+  // The thread is blocked on the reader. Its object is only destroyed at the
+  // end of the process, see Log.cpp, which also ends the thread.
   mThread.detach();
 }
 
--- a/src/telemetry/Log.cpp
+++ b/src/telemetry/Log.cpp
@@ -57,21 +57,21 @@
 
 const log4cxx::LoggerPtr& Logger()
 {
-  // Never destroyed: fibers may still log while static objects are torn down.
+  // Never destroyed: fibers may still log during static destruction.
   static const auto* sLogger = new log4cxx::LoggerPtr(MakeLogger());
   return *sLogger;
 }
 
 std::atomic<std::uint64_t> sDroppedByRate{ 0 };
 
-/// Never destroyed, as the logger.
+/// Never destroyed, like the logger.
 BoundedOutput& Output()
 {
   static auto* sOutput = new BoundedOutput(STDOUT_FILENO);
   return *sOutput;
 }
 
-/// Appender in front of BoundedOutput. Appenders are called under a lock.
+/// Appender that writes to BoundedOutput. log4cxx calls appenders under a lock.
 class BoundedAppender final : public log4cxx::AppenderSkeleton
 {
 public:
@@ -80,7 +80,7 @@
     setLayout(aLayout);
   }
 
-  // NOLINTBEGIN(readability-identifier-naming): names set by log4cxx.
+  // NOLINTBEGIN(readability-identifier-naming): names defined by log4cxx.
   void close() override {}
   bool requiresLayout() const override { return true; }
 
--- a/src/telemetry/Log.h
+++ b/src/telemetry/Log.h
@@ -23,8 +23,8 @@
 std::string_view ToString(LogLevel aLevel);
 std::optional<LogLevel> ParseLogLevel(std::string_view aText);
 
-/// One `key=value` of a log line. The value is quoted and escaped when it is
-/// not a plain word, so that a line is always one line.
+/// A `key=value` pair of a log line. The value is quoted and escaped when it is
+/// not a plain word, so that an entry never spans several lines.
 struct LogField
 {
   std::string_view mKey;
@@ -66,39 +66,39 @@
 enum class LogTarget : std::uint8_t
 {
   StandardError,
-  /// Through BoundedOutput: never blocks, and drops and counts lines above the
-  /// bounds of its buffer and of kMaxLogLinesPerSecond.
+  /// Through BoundedOutput: never blocks; drops and counts lines that exceed
+  /// its buffer or kMaxLogLinesPerSecond.
   StandardOutput,
 };
 
-/// Of one process; a second's worth more may come in a burst.
+/// Per process; a burst may have one second's worth in addition.
 inline constexpr std::int64_t kMaxLogLinesPerSecond = 1500;
 
-/// Sends lines of `aLevel` and above to the target. Call once, before the
-/// first line; lines before it are dropped.
+/// Sends lines of `aLevel` and above to the target. Call once, before the first
+/// line; earlier lines are dropped.
 void ConfigureLog(LogLevel aLevel,
                   LogTarget aTarget = LogTarget::StandardError);
 
-/// Waits, for a bounded time, until the lines so far are written.
+/// Waits, for a bounded time, until all queued lines are written.
 void FlushLog();
 
-/// Lines that were dropped because of the bounds.
+/// Number of lines dropped because of the buffer or the rate limit.
 std::uint64_t DroppedLogLines();
 
-/// A change of state at level Info, for example
-/// LogChange("agent-draining", { { "agent", id } }). Not for what happens with
-/// every request: that is a counter.
+/// Logs a change of state at level Info, for example
+/// LogChange("agent-draining", { { "agent", id } }). Use a counter for events
+/// that occur with every request.
 void LogChange(std::string_view aEvent, LogFields aFields = {});
 
-/// A change of state that an operator should look at.
+/// Logs a change of state that needs an operator's attention.
 void LogWarning(std::string_view aEvent, LogFields aFields = {});
 
-/// A fault that the process does not mend by itself.
+/// Logs a fault from which the process does not recover by itself.
 void LogError(std::string_view aEvent, LogFields aFields = {});
 
 void LogDebug(std::string_view aEvent, LogFields aFields = {});
 
-/// The text of a line after its time and level. Exposed for tests.
+/// The text of a line without time and level. Exposed for tests.
 std::string FormatLogLine(std::string_view aEvent, LogFields aFields);
 
 } // namespace foxtailbarrow
--- a/src/telemetry/Metrics.h
+++ b/src/telemetry/Metrics.h
@@ -24,12 +24,12 @@
 /// Upper bounds of latency buckets, in seconds, from 100 us to 10 s.
 const prometheus::Histogram::BucketBoundaries& LatencyBuckets();
 
-/// The process's metrics. Names get the prefix `foxtailbarrow_`. Asking again
-/// for the same name and labels returns the same series. The references stay
-/// valid as long as this object; updating them takes no lock. All methods are
-/// callable from any thread. A name that Prometheus does not allow, or one
-/// already used with another type, throws std::invalid_argument: a mistake of
-/// the program, found at start-up.
+/// The process's metrics. Names get the prefix `foxtailbarrow_`. The same name
+/// and labels always return the same series. The references stay valid as long
+/// as this object; updating them takes no lock. All methods are callable from
+/// any thread. Throws std::invalid_argument for a name that Prometheus does not
+/// allow or that is in use with another type, which is a programming error that
+/// shows at start-up.
 class Metrics
 {
 public:
--- a/src/telemetry/ProcessMetrics.cpp
+++ b/src/telemetry/ProcessMetrics.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-Duration Span(const timeval& aTime)
+Duration ToDuration(const timeval& aTime)
 {
   return std::chrono::seconds(aTime.tv_sec) +
          std::chrono::microseconds(aTime.tv_usec);
 }
 
-/// 0 when the system does not tell.
+/// 0 when it cannot be read.
 double ResidentBytes()
 {
   std::ifstream file("/proc/self/statm");
@@ -33,7 +33,7 @@
 {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
-  return Span(usage.ru_utime) + Span(usage.ru_stime);
+  return ToDuration(usage.ru_utime) + ToDuration(usage.ru_stime);
 }
 
 void AddProcessMetrics(Metrics& aMetrics)
--- a/src/telemetry/ProcessMetrics.h
+++ b/src/telemetry/ProcessMetrics.h
@@ -5,10 +5,10 @@
 
 namespace foxtailbarrow {
 
-/// Processor time of this process so far: its own and the system's for it.
+/// User and system time of this process so far.
 Duration ProcessorTime();
 
-/// Registers what this process costs its VM, read from the system at each
+/// Registers the resource usage of this process, read from the system at each
 /// scrape: `process_cpu_seconds` (user and system time since the start) and
 /// `process_resident_bytes`.
 void AddProcessMetrics(Metrics& aMetrics);
--- a/src/telemetry/Settings.cpp
+++ b/src/telemetry/Settings.cpp
@@ -17,7 +17,7 @@
 constexpr char kVersion[] = "foxtailbarrow 0.1.0";
 constexpr std::string_view kDashes = "--";
 
-/// "--name", whether or not the dashes were given.
+/// Returns "--name" for a name with or without dashes.
 std::string FlagName(std::string_view aFlag)
 {
   return aFlag.starts_with(kDashes) ? std::string(aFlag)
@@ -36,19 +36,19 @@
 struct Setting::Impl
 {
   std::string mName;    ///< Flag and variable, as error messages show them.
-  std::string mAllowed; ///< What the error messages tell.
+  std::string mAllowed; ///< Allowed values, as error messages show them.
   CLI::Option* mOption = nullptr;
   bool mRequired = false;
 
-  std::string ErrorMessage(const std::string& aFault) const
+  std::string ErrorMessage(const std::string& aProblem) const
   {
-    return absl::StrCat(mName, ": ", aFault, "; allowed: ", mAllowed);
+    return absl::StrCat(mName, ": ", aProblem, "; allowed: ", mAllowed);
   }
 };
 
 namespace {
 
-/// Callback for CLI11 that refuses what the acceptor does not take.
+/// Callback for CLI11 that throws when the acceptor rejects the text.
 std::function<void(const std::string&)> MakeValidator(
   const Setting::Impl& aSetting,
   Settings::Acceptor aAcceptor)
@@ -71,12 +71,13 @@
 
 struct Settings::Impl
 {
-  std::unique_ptr<CLI::App> mRootApp; ///< Set in the root alone.
+  std::unique_ptr<CLI::App> mRootApp; ///< Null in subcommands.
   CLI::App* mApp = nullptr;
   std::vector<std::unique_ptr<Setting::Impl>> mSettings;
   std::vector<std::unique_ptr<Settings>> mSubcommands;
 
-  /// The first fault that CLI11 does not know of; empty when there is none.
+  /// Message for the first required setting that is missing, which CLI11 does
+  /// not check; empty when there is none.
   std::string MissingSetting() const
   {
     for (const auto& setting : mSettings) {
@@ -92,7 +93,7 @@
     return {};
   }
 
-  /// Adds what is allowed to CLI11's own message, which names the flag.
+  /// Appends the allowed values to a message of CLI11 that names the flag.
   std::string WithAllowedValues(const std::string& aMessage) const
   {
     for (const auto& setting : mSettings) {
@@ -110,8 +111,8 @@
     return aMessage;
   }
 
-  /// What is wrong where CLI11 misses a subcommand; `aRest` are the arguments
-  /// that it did not understand.
+  /// Message for a missing or unknown subcommand; `aRest` are the arguments
+  /// that CLI11 did not recognise.
   std::string SubcommandError(const std::vector<std::string>& aRest) const
   {
     std::vector<std::string> names;
@@ -227,26 +228,27 @@
                                    std::ostream& aOut,
                                    std::ostream& aErr)
 {
-  std::string fault;
+  std::string message;
   try {
     // CLI11 takes the arguments in reverse order.
     std::reverse(aArguments.begin(), aArguments.end());
     mImpl->mApp->parse(std::move(aArguments));
-    fault = mImpl->MissingSetting();
+    message = mImpl->MissingSetting();
   } catch (const CLI::RequiredError&) {
-    // Required settings are checked here, so that only a subcommand can miss.
-    fault = mImpl->SubcommandError(mImpl->mApp->remaining(true));
+    // CLI11 does not know which settings are required, so that this can only
+    // mean a missing subcommand.
+    message = mImpl->SubcommandError(mImpl->mApp->remaining(true));
   } catch (const CLI::ParseError& error) {
     if (error.get_exit_code() == 0) {
       mImpl->mApp->exit(error, aOut, aErr);
       return 0;
     }
-    fault = mImpl->WithAllowedValues(error.what());
+    message = mImpl->WithAllowedValues(error.what());
   }
-  if (fault.empty()) {
+  if (message.empty()) {
     return std::nullopt;
   }
-  aErr << mImpl->mApp->get_name() << ": " << fault << "\n"
+  aErr << mImpl->mApp->get_name() << ": " << message << "\n"
        << "See " << mImpl->mApp->get_name() << " --help.\n";
   return kExitUsage;
 }
--- a/src/telemetry/Settings.h
+++ b/src/telemetry/Settings.h
@@ -39,7 +39,7 @@
   {
   }
 
-  /// Refuses to start without a value.
+  /// Makes Parse() fail without a value.
   void Required();
 
 private:
@@ -48,15 +48,14 @@
 
 /// The settings of a program: flags, each with an environment variable
 /// (`--failure-domain` and FOXTAILBARROW_FAILURE_DOMAIN), checked at start-up.
-/// The flag wins over the variable; the target keeps the value that it had
-/// before (the default) where neither is given. `--help` and `--version` are
-/// always there. Targets must outlive Parse(). A flag's leading dashes may be
-/// left out in the Add functions.
+/// The flag takes precedence over the variable; without either, the target
+/// keeps its value, which is the default. `--help` and `--version` always
+/// exist. Targets must outlive Parse(). The Add functions accept a flag with or
+/// without its leading dashes.
 class Settings
 {
 public:
-  /// Stores the value and returns true, or returns false when the text is not
-  /// allowed.
+  /// Stores the value and returns true, or returns false for an invalid text.
   using Acceptor = std::function<bool(std::string_view)>;
 
   Settings(std::string_view aProgram, std::string_view aDescription);
@@ -106,7 +105,7 @@
                           SettingRange<Duration> aRange,
                           std::string_view aHelp);
 
-  /// Whole number; `Number` is any integral type that holds the range.
+  /// Integer; `Number` is any integral type that can hold the range.
   template<typename Number>
   Setting AddCount(std::string_view aFlag,
                    Number& aTarget,
@@ -140,8 +139,8 @@
   /// Flag without a value; the variable takes true or false.
   void AddSwitch(std::string_view aFlag, bool& aTarget, std::string_view aHelp);
 
-  /// Argument by position, for example "FILE". No environment variable.
-  /// `aAllowed` tells what the acceptor takes, in the help, too.
+  /// Positional argument, for example "FILE". No environment variable.
+  /// `aAllowed` describes the allowed values and is also the help text.
   Setting AddPositional(std::string_view aName,
                         std::string_view aAllowed,
                         Acceptor aAcceptor);
@@ -150,24 +149,24 @@
                         std::string& aTarget,
                         std::string_view aAllowed);
 
-  /// Any other type: `aAllowed` tells what the acceptor takes.
+  /// Any other type; `aAllowed` describes the allowed values.
   Setting Add(std::string_view aFlag,
               std::string_view aHelp,
               std::string_view aAllowed,
               Acceptor aAcceptor,
               std::string_view aDefault = {});
 
-  /// Subcommand with settings of its own. One must be chosen when any exists.
-  /// Flags of its parents may stand behind its name, too.
+  /// Subcommand with its own settings. If there are any, the command line must
+  /// name one. Flags of its parents may also follow its name.
   Settings& AddSubcommand(std::string_view aName,
                           std::string_view aDescription);
 
   /// True when the command line named this subcommand.
   bool Chosen() const;
 
-  /// Fills the targets. Returns the exit code when the program is to end now:
-  /// 0 after --help and --version (printed to `aOut`), kExitUsage after an
-  /// error, of which `aErr` names the flag, the value and what is allowed.
+  /// Fills the targets. Returns the exit code when the program must exit now: 0
+  /// after --help and --version (printed to `aOut`), kExitUsage after an error,
+  /// whose message in `aErr` names the flag, the value and the allowed values.
   std::optional<int> Parse(std::vector<std::string> aArguments,
                            std::ostream& aOut,
                            std::ostream& aErr);
--- a/src/telemetry/StateDump.cpp
+++ b/src/telemetry/StateDump.cpp
@@ -14,7 +14,7 @@
 {
   std::map<std::string, Source> sources;
   {
-    // A source may suspend its fiber, so that no lock may be held around it.
+    // A source may suspend its fiber, so no lock may be held during the call.
     const std::lock_guard lock(mMutex);
     sources = mSources;
   }
--- a/src/telemetry/StateDump.h
+++ b/src/telemetry/StateDump.h
@@ -9,10 +9,9 @@
 
 namespace foxtailbarrow {
 
-/// What the process knows and why it decided so, for operators. Each part of
-/// the process registers a named function that returns its view. Callable from
-/// any thread or fiber; the functions run without a lock held, in the fiber
-/// that asks.
+/// State and decisions of the process, for operators. Each part of the process
+/// registers a named function that returns its state. Callable from any thread
+/// or fiber; the functions run in the calling fiber without a lock held.
 class StateDump
 {
 public:
--- a/src/telemetry/TypedSettings.cpp
+++ b/src/telemetry/TypedSettings.cpp
@@ -8,15 +8,15 @@
 #include "absl/strings/str_join.h"
 #include "absl/strings/str_split.h"
 
-/// The typed settings, each made of Settings::Add() and an acceptor.
+/// Typed settings, each implemented by Settings::Add() with an acceptor.
 namespace foxtailbarrow {
 
 namespace {
 
 constexpr std::string_view kEndpointAllowed =
-  "an IPv4 number and a port in 1..65535, as in 127.0.0.1:8080";
+  "an IPv4 address and a port in 1..65535, as in 127.0.0.1:8080";
 constexpr std::string_view kListenAllowed =
-  "an IPv4 number and a port in 0..65535, as in 127.0.0.1:0";
+  "an IPv4 address and a port in 0..65535, as in 127.0.0.1:0";
 
 std::optional<Endpoint> ParseListen(std::string_view aText)
 {
@@ -60,7 +60,7 @@
   return Add(
     aFlag,
     aHelp,
-    "any text but the empty one",
+    "any non-empty text",
     [&aTarget](std::string_view aText) {
       aTarget = aText;
       return !aText.empty();
@@ -168,7 +168,7 @@
     absl::StrCat("a number in ", aRange.mMin, "..", aRange.mMax),
     [&aTarget, aRange](std::string_view aText) {
       double value = 0.0;
-      // Written so that "nan" is refused, too.
+      // Written so that "nan" is also refused.
       if (!absl::SimpleAtod(std::string(aText), &value) ||
           !(value >= aRange.mMin && value <= aRange.mMax)) {
         return false;
--- a/tests/telemetry/AdminPagesTest.cpp
+++ b/tests/telemetry/AdminPagesTest.cpp
@@ -14,7 +14,7 @@
 {
   std::string mMethod;
   std::string mTarget;
-  unsigned mStatus = 0; ///< 0 = not answered here.
+  unsigned mStatus = 0; ///< 0 = not one of these pages.
   std::string mBodyPart;
 
   friend void PrintTo(const PageCase& aCase, std::ostream* aOut)
@@ -64,7 +64,7 @@
     PageCase{ "GET", "/statement", 0, "" },
     PageCase{ "GET", "/", 0, "" }));
 
-TEST_F(AdminPage, TellsWhyTheProcessIsNotHealthy)
+TEST_F(AdminPage, ReportsWhyTheProcessIsNotHealthy)
 {
   mHealth = absl::UnavailableError("store is silent");
   net::HttpRequest request;
@@ -75,7 +75,7 @@
   EXPECT_THAT(response->mBody, HasSubstr("store is silent"));
 }
 
-TEST(Metrics, TellWhatTheProcessCosts)
+TEST(Metrics, ReportTheUsageOfTheProcess)
 {
   Metrics metrics;
   AddProcessMetrics(metrics);
--- a/tests/telemetry/BoundedOutputTest.cpp
+++ b/tests/telemetry/BoundedOutputTest.cpp
@@ -31,18 +31,18 @@
   ::close(ends[kReadEnd]);
 }
 
-TEST(BoundedOutput, AReaderThatStopsReadingStallsNoOne)
+TEST(BoundedOutput, DoesNotBlockOnAStalledReader)
 {
   std::array<int, 2> ends{};
   ASSERT_EQ(::pipe(ends.data()), 0);
-  // Never destroyed: its thread waits for the reader for ever.
+  // Never destroyed: its thread stays blocked on the reader.
   auto* output = new BoundedOutput(ends[kWriteEnd], kMaxBytes);
   const std::string line(1023, 'x');
   for (int i = 0; i < 1000; ++i) {
-    output->Write(line + "\n"); // 1 MB, more than the pipe and the buffer take.
+    output->Write(line + "\n"); // 1 MB, more than the pipe and the buffer hold.
   }
   EXPECT_GT(output->Dropped(), 0U);
-  // The reader comes back: what waited is written, and how much is missing.
+  // The reader resumes: the queued lines and the number of dropped ones arrive.
   std::string text;
   std::array<char, 4096> part{};
   while (text.find("log-lines-dropped") == std::string::npos) {
--- a/tests/telemetry/LogTest.cpp
+++ b/tests/telemetry/LogTest.cpp
@@ -5,7 +5,7 @@
 namespace foxtailbarrow {
 namespace {
 
-TEST(Log, WritesOneLineOfKeysAndValues)
+TEST(Log, FormatsKeysAndValuesOnOneLine)
 {
   EXPECT_EQ(FormatLogLine("agent-draining",
                           { { "agent", AgentId("agent-3") },
--- a/tests/telemetry/SettingsTest.cpp
+++ b/tests/telemetry/SettingsTest.cpp
@@ -72,7 +72,7 @@
 class SettingRefused : public testing::TestWithParam<BadSetting>
 {};
 
-TEST_P(SettingRefused, NamesFlagValueAndWhatIsAllowed)
+TEST_P(SettingRefused, NamesFlagValueAndAllowedValues)
 {
   Program program;
   std::vector<std::string> arguments = GetParam().mExtra;
@@ -148,7 +148,7 @@
   EXPECT_TRUE(program.mJson);
 }
 
-TEST(Settings, KeepsDefaultsWhereNothingIsGiven)
+TEST(Settings, KeepsDefaults)
 {
   Program program;
   EXPECT_EQ(program.Parse(kMinimal), std::nullopt);
@@ -167,7 +167,7 @@
   const char* mName;
 };
 
-TEST(Settings, ReadsTheVariableUnlessTheFlagIsGiven)
+TEST(Settings, FlagTakesPrecedenceOverVariable)
 {
   const Variable share("FOXTAILBARROW_HEARTBEAT_MS", "500");
   const Variable threads("FOXTAILBARROW_THREADS", "4");
@@ -190,7 +190,7 @@
 class SettingInformation : public testing::TestWithParam<const char*>
 {};
 
-TEST_P(SettingInformation, IsPrintedAndEndsWithZero)
+TEST_P(SettingInformation, IsPrintedWithExitCodeZero)
 {
   Program program;
   EXPECT_EQ(program.Parse({ GetParam() }), 0);
@@ -202,7 +202,7 @@
                          SettingInformation,
                          testing::Values("--help", "--version"));
 
-TEST(Settings, ChecksTheChosenSubcommandAlone)
+TEST(Settings, ChecksOnlyTheNamedSubcommand)
 {
   Settings settings("program", "A program for this test.");
   std::string file;
--- a/tests/worker/TaskRunnerTest.cpp
+++ b/tests/worker/TaskRunnerTest.cpp
@@ -48,7 +48,7 @@
 class TaskEnd : public testing::TestWithParam<EndCase>
 {};
 
-TEST_P(TaskEnd, ComesAsTheWorkerPromises)
+TEST_P(TaskEnd, ReachesTheExpectedState)
 {
   TaskRunner runner = MakeRunner();
   ASSERT_TRUE(runner.Start(MakeStart(GetParam().mArguments), kNow).ok());
@@ -56,56 +56,65 @@
   EXPECT_EQ(StateOf(runner, kNow + GetParam().mLater), GetParam().mState);
 }
 
-const std::string kSecond = R"({"runMs":1000})";
-const std::string kMinute = R"({"runMs":60000})";
+const std::string kRunsOneSecond = R"({"runMs":1000})";
+const std::string kRunsOneMinute = R"({"runMs":60000})";
 
-void Nothing(TaskRunner&) {}
+void NoAction(TaskRunner&) {}
 
 INSTANTIATE_TEST_SUITE_P(
   All,
   TaskEnd,
-  testing::Values(
-    EndCase{ "before",
-             kSecond,
-             Nothing,
-             milliseconds(999),
-             TaskState::Running },
-    EndCase{ "after", kSecond, Nothing, seconds(1), TaskState::Finished },
-    EndCase{ "failure",
-             R"({"runMs":10,"fail":true})",
-             Nothing,
-             seconds(1),
-             TaskState::Failed },
-    EndCase{ "lapse", kMinute, Nothing, seconds(20), TaskState::Stopped },
-    EndCase{
-      "renewal",
-      kMinute,
-      [](TaskRunner& aRunner) {
-        const TaskKey keys[] = { kKey };
-        aRunner.Renew(keys, seconds(20), kNow + seconds(10)).IgnoreError();
-      },
-      seconds(29),
-      TaskState::Running },
-    EndCase{ "throttled",
-             kSecond,
-             [](TaskRunner& aRunner) {
-               aRunner.Throttle(kKey, 0.25, kNow).IgnoreError();
-             },
-             seconds(3),
-             TaskState::Running },
-    EndCase{ "throttledEnd",
-             kSecond,
-             [](TaskRunner& aRunner) {
-               aRunner.Throttle(kKey, 0.25, kNow).IgnoreError();
-             },
-             seconds(4),
-             TaskState::Finished },
-    EndCase{
-      "stop",
-      kMinute,
-      [](TaskRunner& aRunner) { aRunner.Stop(kKey, kNow).IgnoreError(); },
-      seconds(1),
-      TaskState::Stopped }),
+  testing::Values(EndCase{ "before",
+                           kRunsOneSecond,
+                           NoAction,
+                           milliseconds(999),
+                           TaskState::Running },
+                  EndCase{ "after",
+                           kRunsOneSecond,
+                           NoAction,
+                           seconds(1),
+                           TaskState::Finished },
+                  EndCase{ "failure",
+                           R"({"runMs":10,"fail":true})",
+                           NoAction,
+                           seconds(1),
+                           TaskState::Failed },
+                  EndCase{ "lapse",
+                           kRunsOneMinute,
+                           NoAction,
+                           seconds(20),
+                           TaskState::Stopped },
+                  EndCase{ "renewal",
+                           kRunsOneMinute,
+                           [](TaskRunner& aRunner) {
+                             const TaskKey keys[] = { kKey };
+                             aRunner
+                               .Renew(keys, seconds(20), kNow + seconds(10))
+                               .IgnoreError();
+                           },
+                           seconds(29),
+                           TaskState::Running },
+                  EndCase{ "throttled",
+                           kRunsOneSecond,
+                           [](TaskRunner& aRunner) {
+                             aRunner.Throttle(kKey, 0.25, kNow).IgnoreError();
+                           },
+                           seconds(3),
+                           TaskState::Running },
+                  EndCase{ "throttledEnd",
+                           kRunsOneSecond,
+                           [](TaskRunner& aRunner) {
+                             aRunner.Throttle(kKey, 0.25, kNow).IgnoreError();
+                           },
+                           seconds(4),
+                           TaskState::Finished },
+                  EndCase{ "stop",
+                           kRunsOneMinute,
+                           [](TaskRunner& aRunner) {
+                             aRunner.Stop(kKey, kNow).IgnoreError();
+                           },
+                           seconds(1),
+                           TaskState::Stopped }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 struct StartCase
@@ -119,7 +128,7 @@
 class TaskStartRefusal : public testing::TestWithParam<StartCase>
 {};
 
-TEST_P(TaskStartRefusal, FencesAndChecks)
+TEST_P(TaskStartRefusal, ReturnsTheExpectedCode)
 {
   TaskRunner runner = MakeRunner();
   GetParam().mBefore(runner);
@@ -137,7 +146,7 @@
   All,
   TaskStartRefusal,
   testing::Values(
-    StartCase{ "first", Nothing, [](TaskStart&) {}, absl::StatusCode::kOk },
+    StartCase{ "first", NoAction, [](TaskStart&) {}, absl::StatusCode::kOk },
     StartCase{ "again", StartFirst, [](TaskStart&) {}, absl::StatusCode::kOk },
     StartCase{ "olderEpoch",
                StartFirst,
@@ -149,11 +158,11 @@
       [](TaskStart&) {},
       absl::StatusCode::kFailedPrecondition },
     StartCase{ "program",
-               Nothing,
+               NoAction,
                [](TaskStart& aStart) { aStart.mProgram = "run"; },
                absl::StatusCode::kInvalidArgument },
     StartCase{ "arguments",
-               Nothing,
+               NoAction,
                [](TaskStart& aStart) { aStart.mArguments = "{"; },
                absl::StatusCode::kInvalidArgument }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
@@ -187,7 +196,7 @@
   EXPECT_EQ(runner.Overcommitted(), 1U);
 }
 
-TEST(TaskRunner, ReportsUsageLate)
+TEST(TaskRunner, ReportsUsageWithADelay)
 {
   TaskRunner runner = MakeRunner();
   ASSERT_TRUE(
