--- a/src/platform/store/BatchCommitter.cpp
+++ b/src/platform/store/BatchCommitter.cpp
@@ -20,7 +20,7 @@
 {
   OwnValue,    ///< The write took effect.
   Unchanged,   ///< It has not taken effect so far.
-  Deleted,     ///< The key is gone, as this deletion intended.
+  Deleted,     ///< This deletion took effect.
   Overwritten, ///< Another writer has changed the key.
 };
 
--- a/tests/store/BatchWriterTest.cpp
+++ b/tests/store/BatchWriterTest.cpp
@@ -53,7 +53,7 @@
   return records;
 }
 
-struct GatherCase
+struct BatchCase
 {
   const char* mName;
   int mWrites;
@@ -62,18 +62,18 @@
   std::uint64_t mCommits;
 };
 
-class BatchWriterGathers : public testing::TestWithParam<GatherCase>
+class BatchWriterGathers : public testing::TestWithParam<BatchCase>
 {};
 
 TEST_P(BatchWriterGathers, WritesIntoFewTransactions)
 {
-  const GatherCase& gather = GetParam();
+  const BatchCase& batch = GetParam();
   MemoryStore store;
-  std::vector<RecordWrite> records = DistinctRecords(gather.mWrites);
+  std::vector<RecordWrite> records = DistinctRecords(batch.mWrites);
   for (std::size_t index = 0; index < records.size(); ++index) {
-    records[index].mWrite.mValue = std::string(gather.mValueBytes, 'x');
-    if (gather.mGuards > 0) {
-      const auto guard = std::to_string(index % gather.mGuards);
+    records[index].mWrite.mValue = std::string(batch.mValueBytes, 'x');
+    if (batch.mGuards > 0) {
+      const auto guard = std::to_string(index % batch.mGuards);
       records[index].mGuard = StoreCompare{ "/guard/" + guard, 0 };
     }
   }
@@ -81,19 +81,19 @@
   for (const auto& outcome : WriteAll(writer, records)) {
     EXPECT_TRUE(outcome.ok()) << outcome.status();
   }
-  EXPECT_EQ(store.Counts().Count(StoreCall::Commit), gather.mCommits);
+  EXPECT_EQ(store.Counts().Count(StoreCall::Commit), batch.mCommits);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Batches,
   BatchWriterGathers,
-  testing::Values(GatherCase{ "Single", 1, 10, 0, 1 },
-                  GatherCase{ "Whole", 128, 10, 0, 1 },
-                  GatherCase{ "OneMore", 129, 10, 0, 2 },
-                  GatherCase{ "SharedGuard", 127, 10, 1, 1 },
-                  GatherCase{ "ManyGuards", 128, 10, 128, 2 },
-                  GatherCase{ "LargeValues", 4, 600 * 1024, 0, 4 },
-                  GatherCase{ "LargestValues", 2, 1024 * 1024, 0, 2 }),
+  testing::Values(BatchCase{ "Single", 1, 10, 0, 1 },
+                  BatchCase{ "Whole", 128, 10, 0, 1 },
+                  BatchCase{ "OneMore", 129, 10, 0, 2 },
+                  BatchCase{ "SharedGuard", 127, 10, 1, 1 },
+                  BatchCase{ "ManyGuards", 128, 10, 128, 2 },
+                  BatchCase{ "LargeValues", 4, 600 * 1024, 0, 4 },
+                  BatchCase{ "LargestValues", 2, 1024 * 1024, 0, 2 }),
   kNameOfCase);
 
 TEST(BatchWriter, AppliesWritesToOneKeyInOrder)
--- a/tests/store/EtcdStoreTest.cpp
+++ b/tests/store/EtcdStoreTest.cpp
@@ -83,7 +83,7 @@
   });
 }
 
-constexpr char kCeiling[] = R"({"error":"etcdserver: busy","code":8})";
+constexpr char kRateLimited[] = R"({"error":"etcdserver: busy","code":8})";
 constexpr char kNoLeader[] = R"({"error":"etcdserver: no leader","code":14})";
 constexpr char kTimedOut[] = R"({"error":"etcdserver: timed out","code":14})";
 constexpr char kDuplicate[] = R"({"error":"duplicate key","code":3})";
@@ -95,7 +95,11 @@
   Replies,
   EtcdReply,
   testing::Values(
-    ReplyCase{ "Ceiling", 503, kCeiling, Code::kResourceExhausted, kNotRun },
+    ReplyCase{ "Ceiling",
+               503,
+               kRateLimited,
+               Code::kResourceExhausted,
+               kNotRun },
     ReplyCase{ "TooMany", 429, "", Code::kResourceExhausted, kNotRun },
     ReplyCase{ "NoLeader", 503, kNoLeader, Code::kUnavailable, kNotRun, true },
     ReplyCase{ "InDoubt",
--- a/tests/store/StoreConformanceTest.cpp
+++ b/tests/store/StoreConformanceTest.cpp
@@ -207,7 +207,7 @@
 
 TEST_P(StoreConformance, WatchesInOrderFromARevision)
 {
-  std::vector<StoreEvent> seen;
+  std::vector<StoreEvent> received;
   std::atomic<bool> ended = false;
   mHarness->Run([&] {
     const Revision start = Put("/w/a", "0")->mRevision;
@@ -215,8 +215,8 @@
     ASSERT_TRUE(Put("/other", "x").ok());
     mHarness->RunConcurrently([&, start] {
       const auto collect = [&](const std::vector<StoreEvent>& aEvents) {
-        seen.insert(seen.end(), aEvents.begin(), aEvents.end());
-        return seen.size() < 4;
+        received.insert(received.end(), aEvents.begin(), aEvents.end());
+        return received.size() < 4;
       };
       EXPECT_TRUE(mStore.Watch("/w/", start, collect).ok());
       ended = true;
@@ -229,15 +229,15 @@
     mHarness->Advance(6s);
     EXPECT_TRUE(Eventually([&] { return ended.load(); }));
   });
-  ASSERT_EQ(seen.size(), 4U);
-  EXPECT_EQ(seen[0].mValue, "1");
-  EXPECT_EQ(seen[1].mValue, "2");
-  EXPECT_EQ(seen[2].mKey, "/w/a");
-  EXPECT_EQ(seen[2].mValue, std::nullopt);
-  EXPECT_EQ(seen[3].mKey, "/w/b");
-  EXPECT_EQ(seen[3].mValue, std::nullopt);
-  for (std::size_t event = 1; event < seen.size(); ++event) {
-    EXPECT_GT(seen[event].mModRevision, seen[event - 1].mModRevision);
+  ASSERT_EQ(received.size(), 4U);
+  EXPECT_EQ(received[0].mValue, "1");
+  EXPECT_EQ(received[1].mValue, "2");
+  EXPECT_EQ(received[2].mKey, "/w/a");
+  EXPECT_EQ(received[2].mValue, std::nullopt);
+  EXPECT_EQ(received[3].mKey, "/w/b");
+  EXPECT_EQ(received[3].mValue, std::nullopt);
+  for (std::size_t event = 1; event < received.size(); ++event) {
+    EXPECT_GT(received[event].mModRevision, received[event - 1].mModRevision);
   }
 }
 
