--- a/tests/store/BatchWriterTest.cpp
+++ b/tests/store/BatchWriterTest.cpp
@@ -27,7 +27,7 @@
   return { { aKey, "value", 0 }, aExpected, std::nullopt };
 }
 
-/// Offers all writes at once, each from a fiber, and returns their outcomes.
+/// Makes all writes concurrently, each in a fiber, and returns their outcomes.
 std::vector<absl::StatusOr<Revision>> WriteAll(
   BatchWriter& aWriter,
   const std::vector<RecordWrite>& aRecords)
@@ -53,7 +53,7 @@
   return records;
 }
 
-struct GatherCase
+struct BatchCase
 {
   const char* mName;
   int mWrites;
@@ -62,18 +62,18 @@
   std::uint64_t mCommits;
 };
 
-class BatchWriterGathers : public testing::TestWithParam<GatherCase>
+class BatchWriterGathers : public testing::TestWithParam<BatchCase>
 {};
 
 TEST_P(BatchWriterGathers, WritesIntoFewTransactions)
 {
-  const GatherCase& gather = GetParam();
+  const BatchCase& batch = GetParam();
   MemoryStore store;
-  std::vector<RecordWrite> records = DistinctRecords(gather.mWrites);
+  std::vector<RecordWrite> records = DistinctRecords(batch.mWrites);
   for (std::size_t index = 0; index < records.size(); ++index) {
-    records[index].mWrite.mValue = std::string(gather.mValueBytes, 'x');
-    if (gather.mGuards > 0) {
-      const auto guard = std::to_string(index % gather.mGuards);
+    records[index].mWrite.mValue = std::string(batch.mValueBytes, 'x');
+    if (batch.mGuards > 0) {
+      const auto guard = std::to_string(index % batch.mGuards);
       records[index].mGuard = StoreCompare{ "/guard/" + guard, 0 };
     }
   }
@@ -81,19 +81,19 @@
   for (const auto& outcome : WriteAll(writer, records)) {
     EXPECT_TRUE(outcome.ok()) << outcome.status();
   }
-  EXPECT_EQ(store.Counts().Count(StoreCall::Commit), gather.mCommits);
+  EXPECT_EQ(store.Counts().Count(StoreCall::Commit), batch.mCommits);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Batches,
   BatchWriterGathers,
-  testing::Values(GatherCase{ "Single", 1, 10, 0, 1 },
-                  GatherCase{ "Whole", 128, 10, 0, 1 },
-                  GatherCase{ "OneMore", 129, 10, 0, 2 },
-                  GatherCase{ "SharedGuard", 127, 10, 1, 1 },
-                  GatherCase{ "ManyGuards", 128, 10, 128, 2 },
-                  GatherCase{ "LargeValues", 4, 600 * 1024, 0, 4 },
-                  GatherCase{ "LargestValues", 2, 1024 * 1024, 0, 2 }),
+  testing::Values(BatchCase{ "Single", 1, 10, 0, 1 },
+                  BatchCase{ "Whole", 128, 10, 0, 1 },
+                  BatchCase{ "OneMore", 129, 10, 0, 2 },
+                  BatchCase{ "SharedGuard", 127, 10, 1, 1 },
+                  BatchCase{ "ManyGuards", 128, 10, 128, 2 },
+                  BatchCase{ "LargeValues", 4, 600 * 1024, 0, 4 },
+                  BatchCase{ "LargestValues", 2, 1024 * 1024, 0, 2 }),
   kNameOfCase);
 
 TEST(BatchWriter, AppliesWritesToOneKeyInOrder)
@@ -107,7 +107,7 @@
   EXPECT_TRUE(absl::IsAborted(outcomes[2].status()));
 }
 
-TEST(BatchWriter, RefusesAtOnceBeyondItsBound)
+TEST(BatchWriter, RefusesWritesWhenTheQueueIsFull)
 {
   MemoryStore store;
   BatchWriter writer(store, { .mMaxQueued = 10 }, SpawnFiber);
@@ -123,7 +123,7 @@
   EXPECT_EQ(writer.Counters().mRefused, 5U);
 }
 
-TEST(BatchWriter, RefusesWhatNoTransactionCanHold)
+TEST(BatchWriter, RefusesInvalidRecords)
 {
   MemoryStore store;
   BatchWriter writer(store, {}, SpawnFiber);
@@ -140,7 +140,7 @@
   EXPECT_TRUE(outcomes[1].ok());
 }
 
-TEST(BatchWriter, RefusesWhatWaitsWhenItStops)
+TEST(BatchWriter, RefusesQueuedWritesWhenItStops)
 {
   MemoryStore store;
   absl::StatusOr<Revision> outcome;
@@ -158,13 +158,13 @@
   EXPECT_TRUE(absl::IsNotFound(store.Read("/a").status()));
 }
 
-/// What each write, known by its unique value, was reported.
+/// The reported outcome of one write, which its unique value identifies.
 struct WriteOutcome
 {
   absl::StatusOr<Revision> mOutcome;
 };
 
-/// Owners that owners for a few keys over an unreliable store.
+/// Owners that write a few shared keys over an unreliable store.
 class ConcurrentOwners
 {
 public:
@@ -233,7 +233,7 @@
 };
 
 RC_GTEST_PROP(BatchWriterProperty,
-              NeitherDoublesAWriteNorLosesOneNorDeniesIt,
+              AppliesAtMostOnceWithCorrectVerdicts,
               (std::uint32_t aSeed))
 {
   ConcurrentOwners owners(aSeed);
--- a/tests/store/EtcdStoreTest.cpp
+++ b/tests/store/EtcdStoreTest.cpp
@@ -20,7 +20,7 @@
 constexpr char kApplied[] =
   R"({"header":{"revision":"7"},"succeeded":true,"kvs":[]})";
 
-/// Answers every request alike and counts them.
+/// Answers every request with the same response and counts requests.
 struct FixedServer
 {
   FixedServer(net::FiberRuntime& aRuntime, unsigned aStatus, std::string aBody)
@@ -43,7 +43,7 @@
   std::unique_ptr<net::HttpServer> mServer;
 };
 
-/// A port where nobody listens.
+/// A port without a listener.
 Endpoint ClosedEndpoint(net::FiberRuntime& aRuntime)
 {
   return FixedServer(aRuntime, 200, "").At();
@@ -56,7 +56,7 @@
   const char* mBody;
   Code mCode;
   Verdict mOfWrite;
-  bool mNextTried = false; ///< Whether a read goes on to the next endpoint.
+  bool mNextTried = false; ///< Whether a read tries the next endpoint.
 };
 
 class EtcdReply : public testing::TestWithParam<ReplyCase>
@@ -83,7 +83,7 @@
   });
 }
 
-constexpr char kCeiling[] = R"({"error":"etcdserver: busy","code":8})";
+constexpr char kRateLimited[] = R"({"error":"etcdserver: busy","code":8})";
 constexpr char kNoLeader[] = R"({"error":"etcdserver: no leader","code":14})";
 constexpr char kTimedOut[] = R"({"error":"etcdserver: timed out","code":14})";
 constexpr char kDuplicate[] = R"({"error":"duplicate key","code":3})";
@@ -95,7 +95,11 @@
   Replies,
   EtcdReply,
   testing::Values(
-    ReplyCase{ "Ceiling", 503, kCeiling, Code::kResourceExhausted, kNotRun },
+    ReplyCase{ "Ceiling",
+               503,
+               kRateLimited,
+               Code::kResourceExhausted,
+               kNotRun },
     ReplyCase{ "TooMany", 429, "", Code::kResourceExhausted, kNotRun },
     ReplyCase{ "NoLeader", 503, kNoLeader, Code::kUnavailable, kNotRun, true },
     ReplyCase{ "InDoubt",
@@ -118,7 +122,7 @@
   net::FiberRuntime mRuntime{ 1 };
 };
 
-TEST_F(EtcdEndpoints, GoesOnWhenNobodyListensAndStaysThere)
+TEST_F(EtcdEndpoints, SwitchesPermanentlyFromAClosedEndpoint)
 {
   FixedServer second(mRuntime, 200, kApplied);
   const Endpoint closed = ClosedEndpoint(mRuntime);
@@ -145,7 +149,7 @@
   });
 }
 
-TEST_F(EtcdEndpoints, ReportsNotRunWhenNobodyListens)
+TEST_F(EtcdEndpoints, ReportsNotRunWhenAllEndpointsAreClosed)
 {
   const Endpoint closed = ClosedEndpoint(mRuntime);
   EtcdStore store(mRuntime, { .mEndpoints = { closed, closed } });
