--- a/apps/entry/AgentCalls.cpp
+++ b/apps/entry/AgentCalls.cpp
@@ -33,7 +33,7 @@
   return std::chrono::seconds(seconds);
 }
 
-/// Reads what the agent says about the attempt and takes its own headers off.
+/// Parses the agent's headers into an Attempt and removes the load header.
 Attempt ParseAttempt(net::HttpResponse aResponse)
 {
   Attempt attempt;
@@ -59,8 +59,9 @@
 AgentCalls::AgentCalls(net::HttpClient& aClient, Metrics& aMetrics)
   : mClient(aClient)
   , mRpc(aClient)
-  , mRevoked(aMetrics.Counter("requests_revoked_total",
-                              "Lost attempts that an agent said never ran"))
+  , mRevoked(
+      aMetrics.Counter("requests_revoked_total",
+                       "Lost attempts that an agent confirmed as not run"))
 {
 }
 
@@ -92,10 +93,10 @@
                                   const RoutableAgent& aAgent,
                                   Duration aAge)
 {
-  Revoke question;
-  question.mRequest = aCaller.mId;
-  question.mAge = aAge;
-  const auto reply = SendRevoke(question, aAgent);
+  Revoke revoke;
+  revoke.mRequest = aCaller.mId;
+  revoke.mAge = aAge;
+  const auto reply = SendRevoke(revoke, aAgent);
   if (!reply || reply->mVerdict != Verdict::NotRun) {
     return Verdict::MayHaveRun;
   }
@@ -106,18 +107,18 @@
 std::optional<RevokeReply> AgentCalls::RevokeKey(const CallerRequest& aCaller,
                                                  const RoutableAgent& aAgent)
 {
-  Revoke question;
-  question.mRequest = aCaller.mId;
-  question.mCustomer = aCaller.mCustomer;
-  question.mIdempotencyKey = std::string(aCaller.mIdempotencyKey);
-  return SendRevoke(question, aAgent);
+  Revoke revoke;
+  revoke.mRequest = aCaller.mId;
+  revoke.mCustomer = aCaller.mCustomer;
+  revoke.mIdempotencyKey = std::string(aCaller.mIdempotencyKey);
+  return SendRevoke(revoke, aAgent);
 }
 
-std::optional<RevokeReply> AgentCalls::SendRevoke(const Revoke& aQuestion,
+std::optional<RevokeReply> AgentCalls::SendRevoke(const Revoke& aRevoke,
                                                   const RoutableAgent& aAgent)
 {
   const auto reply = net::CallTyped<RevokeReply>(
-    mRpc, aAgent.mEndpoint, kRevokeMethod, aQuestion, kRevokeTimeout);
+    mRpc, aAgent.mEndpoint, kRevokeMethod, aRevoke, kRevokeTimeout);
   if (!reply.ok()) {
     return std::nullopt;
   }
--- a/apps/entry/AgentCalls.h
+++ b/apps/entry/AgentCalls.h
@@ -13,31 +13,30 @@
 
 namespace foxtailbarrow::entry {
 
-/// What became of sending a request to one agent.
+/// Outcome of sending a request to one agent.
 struct Attempt
 {
   Verdict mVerdict = Verdict::MayHaveRun;
-  Reason mReason = Reason::None; ///< Set when the agent refused.
+  Reason mReason = Reason::None; ///< Set if the agent refused.
   std::optional<Duration> mRetryAfter;
-  std::optional<net::HttpResponse> mResponse; ///< Whole, when there is one.
+  std::optional<net::HttpResponse> mResponse; ///< Complete, if any.
   std::optional<LoadSnapshot> mLoad;
 };
 
-/// The calls that the request path makes to agents. Callable from any request
-/// thread.
+/// Calls from the request path to agents. Callable from any request thread.
 class AgentCalls
 {
 public:
   AgentCalls(net::HttpClient& aClient, Metrics& aMetrics);
 
-  /// Sends the request and judges the outcome. Where the connection broke and
-  /// the request is not idempotent, the agent is asked to revoke it.
+  /// Sends the request and classifies the outcome. If the connection broke and
+  /// the request is not idempotent, asks the agent to revoke it.
   Attempt Send(net::HttpRequest& aRequest,
                const CallerRequest& aCaller,
                const RoutableAgent& aAgent);
 
-  /// Asks the agent never to run the caller's idempotency key; nullopt when it
-  /// does not answer.
+  /// Asks the agent never to run a request with the caller's idempotency key;
+  /// nullopt if it does not answer.
   std::optional<RevokeReply> RevokeKey(const CallerRequest& aCaller,
                                        const RoutableAgent& aAgent);
 
@@ -45,7 +44,7 @@
   Verdict RevokeRequest(const CallerRequest& aCaller,
                         const RoutableAgent& aAgent,
                         Duration aAge);
-  std::optional<RevokeReply> SendRevoke(const Revoke& aQuestion,
+  std::optional<RevokeReply> SendRevoke(const Revoke& aRevoke,
                                         const RoutableAgent& aAgent);
 
   net::HttpClient& mClient;
--- a/apps/entry/CallerRequest.cpp
+++ b/apps/entry/CallerRequest.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kMaxIdBytes = 128;
 
-/// Idempotent by the definition of HTTP's methods.
+/// Methods that HTTP defines as idempotent.
 constexpr std::array<std::string_view, 6> kIdempotentMethods = {
   "GET", "HEAD", "PUT", "DELETE", "OPTIONS", "TRACE"
 };
@@ -33,7 +33,7 @@
          aChar == '.' || aChar == '_' || aChar == ':' || aChar == '-';
 }
 
-/// What the messages between the processes allow as an id.
+/// True for an id that is valid in messages between processes.
 bool IsRequestId(std::string_view aText)
 {
   return !aText.empty() && aText.size() <= kMaxIdBytes &&
@@ -82,11 +82,11 @@
   request.mIdempotent =
     std::ranges::find(kIdempotentMethods, aRequest.mMethod) !=
     kIdempotentMethods.end();
-  if (const auto mark = headers.Find(kIdempotentHeader)) {
-    if (*mark != "true" && *mark != "false") {
+  if (const auto idempotent = headers.Find(kIdempotentHeader)) {
+    if (*idempotent != "true" && *idempotent != "false") {
       return BadHeader("Foxtailbarrow-Idempotent: allowed true, false");
     }
-    request.mIdempotent = *mark == "true";
+    request.mIdempotent = *idempotent == "true";
   }
   Duration remaining = aLimits.mDefault;
   if (const auto text = headers.Find(kDeadlineHeader)) {
--- a/apps/entry/CallerRequest.h
+++ b/apps/entry/CallerRequest.h
@@ -10,7 +10,7 @@
 
 namespace foxtailbarrow::entry {
 
-/// A caller's request as its headers describe it. Views point into the request.
+/// Parsed headers of a caller's request. Views refer to the HTTP request.
 struct CallerRequest
 {
   CustomerId mCustomer;
@@ -22,11 +22,12 @@
 
 struct DeadlineLimits
 {
-  Duration mDefault; ///< For requests that state none.
+  Duration mDefault; ///< For requests without one.
   Duration mMax;
 };
 
-/// Checks the headers. `aGeneratedId` is taken where the caller gave no id.
+/// Parses and validates the headers. `aGeneratedId` is used if the caller sent
+/// no id.
 std::variant<CallerRequest, Refusal> ReadCallerRequest(
   const net::HttpRequest& aRequest,
   const DeadlineLimits& aLimits,
--- a/apps/entry/ContractTable.h
+++ b/apps/entry/ContractTable.h
@@ -9,23 +9,23 @@
 
 namespace foxtailbarrow::entry {
 
-/// A customer as the request threads see it. The admission object outlives
-/// changes of the contract, since it counts what is in progress.
+/// A customer's state on the request threads. The admission object is kept when
+/// the contract changes, since it counts the requests in progress.
 struct CustomerState
 {
   std::shared_ptr<const Contract> mContract;
   std::shared_ptr<CustomerAdmission> mAdmission;
 };
 
-/// The contracts in force, as the request threads see them. Immutable but for
-/// the admission counts.
+/// The contracts in force, for the request threads. Immutable except for the
+/// admission counts.
 struct ContractTable
 {
-  /// Revision of the store at which it was complete; 0 = not read yet.
+  /// Store revision that the table reflects; 0 = not read yet.
   Revision mAsOf = 0;
   absl::flat_hash_map<CustomerId, CustomerState> mCustomers;
 
-  /// Null when the customer has no contract.
+  /// Null if the customer has no contract.
   const CustomerState* Find(const CustomerId& aCustomer) const
   {
     const auto found = mCustomers.find(aCustomer);
--- a/apps/entry/ContractWatcher.cpp
+++ b/apps/entry/ContractWatcher.cpp
@@ -30,14 +30,14 @@
 {
   mContext.mRuntime.Spawn([this] {
     while (true) {
-      Follow();
+      ListAndWatch();
       boost::this_fiber::sleep_for(
         Jitter(kMinRetryDelay, kMaxRetryDelay, mRandom));
     }
   });
 }
 
-void ContractWatcher::Follow()
+void ContractWatcher::ListAndWatch()
 {
   const auto listing = mContext.mStore.List(kContractPrefix);
   if (!listing.ok()) {
@@ -45,7 +45,7 @@
   }
   OnUpdate(mSource.ApplyListing(*listing));
   if (mTable.Load()->mAsOf == 0) {
-    Publish(); // The store may hold none.
+    Publish(); // Marks the table as read even if there are no contracts.
   }
   const absl::Status ended =
     mContext.mStore.Watch(kContractPrefix,
@@ -83,14 +83,14 @@
 void ContractWatcher::Publish()
 {
   const auto view = mSource.View();
-  const auto former = mTable.Load();
+  const auto previous = mTable.Load();
   auto table = std::make_shared<ContractTable>();
   table->mAsOf = mSource.AsOf();
   for (const auto& record : view->ByRevision()) {
     if (record->mContract == nullptr) {
       continue;
     }
-    const CustomerState* known = former->Find(record->mCustomer);
+    const CustomerState* known = previous->Find(record->mCustomer);
     table->mCustomers.emplace(
       record->mCustomer,
       CustomerState{ record->mContract,
--- a/apps/entry/ContractWatcher.h
+++ b/apps/entry/ContractWatcher.h
@@ -13,9 +13,9 @@
 
 namespace foxtailbarrow::entry {
 
-/// Follows the contracts in the store by one watch, publishes them to the
-/// request threads and hands them on to agents in heartbeat replies. While the
-/// store is away the last ones stay in force.
+/// Watches the contracts in the store, publishes them to the request threads
+/// and sends them to agents in heartbeat replies. While the store is
+/// unavailable, the last known contracts stay in force.
 class ContractWatcher
 {
 public:
@@ -30,19 +30,19 @@
                   Snapshot<ContractTable>& aTable,
                   Listener aListener);
 
-  /// Starts the fiber that follows the store.
+  /// Starts the fiber that watches the store.
   void Start();
 
-  /// Adds to the reply what the agent has not seen yet.
+  /// Adds the contract changes that the agent has not received yet.
   void Contribute(const Heartbeat& aHeartbeat, HeartbeatReply& aReply);
 
   bool Has(const CustomerId& aCustomer) const;
 
-  /// Revision of the store at which the contracts were complete; 0 = never.
+  /// Store revision that the contracts reflect; 0 = not read yet.
   Revision AsOf() const { return mSource.AsOf(); }
 
 private:
-  void Follow();
+  void ListAndWatch();
   void OnUpdate(const ConfigurationUpdate& aUpdate);
   void Publish();
 
--- a/apps/entry/ControlContext.h
+++ b/apps/entry/ControlContext.h
@@ -8,9 +8,9 @@
 
 namespace foxtailbarrow::entry {
 
-/// What every part of the control thread uses. All parts run in fibers of the
-/// runtime's single thread, so that their state needs no locks: it changes only
-/// between two suspensions.
+/// Shared by the components of the control thread. They run in fibers of the
+/// runtime's single thread, so their state needs no locks: other fibers run
+/// only while the current one is suspended.
 struct ControlContext
 {
   EntryId mSelf;
--- a/apps/entry/EntryMetrics.cpp
+++ b/apps/entry/EntryMetrics.cpp
@@ -45,13 +45,13 @@
 void AddJobMetrics(Metrics& aMetrics, const JobScheduler& aScheduler)
 {
   for (const auto& [what, counter] : kJobCounters) {
-    aMetrics.SampledGauge(
-      "job_events",
-      "What became of jobs and their records since the start",
-      [&aScheduler, counter = counter] {
-        return static_cast<double>(aScheduler.Counters().*counter);
-      },
-      { { "what", what } });
+    aMetrics.SampledGauge("job_events",
+                          "Events of jobs and their records since the start",
+                          [&aScheduler, counter = counter] {
+                            return static_cast<double>(aScheduler.Counters().*
+                                                       counter);
+                          },
+                          { { "what", what } });
   }
 }
 
--- a/apps/entry/EntryMetrics.h
+++ b/apps/entry/EntryMetrics.h
@@ -4,14 +4,14 @@
 #include "src/platform/store/StoreCallCounts.h"
 #include "src/telemetry/Metrics.h"
 
-/// Metrics that are read from counters kept elsewhere. The arguments must
-/// outlive `aMetrics`' last Text(), which runs on the control thread.
+/// Metrics that sample counters of other components. The arguments must outlive
+/// the last call of Metrics::Text(), which runs on the control thread.
 namespace foxtailbarrow::entry {
 
 /// `store_calls` by kind.
 void AddStoreMetrics(Metrics& aMetrics, const StoreCallCounts& aCounts);
 
-/// `job_events` by what became of jobs and their records.
+/// `job_events` by kind of event.
 void AddJobMetrics(Metrics& aMetrics, const JobScheduler& aScheduler);
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/EntryProcess.cpp
+++ b/apps/entry/EntryProcess.cpp
@@ -25,8 +25,8 @@
 constexpr int kExitSuperseded = 1;
 constexpr Duration kIntervalPoll = std::chrono::seconds(1);
 constexpr Duration kDrainPoll = std::chrono::milliseconds(20);
-/// While the store is away the shards cannot be given back; their next owners
-/// then wait out this entry's tenure.
+/// While the store is unavailable, shards cannot be released. Their next owners
+/// then wait until this entry's tenure expires.
 constexpr Duration kReleaseTimeout = std::chrono::seconds(5);
 
 Incarnation IncarnationNow()
@@ -71,7 +71,7 @@
 
 EntryProcess::~EntryProcess()
 {
-  // Fibers refer to the parts, so that they end first.
+  // Fibers use the components, so the runtimes must stop first.
   mCallers.reset();
   mControl.reset();
   mRequestRuntime.Stop();
@@ -88,7 +88,7 @@
     return control.status();
   }
   mControl = *std::move(control);
-  mControlRuntime.RunAndWait([this] { MakeParts(); });
+  mControlRuntime.RunAndWait([this] { CreateComponents(); });
   auto callers = net::HttpServer::Start(
     mRequestRuntime, mSettings.mListen, [this](net::HttpRequest& aRequest) {
       return ServeCaller(aRequest);
@@ -100,7 +100,7 @@
   return absl::OkStatus();
 }
 
-void EntryProcess::MakeParts()
+void EntryProcess::CreateComponents()
 {
   mEtcdStore = std::make_unique<EtcdStore>(
     mControlRuntime, EtcdSettings{ .mEndpoints = mSettings.mStore });
@@ -110,24 +110,24 @@
   const EntryRecord self{
     mSettings.mId, IncarnationNow(), ControlEndpoint(), 0
   };
-  MakeOwnership(self);
-  MakeShares({ self.mEntry, self.mIncarnation });
-  MakeJobs();
+  CreateOwnership(self);
+  CreateShares({ self.mEntry, self.mIncarnation });
+  CreateJobs();
   mHeartbeatHandler = std::make_unique<HeartbeatHandler>(*mContext, mRouting);
-  MakeRequestPath();
+  CreateRequestPath();
   mAdmin =
     std::make_unique<AdminPages>(mMetrics, mState, [this] { return Health(); });
   AddProcessMetrics(mMetrics);
   AddStoreMetrics(mMetrics, mStore->Counts());
-  AddJobMetrics(mMetrics, mJobs->Logic());
+  AddJobMetrics(mMetrics, mJobs->Scheduler());
   AddContributors();
   AddMethods();
   AddStateSources();
-  StartParts();
+  StartComponents();
   mReady = true;
 }
 
-void EntryProcess::MakeOwnership(const EntryRecord& aSelf)
+void EntryProcess::CreateOwnership(const EntryRecord& aSelf)
 {
   mOwnership = std::make_unique<OwnershipDriver>(
     *mContext,
@@ -145,23 +145,23 @@
       .mDrained = [this] { mOwnershipReleased = true; } });
 }
 
-void EntryProcess::MakeShares(const ShareOwner& aSelf)
+void EntryProcess::CreateShares(const ShareOwner& aSelf)
 {
   ShareSettings settings;
   settings.mSlots = static_cast<std::int32_t>(mSettings.mShareSlots);
   mShareDriver = std::make_unique<ShareDriver>(
-    *mContext, settings, aSelf, mOwnership->Logic(), mShares);
+    *mContext, settings, aSelf, mOwnership->Ownership(), mShares);
 }
 
-void EntryProcess::MakeJobs()
+void EntryProcess::CreateJobs()
 {
   mJobs = std::make_unique<JobDriver>(
     *mContext,
     [this](ShardId aShard) {
-      return mOwnership->Logic().MayExtend(aShard, MonotonicNow());
+      return mOwnership->Ownership().MayExtend(aShard, MonotonicNow());
     },
     [this](ShardId aShard) {
-      return mOwnership->Logic().MayReassign(aShard, MonotonicNow());
+      return mOwnership->Ownership().MayReassign(aShard, MonotonicNow());
     },
     mSettings.mEndedRetention);
   mJobPages =
@@ -174,7 +174,7 @@
                                });
 }
 
-void EntryProcess::MakeRequestPath()
+void EntryProcess::CreateRequestPath()
 {
   mContractWatcher = std::make_unique<ContractWatcher>(
     *mContext, mContracts, [this](const ContractWatcher::Change& aChange) {
@@ -192,7 +192,7 @@
     mMetrics);
 }
 
-void EntryProcess::StartParts()
+void EntryProcess::StartComponents()
 {
   mContractWatcher->Start();
   mHeartbeatHandler->Start();
@@ -222,7 +222,7 @@
     });
   mHeartbeatHandler->AddContributor(
     [this](const Heartbeat&, HeartbeatReply& aReply) {
-      for (const LiveEntry& entry : mOwnership->Logic().Roster().Live()) {
+      for (const LiveEntry& entry : mOwnership->Ownership().Roster().Live()) {
         aReply.mEntries.push_back(entry.mRecord.mEndpoint);
       }
     });
@@ -239,11 +239,11 @@
 {
   mState.Add("agents", [this] {
     return AgentsView(
-      mHeartbeatHandler->Directory(), mJobs->Logic(), MonotonicNow());
+      mHeartbeatHandler->Directory(), mJobs->Scheduler(), MonotonicNow());
   });
-  mState.Add("jobs", [this] { return JobsView(mJobs->Logic()); });
+  mState.Add("jobs", [this] { return JobsView(mJobs->Scheduler()); });
   mState.Add("ownership", [this] {
-    return OwnershipView(mOwnership->Logic(), MonotonicNow());
+    return OwnershipView(mOwnership->Ownership(), MonotonicNow());
   });
   mState.Add("contracts", [this] {
     return ContractsView(*mContracts.Load(),
@@ -284,10 +284,10 @@
     return absl::UnavailableError("draining");
   }
   if (mContractWatcher->AsOf() == 0) {
-    return absl::UnavailableError("no configuration read yet");
+    return absl::UnavailableError("no configuration has been read yet");
   }
   if (mHeartbeatHandler->Directory().IsDiscovering(MonotonicNow())) {
-    return absl::UnavailableError("agents are not known yet");
+    return absl::UnavailableError("agents are still being discovered");
   }
   return absl::OkStatus();
 }
@@ -301,13 +301,13 @@
     mShareDriver->Release();
     mOwnership->Drain();
   });
-  const Instant leaveEnd = std::min(end, MonotonicNow() + kReleaseTimeout);
-  const auto waits = [&](Instant aNow) {
+  const Instant releaseEnd = std::min(end, MonotonicNow() + kReleaseTimeout);
+  const auto mustWait = [&](Instant aNow) {
     return mCallers->RequestsInProgress() > 0
              ? aNow < end
-             : !mOwnershipReleased && aNow < leaveEnd;
+             : !mOwnershipReleased && aNow < releaseEnd;
   };
-  while (waits(MonotonicNow())) {
+  while (mustWait(MonotonicNow())) {
     std::this_thread::sleep_for(kDrainPoll);
   }
 }
--- a/apps/entry/EntryProcess.h
+++ b/apps/entry/EntryProcess.h
@@ -22,31 +22,31 @@
 
 namespace foxtailbarrow::entry {
 
-/// All parts of an entry, put together. Two sets of threads: request threads
-/// share only snapshots and atomics with the one control thread.
+/// The entry process: creates and connects its components. Request threads
+/// share only snapshots and atomics with the single control thread.
 class EntryProcess
 {
 public:
   explicit EntryProcess(const EntrySettings& aSettings);
   ~EntryProcess();
 
-  /// Listens and starts to serve.
+  /// Starts listening and serving.
   absl::Status Start();
 
   Endpoint CallersEndpoint() const { return mCallers->ListeningEndpoint(); }
   Endpoint ControlEndpoint() const { return mControl->ListeningEndpoint(); }
 
-  /// Stops accepting, finishes requests in progress, releases the shards.
-  /// Returns when done, or after the drain timeout.
+  /// Stops accepting requests, finishes those in progress and releases the
+  /// shards. Returns when done or after the drain timeout.
   void Drain();
 
 private:
-  void MakeParts();
-  void MakeOwnership(const EntryRecord& aSelf);
-  void MakeShares(const ShareOwner& aSelf);
-  void MakeJobs();
-  void MakeRequestPath();
-  void StartParts();
+  void CreateComponents();
+  void CreateOwnership(const EntryRecord& aSelf);
+  void CreateShares(const ShareOwner& aSelf);
+  void CreateJobs();
+  void CreateRequestPath();
+  void StartComponents();
   void AddContributors();
   void AddMethods();
   void AddStateSources();
--- a/apps/entry/EntrySettings.cpp
+++ b/apps/entry/EntrySettings.cpp
@@ -9,7 +9,7 @@
 constexpr std::int64_t kMaxThreads = 64;
 constexpr std::int64_t kMaxShards = 4096;
 constexpr std::int64_t kMaxShareSlots = 1024;
-constexpr Duration kMaxKeepEnded = std::chrono::hours(24 * 30);
+constexpr Duration kMaxEndedRetention = std::chrono::hours(24 * 30);
 
 } // namespace
 
@@ -21,7 +21,7 @@
   using std::chrono::milliseconds;
 
   Settings settings("foxtailbarrow-entry",
-                    "Takes callers' requests and places jobs.");
+                    "Routes callers' requests and schedules jobs.");
   settings.AddId("--id", aSettings.mId, "id of this entry").Required();
   settings.AddListen("--listen", aSettings.mListen, "address for callers");
   settings.AddListen(
@@ -47,19 +47,20 @@
   settings.AddMilliseconds("--default-deadline-ms",
                            aSettings.mDefaultDeadline,
                            { milliseconds(10), hours(1) },
-                           "deadline of requests that state none");
+                           "deadline of requests without one");
   settings.AddMilliseconds("--max-deadline-ms",
                            aSettings.mMaxDeadline,
                            { milliseconds(10), hours(1) },
-                           "longest deadline that a caller may state");
+                           "maximum deadline of a request");
   settings.AddMilliseconds("--keep-ended-ms",
                            aSettings.mEndedRetention,
-                           { std::chrono::seconds(1), kMaxKeepEnded },
-                           "how long records of ended jobs stay at least");
-  settings.AddMilliseconds("--drain-timeout-ms",
-                           aSettings.mDrainTimeout,
-                           { milliseconds(0), hours(1) },
-                           "how long a stop waits for requests in progress");
+                           { std::chrono::seconds(1), kMaxEndedRetention },
+                           "minimum time to keep records of ended jobs");
+  settings.AddMilliseconds(
+    "--drain-timeout-ms",
+    aSettings.mDrainTimeout,
+    { milliseconds(0), hours(1) },
+    "maximum time to wait for requests in progress on shutdown");
   settings.AddLogLevel(aSettings.mLogLevel);
   return settings.Parse(aCount, aArguments);
 }
--- a/apps/entry/EntrySettings.h
+++ b/apps/entry/EntrySettings.h
@@ -12,7 +12,7 @@
 
 namespace foxtailbarrow::entry {
 
-/// Settings of foxtailbarrow-entry. Source: flags and environment variables.
+/// Settings of foxtailbarrow-entry, from flags and environment variables.
 struct EntrySettings
 {
   EntryId mId;
@@ -20,17 +20,17 @@
   Endpoint mControl{ "127.0.0.1", 0 }; ///< JSON-RPC, metrics, state.
   std::vector<Endpoint> mStore;
   FailureDomainId mFailureDomain;
-  unsigned mThreads = 2; ///< That serve requests; one more serves control.
+  unsigned mThreads = 2; ///< For requests; control has its own thread.
   std::uint32_t mShards = 64;
   std::uint32_t mShareSlots = 3;
   Duration mDefaultDeadline = std::chrono::seconds(10);
   Duration mMaxDeadline = std::chrono::minutes(5);
-  Duration mEndedRetention = std::chrono::hours(24); ///< Records of ended jobs.
+  Duration mEndedRetention = std::chrono::hours(24); ///< Of job records.
   Duration mDrainTimeout = std::chrono::seconds(30);
   LogLevel mLogLevel = LogLevel::Info;
 };
 
-/// Fills `aSettings`. Returns the exit code when the program is to end now.
+/// Fills `aSettings`. Returns an exit code if the program must exit now.
 std::optional<int> ParseSettings(int aCount,
                                  const char* const* aArguments,
                                  EntrySettings& aSettings);
--- a/apps/entry/ErrorResponse.cpp
+++ b/apps/entry/ErrorResponse.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::int64_t WholeSeconds(Duration aDuration)
+std::int64_t CeilSeconds(Duration aDuration)
 {
   return std::chrono::ceil<std::chrono::seconds>(aDuration).count();
 }
@@ -27,7 +27,7 @@
   response.mHeaders.Set(kReasonHeader, ToString(aRefusal.mReason));
   if (aRefusal.mRetryAfter) {
     response.mHeaders.Set(kRetryAfterHeader,
-                          std::to_string(WholeSeconds(*aRefusal.mRetryAfter)));
+                          std::to_string(CeilSeconds(*aRefusal.mRetryAfter)));
   }
   return response;
 }
--- a/apps/entry/ErrorResponse.h
+++ b/apps/entry/ErrorResponse.h
@@ -10,18 +10,19 @@
 
 namespace foxtailbarrow::entry {
 
-/// Why a request got no answer of its own.
+/// Error that the entry itself answers a request with.
 struct Refusal
 {
   unsigned mStatus = 503;
   Verdict mVerdict = Verdict::NotRun;
   Reason mReason = Reason::None;
-  /// When a new attempt makes sense; rounded up to whole seconds.
+  /// Delay before a retry makes sense; sent rounded up to whole seconds.
   std::optional<Duration> mRetryAfter{};
   std::string_view mMessage{};
 };
 
-/// The final answer for a refusal: headers and a JSON body say the same.
+/// The response for a refusal. The reason and the verdict are both in the
+/// headers and in the JSON body.
 net::HttpResponse ErrorResponse(const Refusal& aRefusal);
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/HeartbeatHandler.cpp
+++ b/apps/entry/HeartbeatHandler.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Also how long changes of membership other than a drain may gather before a
-/// new routing table is made.
+/// Also the longest delay before a membership change other than a drain is
+/// published in a new routing table.
 constexpr Duration kAdvanceInterval = std::chrono::milliseconds(100);
 constexpr Duration kEvaluateInterval = std::chrono::seconds(1);
 
--- a/apps/entry/HeartbeatHandler.h
+++ b/apps/entry/HeartbeatHandler.h
@@ -15,9 +15,8 @@
 
 namespace foxtailbarrow::entry {
 
-/// Answers the agents' heartbeats: keeps the directory, publishes routing
-/// tables to the request threads, and lets the parts that have something for
-/// the agent fill in the reply.
+/// Handles agents' heartbeats: updates the agent directory, publishes routing
+/// tables to the request threads, and lets contributors fill in the reply.
 class HeartbeatHandler
 {
 public:
@@ -31,14 +30,14 @@
   /// Registers `agent.heartbeat`.
   void AddMethods(net::RpcDispatcher& aDispatcher);
 
-  /// The contracts changed: requests of each customer use no more copies than
-  /// its contract allows.
+  /// Limits each customer's requests to the number of copies that its contract
+  /// allows.
   void SetAllowances(std::vector<CopyAllowance> aAllowances);
 
-  /// Longest interval at which a serving agent sends heartbeats, as learned.
+  /// Longest estimated heartbeat interval of the serving agents.
   Duration MaxHeartbeatInterval() const;
 
-  /// Starts the fiber that notices silent agents.
+  /// Starts the fiber that detects missing heartbeats and unhealthy agents.
   void Start();
 
   const AgentDirectory& Directory() const { return mDirectory; }
@@ -52,7 +51,7 @@
   ControlContext& mContext;
   Snapshot<RoutingTable>& mTable;
   AgentDirectory mDirectory;
-  /// Without the limits of copies, as the detector judges it.
+  /// Without copy limits; input of the outlier detector.
   std::shared_ptr<const RoutingTable> mUnlimitedTable;
   std::vector<CopyAllowance> mAllowances;
   OutlierDetector mDetector;
--- a/apps/entry/JobChangeNotifier.cpp
+++ b/apps/entry/JobChangeNotifier.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kMaxPending = 10'000;
 constexpr Duration kRetryInterval = std::chrono::milliseconds(300);
-/// Longer than a takeover of a shard from an owner that died.
+/// Longer than the takeover of a shard from an owner that died.
 constexpr Duration kGiveUpAfter = std::chrono::seconds(30);
 constexpr Duration kPeerTimeout = std::chrono::seconds(2);
 
@@ -28,7 +28,7 @@
   , mHandleLocally(std::move(aHandleLocally))
   , mAbandoned(aContext.mMetrics.Counter(
       "job_hints_given_up_total",
-      "Words about changed jobs that no owner took in time"))
+      "Notifications of changed jobs that no owner confirmed"))
 {
 }
 
--- a/apps/entry/JobChangeNotifier.h
+++ b/apps/entry/JobChangeNotifier.h
@@ -9,17 +9,17 @@
 
 namespace foxtailbarrow::entry {
 
-/// Tells the owner of a shard that a job's record changed, again and again
-/// until an owner has taken the word, since the shard may change hands at that
-/// moment. Bounded in number and time; beyond that the owner's own listing
-/// finds the job. Keeps nothing beyond its process.
+/// Notifies the owner of a shard that a job's record changed. Retries until an
+/// owner confirms, since the shard may be changing owners. Bounded in number
+/// and time; beyond that, the owner finds the job when it relists the shard.
+/// Pending notifications are lost when the process ends.
 class JobChangeNotifier
 {
 public:
-  /// Where the shard's owner answers; nullopt when none is known.
+  /// Endpoint of the shard's owner; nullopt if unknown.
   using OwnerOf = std::function<std::optional<Endpoint>(ShardId)>;
 
-  /// Takes the word on this entry; false when it does not own the shard.
+  /// Handles the change on this entry; false if it does not own the shard.
   using HandleLocally = std::function<bool(const JobChanged&)>;
 
   JobChangeNotifier(ControlContext& aContext,
@@ -37,7 +37,7 @@
   ControlContext& mContext;
   OwnerOf mOwnerOf;
   HandleLocally mHandleLocally;
-  std::map<JobId, Instant> mPending; ///< Until when each is sent again.
+  std::map<JobId, Instant> mPending; ///< When to give up each one.
   prometheus::Counter& mAbandoned;
 };
 
--- a/apps/entry/JobDriver.cpp
+++ b/apps/entry/JobDriver.cpp
@@ -19,14 +19,14 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(20);
 constexpr Duration kAgentTimeout = std::chrono::seconds(2);
-/// Longest wait of a record for others to share its transaction.
+/// Longest time that a record waits to be batched with others.
 constexpr Duration kCommitLinger = std::chrono::milliseconds(5);
-/// Every held shard is listed again this often.
+/// Interval at which each owned shard is relisted.
 constexpr Duration kRelistInterval = std::chrono::seconds(30);
 constexpr Duration kMinRelistInterval = std::chrono::seconds(1);
 constexpr Duration kListRetry = std::chrono::milliseconds(500);
 
-/// The job's record changes only while its shard has the same holder.
+/// The guard rejects the write if the shard has a new owner.
 RecordWrite ToRecordWrite(const CommitRecord& aCommit)
 {
   const std::string key = JobKey(aCommit.mShard, aCommit.mRecord.mSpec.mId);
@@ -82,7 +82,7 @@
   , mEnded(aEndedRetention)
   , mDeleted(aContext.mMetrics.Counter(
       "job_records_deleted_total",
-      "Records of ended jobs deleted after their keeping time"))
+      "Records of ended jobs deleted after their retention"))
 {
 }
 
@@ -107,7 +107,7 @@
 void JobDriver::Handle(const JobEvent& aEvent)
 {
   const JobScheduler::Actions actions =
-    mLogic.Handle(aEvent, MonotonicNow(), mRandom);
+    mScheduler.Handle(aEvent, MonotonicNow(), mRandom);
   for (const JobAction& action : actions) {
     std::visit([this](const auto& aAction) { Run(aAction); }, action);
   }
@@ -126,7 +126,7 @@
     const auto listing = mContext.mStore.List(JobShardPrefix(aShard));
     if (const auto held = mHeld.find(aShard);
         held == mHeld.end() || held->second != aGeneration) {
-      return; // Lost meanwhile.
+      return; // Lost or acquired anew in the meantime.
     }
     if (!listing.ok()) {
       boost::this_fiber::sleep_for(kListRetry);
@@ -143,8 +143,8 @@
   }
 }
 
-/// Finds jobs whose word never came, since the process that accepted them died:
-/// one held shard after the other.
+/// Relists one owned shard after the other. Finds jobs whose notification was
+/// never sent because the process that accepted them died.
 void JobDriver::RelistNext()
 {
   auto next = mHeld.upper_bound(mLastRelisted);
@@ -163,12 +163,12 @@
 
 void JobDriver::ReadChanged(ShardId aShard, const StoreListing& aListing)
 {
-  if (!mLogic.Owns(aShard)) {
+  if (!mScheduler.Owns(aShard)) {
     return;
   }
   for (const StoreEntry& entry : aListing.mEntries) {
     const JobId job(entry.mKey.substr(JobShardPrefix(aShard).size()));
-    const JobEntry* known = mLogic.Jobs().Find(job);
+    const JobEntry* known = mScheduler.Jobs().Find(job);
     if (known != nullptr && known->mStored.mRevision >= entry.mModRevision) {
       continue;
     }
@@ -215,7 +215,7 @@
 
 bool JobDriver::OnJobChanged(const JobChanged& aChange)
 {
-  if (!mLogic.Owns(aChange.mShard)) {
+  if (!mScheduler.Owns(aChange.mShard)) {
     return false;
   }
   Run(ReadJob{ aChange.mShard, aChange.mJob });
@@ -241,8 +241,9 @@
   if (!extension) {
     return replies;
   }
-  // An assignment lives on the heartbeat that it names until it is listed, so
-  // that shards without a listed task need no lease in the reply.
+  // Until the agent lists an assigned task, the task's lease counts from the
+  // heartbeat that the assignment names. Shards without a listed task therefore
+  // need no lease in the reply.
   absl::flat_hash_set<ShardId> listed;
   for (const TaskReport& task : aHeartbeat.mTasks) {
     listed.insert(task.mShard);
@@ -276,14 +277,15 @@
 
 void JobDriver::Run(const SendAssign& aAction)
 {
-  // After a pause the right may have lapsed since the assignment was decided,
-  // and another owner may have given the job away.
+  // After a pause of the process, the right to extend leases may have lapsed
+  // since the assignment was decided, and another owner may have assigned the
+  // job.
   if (!mMayExtend(aAction.mAssign.mShard)) {
     mContext.mRuntime.Spawn([this, key = aAction.mAssign.mTask.mKey] {
-      Handle(AssignDone{
-        key,
-        WithVerdict(absl::FailedPreconditionError("ownership is not proved"),
-                    Verdict::NotRun) });
+      Handle(AssignDone{ key,
+                         WithVerdict(absl::FailedPreconditionError(
+                                       "shard ownership is not proven"),
+                                     Verdict::NotRun) });
     });
     return;
   }
--- a/apps/entry/JobDriver.h
+++ b/apps/entry/JobDriver.h
@@ -16,7 +16,7 @@
 
 namespace foxtailbarrow::entry {
 
-/// What the reply to an agent's heartbeat carries for its tasks.
+/// Task-related fields of the reply to an agent's heartbeat.
 struct TaskReplies
 {
   std::vector<TaskKey> mAcknowledged;
@@ -24,44 +24,48 @@
   std::vector<ShardLease> mLeases;
 };
 
-/// Runs JobScheduler: carries out its commits, assignments and controls, and
-/// tells it what became of them.
+/// Runs JobScheduler: executes its commits, assignments and controls, and feeds
+/// the results back as events.
 class JobDriver
 {
 public:
   using ShardPredicate = std::function<bool(ShardId)>;
 
-  /// `aMayExtend`: may task leases of the shard be extended now?
-  /// `aMayReassign`: is no lease of an earlier owner left?
-  /// `aEndedRetention`: how long records of ended jobs stay at least.
+  /// `aMayExtend`: whether task leases of the shard may be extended now.
+  /// `aMayReassign`: whether all leases of earlier owners have expired.
+  /// `aEndedRetention`: minimum retention of records of ended jobs.
   JobDriver(ControlContext& aContext,
             ShardPredicate aMayExtend,
             ShardPredicate aMayReassign,
             Duration aEndedRetention);
 
-  /// Starts the ticking fiber and the one that lists held shards again.
+  /// Starts the tick fiber and the fiber that relists owned shards.
   void Start();
 
   void Handle(const JobEvent& aEvent);
 
-  /// Lists the jobs of a shard that was won and hands them to the scheduler.
+  /// Lists the jobs of an acquired shard and passes them to the scheduler.
   void OnShardAcquired(ShardId aShard, Generation aGeneration);
   void OnShardLost(ShardId aShard);
 
-  /// No lease that an earlier owner of the shard granted is left.
+  /// All leases granted by earlier owners of the shard have expired.
   void OnEarlierLeasesExpired(ShardId aShard);
 
-  /// Reads a job of which another process says that it changed. False when
-  /// this entry does not own the shard.
+  /// Reads a job that a process reported as changed. Returns false if this
+  /// entry does not own the shard.
   bool OnJobChanged(const JobChanged& aChange);
 
-  /// Gives the heartbeat to the scheduler and returns what its reply carries.
+  /// Passes the heartbeat to the scheduler and returns the task-related fields
+  /// of the reply.
   TaskReplies OnHeartbeat(const Heartbeat& aHeartbeat);
 
   /// See JobScheduler::ExpectInterval().
-  void ExpectInterval(Duration aInterval) { mLogic.ExpectInterval(aInterval); }
+  void ExpectInterval(Duration aInterval)
+  {
+    mScheduler.ExpectInterval(aInterval);
+  }
 
-  const JobScheduler& Logic() const { return mLogic; }
+  const JobScheduler& Scheduler() const { return mScheduler; }
 
 private:
   void ListShard(ShardId aShard, Generation aGeneration);
@@ -83,10 +87,10 @@
   ShardPredicate mMayExtend;
   ShardPredicate mMayReassign;
   BatchWriter mWriter;
-  JobScheduler mLogic;
+  JobScheduler mScheduler;
   EndedRecords mEnded;
   absl::BitGen mRandom;
-  /// Shards held, with the generation under which each is being listed.
+  /// Owned shards, with the generation under which each was acquired.
   absl::btree_map<ShardId, Generation> mHeld;
   ShardId mLastRelisted = 0;
   absl::flat_hash_map<AgentId, TaskReplies> mPending;
--- a/apps/entry/JobPages.cpp
+++ b/apps/entry/JobPages.cpp
@@ -45,7 +45,7 @@
       .mVerdict = aVerdict,
       .mReason = Reason::WaitingForStore,
       .mRetryAfter = kStoreRetryAfter,
-      .mMessage = "the store did not take or answer the call" });
+      .mMessage = "the store rejected the call or did not answer" });
 }
 
 /// Value of a parameter of a query "a=1&b=2"; empty when absent.
@@ -172,7 +172,7 @@
       { .mStatus = 409,
         .mVerdict = Verdict::NotRun,
         .mReason = Reason::DuplicateRequest,
-        .mMessage = "the idempotency key names another job" });
+        .mMessage = "the idempotency key belongs to another job" });
   }
   NotifyOwner(spec->mId);
   return net::JsonResponse(202, SummaryOf(std::get<Submitted>(result).mRecord));
@@ -196,7 +196,7 @@
 {
   const ShardId shard = ShardOfJob(aJob);
   Json::Value view;
-  if (mJobs.Logic().Owns(shard)) {
+  if (mJobs.Scheduler().Owns(shard)) {
     view = ExplainLocally(aJob);
   } else if (const auto owner = OwnerOf(shard)) {
     Json::Value params(Json::objectValue);
@@ -228,7 +228,7 @@
     }
   };
   append(ListLocally());
-  const auto live = mOwnership.Logic().Roster().Live();
+  const auto live = mOwnership.Ownership().Roster().Live();
   const std::vector<LiveEntry> peers(live.begin(), live.end());
   for (const LiveEntry& peer : peers) {
     if (peer.mRecord.mEntry == mContext.mSelf) {
@@ -280,7 +280,7 @@
 
 std::optional<Endpoint> JobPages::OwnerOf(ShardId aShard) const
 {
-  const LiveEntry* owner = mOwnership.Logic().OwnerOf(aShard);
+  const LiveEntry* owner = mOwnership.Ownership().OwnerOf(aShard);
   if (owner == nullptr || owner->mRecord.mEntry == mContext.mSelf) {
     return std::nullopt;
   }
@@ -289,14 +289,15 @@
 
 Json::Value JobPages::ExplainLocally(const JobId& aJob) const
 {
-  const Json::Value view = ExplanationOf(mJobs.Logic(), aJob, MonotonicNow());
+  const Json::Value view =
+    ExplanationOf(mJobs.Scheduler(), aJob, MonotonicNow());
   return view.isNull() ? Json::Value(Json::objectValue) : view;
 }
 
 Json::Value JobPages::ListLocally() const
 {
   Json::Value jobs(Json::arrayValue);
-  mJobs.Logic().Jobs().ForEach([&jobs](const JobEntry& aEntry) {
+  mJobs.Scheduler().Jobs().ForEach([&jobs](const JobEntry& aEntry) {
     jobs.append(SummaryOf(aEntry.Record()));
   });
   return jobs;
--- a/apps/entry/JobPages.h
+++ b/apps/entry/JobPages.h
@@ -20,7 +20,7 @@
 class JobPages
 {
 public:
-  /// True when a contract of the customer is in force.
+  /// True if a contract of the customer is in force.
   using HasContract = std::function<bool(const CustomerId&)>;
 
   JobPages(ControlContext& aContext,
--- a/apps/entry/JobSubmission.cpp
+++ b/apps/entry/JobSubmission.cpp
@@ -35,9 +35,9 @@
   }
   if (body->isMember("id")) {
     return absl::InvalidArgumentError(
-      "id: not allowed; the answer tells the id of the job");
+      "id: not allowed; the response contains the job's id");
   }
-  // Any well-formed id does until the customer is known to be valid.
+  // Placeholder: the id is built from the customer, which is not validated yet.
   (*body)["id"] = "unknown.unknown";
   absl::StatusOr<JobSpec> spec = FromJson<JobSpec>(*body);
   if (spec.ok()) {
--- a/apps/entry/JobSubmission.h
+++ b/apps/entry/JobSubmission.h
@@ -9,13 +9,15 @@
 
 namespace foxtailbarrow::entry {
 
-/// Reads the body of a submission: the JSON of a JobSpec without its id, which
-/// becomes "<customer>.<aUnique>". InvalidArgument lists every problem.
+/// Parses the body of a submission: the JSON of a JobSpec without an id. The id
+/// becomes "<customer>.<aUnique>". An InvalidArgument error lists every
+/// problem.
 absl::StatusOr<JobSpec> ParseSubmission(std::string_view aBody,
                                         std::string_view aUnique);
 
-/// The unique part of a job's id: of the caller's idempotency key, so that a
-/// repeated submission finds the first one, else of `aRandom`.
+/// The unique part of a job's id: derived from the caller's idempotency key, so
+/// that a repeated submission gets the same id, or from `aRandom` without a
+/// key.
 std::string UniquePart(std::string_view aIdempotencyKey, std::uint64_t aRandom);
 
 } // namespace foxtailbarrow::entry
--- a/apps/entry/JobViews.h
+++ b/apps/entry/JobViews.h
@@ -6,10 +6,10 @@
 
 namespace foxtailbarrow::entry {
 
-/// One line of a listing of jobs.
+/// A job's entry in a job list.
 Json::Value SummaryOf(const JobRecord& aRecord);
 
-/// The record and the latest decisions; null for an unknown job.
+/// A job's record and latest decisions; null for an unknown job.
 Json::Value ExplanationOf(const JobScheduler& aScheduler,
                           const JobId& aJob,
                           Instant aNow);
--- a/apps/entry/JobWriter.cpp
+++ b/apps/entry/JobWriter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int kCancelTries = 5;
+constexpr int kMaxCancelTries = 5;
 
 StoreTransaction CreateIfAbsent(const std::string& aKey,
                                 const JobRecord& aRecord)
@@ -89,11 +89,11 @@
 SubmissionResult JobWriter::BlockLateWrite(const std::string& aKey,
                                            const JobSpec& aSpec)
 {
-  JobRecord sealed;
-  sealed.mSpec = aSpec;
-  sealed.mState = JobState::Cancelled;
-  sealed.mReason = std::string(ToString(Reason::WaitingForStore));
-  const auto result = mStore.Commit(CreateIfAbsent(aKey, sealed));
+  JobRecord blocked;
+  blocked.mSpec = aSpec;
+  blocked.mState = JobState::Cancelled;
+  blocked.mReason = std::string(ToString(Reason::WaitingForStore));
+  const auto result = mStore.Commit(CreateIfAbsent(aKey, blocked));
   if (result.ok() && result->mApplied) {
     return SubmissionFailed{ Verdict::NotRun };
   }
@@ -106,7 +106,7 @@
 CancelResult JobWriter::Cancel(ShardId aShard, const JobId& aJob)
 {
   const std::string key = JobKey(aShard, aJob);
-  for (int tries = 0; tries < kCancelTries; ++tries) {
+  for (int tries = 0; tries < kMaxCancelTries; ++tries) {
     const auto entry = mStore.Read(key);
     if (absl::IsNotFound(entry.status())) {
       return CancelResult::Unknown;
--- a/apps/entry/JobWriter.h
+++ b/apps/entry/JobWriter.h
@@ -8,7 +8,7 @@
 
 namespace foxtailbarrow::entry {
 
-/// The record is in the store: the job will run.
+/// The record is in the store and the job will run.
 struct Submitted
 {
   JobRecord mRecord;
@@ -18,7 +18,7 @@
 struct SubmissionConflict
 {};
 
-/// Not accepted; the verdict says whether the job may run all the same.
+/// Not accepted; the verdict tells whether the job may run nevertheless.
 struct SubmissionFailed
 {
   Verdict mVerdict = Verdict::MayHaveRun;
@@ -32,14 +32,14 @@
   Accepted,
   AlreadyFinal,
   Unknown,  ///< No such job.
-  NotSaved, ///< The store did not take it; the job goes on.
+  NotSaved, ///< Not written to the store; the job continues.
 };
 
-/// Writes what callers ask for into job records.
+/// Writes callers' submissions and cancellations into job records.
 ///
-/// A lost reply is read back. Where the record is not there, the write may
-/// still be on its way, so that a record that can never run is written in its
-/// place before the caller is told that nothing ran.
+/// After a lost reply, the record is read back. If it does not exist, the write
+/// may still be in flight, so a record that can never run is written in its
+/// place before the caller is told that the job did not run.
 class JobWriter
 {
 public:
@@ -50,7 +50,7 @@
 
   SubmissionResult Submit(ShardId aShard, const JobSpec& aSpec);
 
-  /// Records the wish to stop the job; its owner carries it out.
+  /// Saves a request to stop the job; the shard's owner stops it.
   CancelResult Cancel(ShardId aShard, const JobId& aJob);
 
 private:
@@ -60,7 +60,7 @@
   SubmissionResult ResultOfExisting(const StoreEntry& aEntry,
                                     const JobSpec& aSpec);
 
-  /// A sealed record's submission is repeated: it is accepted after all.
+  /// Accepts a repeated submission whose first attempt was blocked.
   SubmissionResult Reopen(const StoreEntry& aEntry, const JobSpec& aSpec);
 
   Store& mStore;
--- a/apps/entry/OwnershipDriver.cpp
+++ b/apps/entry/OwnershipDriver.cpp
@@ -26,7 +26,7 @@
                                  const EntryRecord& aSelf,
                                  Callbacks aCallbacks)
   : mContext(aContext)
-  , mLogic(aSettings, aSelf, MonotonicNow())
+  , mOwnership(aSettings, aSelf, MonotonicNow())
   , mCallbacks(std::move(aCallbacks))
 {
 }
@@ -35,11 +35,11 @@
 {
   net::AddTyped<AttestRequest>(
     aDispatcher, kAttestMethod, [this](const AttestRequest& aRequest) {
-      return mLogic.OnAttest(aRequest, MonotonicNow());
+      return mOwnership.OnAttest(aRequest, MonotonicNow());
     });
   net::AddTyped<PromiseRequest>(
     aDispatcher, kPromiseMethod, [this](const PromiseRequest& aRequest) {
-      return mLogic.OnPromise(aRequest);
+      return mOwnership.OnPromise(aRequest);
     });
 }
 
@@ -60,7 +60,7 @@
 
 void OwnershipDriver::Handle(const OwnershipEvent& aEvent)
 {
-  for (const OwnershipAction& action : mLogic.On(aEvent, MonotonicNow())) {
+  for (const OwnershipAction& action : mOwnership.On(aEvent, MonotonicNow())) {
     std::visit([this](const auto& aAction) { Run(aAction); }, action);
   }
 }
@@ -102,7 +102,7 @@
   Send<PromiseReply>(aAction, kPromiseMethod);
 }
 
-/// Sends the action's question; only an answer is an event.
+/// Sends the action's request. Only a reply becomes an event.
 template<typename Reply, typename Action>
 void OwnershipDriver::Send(const Action& aAction, const char* aMethod)
 {
--- a/apps/entry/OwnershipDriver.h
+++ b/apps/entry/OwnershipDriver.h
@@ -8,8 +8,8 @@
 
 namespace foxtailbarrow::entry {
 
-/// Runs ShardOwnership: carries its calls to the store and its messages to
-/// other entries, and tells the job driver which shards were won and lost.
+/// Runs ShardOwnership: executes its store calls, sends its messages to other
+/// entries, and reports acquired and lost shards through callbacks.
 class OwnershipDriver
 {
 public:
@@ -17,9 +17,9 @@
   {
     std::function<void(ShardId, Generation)> mAcquired;
     std::function<void(ShardId)> mReleased;
-    /// No lease of an owner before this one is left.
+    /// All leases granted by earlier owners have expired.
     std::function<void(ShardId)> mEarlierLeasesExpired;
-    std::function<void()> mSuperseded; ///< This process must end.
+    std::function<void()> mSuperseded; ///< This process must exit.
     std::function<void()> mDrained;
   };
 
@@ -31,13 +31,13 @@
   /// Registers `entry.attest` and `entry.promise`.
   void AddMethods(net::RpcDispatcher& aDispatcher);
 
-  /// Starts the ticking fiber.
+  /// Starts the tick fiber.
   void Start();
 
-  /// Releases every shard; mDrained is called when done.
+  /// Releases every shard, then calls mDrained.
   void Drain();
 
-  const ShardOwnership& Logic() const { return mLogic; }
+  const ShardOwnership& Ownership() const { return mOwnership; }
 
 private:
   void Handle(const OwnershipEvent& aEvent);
@@ -55,7 +55,7 @@
   void Send(const Action& aAction, const char* aMethod);
 
   ControlContext& mContext;
-  ShardOwnership mLogic;
+  ShardOwnership mOwnership;
   Callbacks mCallbacks;
 };
 
--- a/apps/entry/RequestProxy.cpp
+++ b/apps/entry/RequestProxy.cpp
@@ -35,7 +35,7 @@
                                 absl::Hex(low, absl::kZeroPad16)));
 }
 
-/// Tells the customer's admission that an admitted request has ended.
+/// Reports the end of an admitted request to the customer's admission.
 class AdmissionGuard
 {
 public:
@@ -52,7 +52,7 @@
   CustomerAdmission& mAdmission;
 };
 
-/// What the attempt tells about the agent and its backend server.
+/// Outcome of the attempt for the agent's health.
 Outcome OutcomeOf(const Attempt& aAttempt)
 {
   if (aAttempt.mVerdict == Verdict::Ran) {
@@ -62,8 +62,8 @@
   return aAttempt.mReason == Reason::None ? Outcome::Failure : Outcome::Neutral;
 }
 
-/// The answer is the caller's: the request ran, or it is one that no agent
-/// would take.
+/// True if the response goes to the caller: the request ran, or it is one that
+/// every agent would reject.
 bool IsFinal(const Attempt& aAttempt)
 {
   if (aAttempt.mVerdict == Verdict::Ran) {
@@ -183,7 +183,7 @@
                 none->mRetryAfter }));
     }
     Picked& picked = std::get<Picked>(choice);
-    if (const auto refusal = RevokeTarget(aProgress, picked)) {
+    if (const auto refusal = RevokeFirst(aProgress, picked)) {
       return Refuse(*refusal);
     }
     ++aProgress.mAttempts;
@@ -199,15 +199,16 @@
   }
 }
 
-/// The customer's own part of the service where its contract allows fewer
-/// copies than serve.
+/// The customer's subset of the service if its contract allows fewer copies
+/// than are serving; the service itself otherwise.
 ServiceId RequestProxy::ServiceOf(const Contract& aContract) const
 {
   const auto table = mRouting.Load();
-  const ServiceTable* whole = table->Find(aContract.mService);
-  if (whole == nullptr || static_cast<std::int64_t>(whole->mServing.size() +
-                                                    whole->mSuspect.size()) <=
-                            aContract.mMaxCopies) {
+  const ServiceTable* service = table->Find(aContract.mService);
+  if (service == nullptr ||
+      static_cast<std::int64_t>(service->mServing.size() +
+                                service->mSuspect.size()) <=
+        aContract.mMaxCopies) {
     return aContract.mService;
   }
   return LimitedService(aContract.mService, aContract.mCustomer);
@@ -227,21 +228,21 @@
                       Random());
 }
 
-/// Has the agents that may know the idempotency key promise not to run it. One
-/// that already did is sent the request itself: it replays its answer.
-std::optional<Refusal> RequestProxy::RevokeTarget(const Progress& aProgress,
-                                                  Picked& aPicked)
+/// Asks the agents that may know the idempotency key to promise not to run it.
+/// An agent that may have run it gets the request and replays its response.
+std::optional<Refusal> RequestProxy::RevokeFirst(const Progress& aProgress,
+                                                 Picked& aPicked)
 {
-  for (const foxtailbarrow::RevokeTarget& ask : aPicked.mRevokeFirst) {
-    const auto reply = mAgents.RevokeKey(aProgress.mCaller, *ask.mAgent);
-    const bool elsewhere =
-      reply && ask.mMustBeFirstPromise && reply->mPromisedBefore;
-    if (!reply || elsewhere) {
+  for (const RevokeTarget& target : aPicked.mRevokeFirst) {
+    const auto reply = mAgents.RevokeKey(aProgress.mCaller, *target.mAgent);
+    const bool mayHaveRunElsewhere =
+      reply && target.mMustBeFirstPromise && reply->mPromisedBefore;
+    if (!reply || mayHaveRunElsewhere) {
       return RefusalOf(
         GiveUp{ Verdict::MayHaveRun, Reason::KeyHolderLost, std::nullopt });
     }
     if (reply->mVerdict != Verdict::NotRun) {
-      aPicked.mAgent = ask.mAgent;
+      aPicked.mAgent = target.mAgent;
       return std::nullopt;
     }
   }
--- a/apps/entry/RequestProxy.h
+++ b/apps/entry/RequestProxy.h
@@ -18,12 +18,12 @@
 
 namespace foxtailbarrow::entry {
 
-/// Takes a caller's request to a backend server and its answer back.
+/// Forwards callers' requests to backend servers and returns their responses.
 ///
-/// Promises: the answer is that to this request, whole or an error; a request
-/// is sent again only when the attempt before did not run or the request is
-/// idempotent; a refusal is answered at once and says when to come back.
-/// Runs on the request threads; shares only snapshots and atomics with others.
+/// Guarantees: a response belongs to its request and is complete or an error; a
+/// request is retried only if the previous attempt did not run or the request
+/// is idempotent; a refusal is sent at once and states when to retry. Runs on
+/// the request threads; shares only snapshots and atomics with others.
 class RequestProxy
 {
 public:
@@ -39,14 +39,14 @@
   net::HttpResponse Forward(net::HttpRequest& aRequest);
 
 private:
-  /// One request on its way through the attempts.
+  /// State of a request across its attempts.
   struct Progress
   {
     net::HttpRequest& mRequest;
     const CallerRequest& mCaller;
     ServiceId mService;
     std::vector<AgentId> mExcluded;
-    Verdict mEarlierVerdict = Verdict::NotRun; ///< Of the attempts so far.
+    Verdict mEarlierVerdict = Verdict::NotRun; ///< Worst one so far.
     bool mKeyRevoked = false;
     int mAttempts = 0;
   };
@@ -57,8 +57,8 @@
   net::HttpResponse Route(Progress& aProgress);
   ServiceId ServiceOf(const Contract& aContract) const;
   Choice Pick(const Progress& aProgress) const;
-  std::optional<Refusal> RevokeTarget(const Progress& aProgress,
-                                      Picked& aPicked);
+  std::optional<Refusal> RevokeFirst(const Progress& aProgress,
+                                     Picked& aPicked);
   Attempt Send(Progress& aProgress, Picked aPicked);
   std::optional<Refusal> AfterFailure(Progress& aProgress,
                                       const Attempt& aAttempt);
--- a/apps/entry/RunOn.h
+++ b/apps/entry/RunOn.h
@@ -10,10 +10,10 @@
 namespace foxtailbarrow::entry {
 
 /// Runs `aBody` in a fiber of another runtime and suspends the calling fiber
-/// until its result is there.
+/// until its result is available.
 ///
-/// The other fiber owns the promise: it still works on the shared state when
-/// the caller, on another thread, already goes on.
+/// The other fiber owns the promise, since it may still access the shared state
+/// after the caller, on another thread, has resumed.
 template<typename Body>
 auto RunOn(net::FiberRuntime& aRuntime, Body aBody)
 {
--- a/apps/entry/ShareDriver.h
+++ b/apps/entry/ShareDriver.h
@@ -10,9 +10,9 @@
 
 namespace foxtailbarrow::entry {
 
-/// Runs ShareAllocator: tells it the roster as ownership's rounds confirm it,
+/// Runs ShareAllocator: passes it the rosters that ownership rounds confirm,
 /// claims a share slot in the store, and publishes to the request threads how
-/// much of every limit this entry may use.
+/// much of each limit this entry may use.
 class ShareDriver
 {
 public:
@@ -25,7 +25,7 @@
   /// Starts the fibers.
   void Start();
 
-  /// Gives the slot back for good, on a planned stop. Suspends the fiber.
+  /// Releases the slot permanently on a planned shutdown. Suspends the fiber.
   void Release();
 
 private:
--- a/apps/entry/StateViews.cpp
+++ b/apps/entry/StateViews.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Jobs listed one by one in a dump; the counts cover all.
+/// Limit on the jobs listed individually; the counts cover all jobs.
 constexpr std::size_t kMaxListedJobs = 1000;
 
 std::string Text(std::string_view aText)
--- a/apps/entry/StateViews.h
+++ b/apps/entry/StateViews.h
@@ -8,18 +8,18 @@
 #include "src/core/membership/AgentDirectory.h"
 #include "src/core/ownership/ShardOwnership.h"
 
-/// Parts of the state dump of an entry.
+/// Sections of an entry's state dump.
 namespace foxtailbarrow::entry {
 
-/// Every known agent, its load and why it gets no work.
+/// Every known agent with its load and, if it gets no work, the reason.
 Json::Value AgentsView(const AgentDirectory& aDirectory,
                        const JobScheduler& aScheduler,
                        Instant aNow);
 
-/// Counts by state, and every job that waits with its latest reason.
+/// Counts by state, and the waiting jobs with their latest reasons.
 Json::Value JobsView(const JobScheduler& aScheduler);
 
-/// Live entries and the shards held.
+/// Live entries and owned shards.
 Json::Value OwnershipView(const ShardOwnership& aOwnership, Instant aNow);
 
 /// The contracts in force, and how much of each limit this entry may use now.
--- a/apps/entry/StoreCalls.cpp
+++ b/apps/entry/StoreCalls.cpp
@@ -20,7 +20,7 @@
   return *std::move(aResult);
 }
 
-/// Runs each kind of call; NotFound of a lease is an answer, not a failure.
+/// Executes each kind of call. NotFound for a lease is a result, not a failure.
 class CallRunner
 {
 public:
--- a/apps/entry/StoreCalls.h
+++ b/apps/entry/StoreCalls.h
@@ -5,7 +5,7 @@
 
 namespace foxtailbarrow::entry {
 
-/// Runs one call that the ownership logic asked for. Suspends the fiber.
+/// Executes a store call requested by ShardOwnership. Suspends the fiber.
 StoreResult RunStoreCall(Store& aStore, const StoreCommand& aCall);
 
 } // namespace foxtailbarrow::entry
