--- a/apps/agent/Agent.cpp
+++ b/apps/agent/Agent.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-/// An agent that no entry has answered for this long leaves without them.
+/// A drained agent exits without acknowledgements after this long without an
+/// answer from any entry.
 constexpr Duration kNoEntryTimeout = std::chrono::seconds(5);
 
-/// Wall time, since a later start of the agent must have a greater number.
+/// Wall-clock time, since a later start must have a greater incarnation.
 Incarnation IncarnationNow()
 {
   const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
@@ -192,7 +193,7 @@
   return mServing;
 }
 
-/// Derives the state from what is known, and opens or closes the door.
+/// Updates the serving state and opens or closes the forwarder.
 void Agent::Update()
 {
   ServingState state = ServingState::Serving;
--- a/apps/agent/Agent.h
+++ b/apps/agent/Agent.h
@@ -26,31 +26,31 @@
 
 namespace foxtailbarrow {
 
-/// The whole agent: one HTTP port for forwarded requests, control messages and
-/// operators' pages, and the fibers behind it.
+/// The agent process: serves forwarded requests, control messages and admin
+/// pages on one HTTP port.
 ///
-/// Its state is Starting until the ledger was rebuilt from the worker and the
-/// backend server answers; Draining for good after Drain(), and for as long as
-/// the backend server is leaving or gone, during which tasks stay.
+/// Its state is Starting until the ledger has been rebuilt from the worker and
+/// the backend server answers. It is Draining permanently after Drain(), and
+/// while the backend server is leaving or unreachable, when tasks continue.
 class Agent
 {
 public:
-  /// Listens and starts every fiber. The runtime must outlive the agent.
+  /// Starts listening and all fibers. The runtime must outlive the agent.
   static absl::StatusOr<std::unique_ptr<Agent>> Start(
     AgentSettings aSettings,
     net::FiberRuntime& aRuntime);
 
   const Endpoint& ListeningEndpoint() const { return mEndpoint; }
 
-  /// Takes nothing new, checkpoints the tasks, and tells the entries at once.
+  /// Refuses new work, checkpoints the tasks and notifies the entries at once.
   void Drain();
 
-  /// True when a drained agent has nothing left to do: no request in progress,
-  /// and entries have heard of it and acknowledged every task's end, or none of
-  /// them answers any more.
+  /// True if a drained agent may exit: no request is in progress, and the
+  /// entries have received the drain and acknowledged the end of every task, or
+  /// no entry answers any more and all tasks have ended.
   bool Done() const;
 
-  /// Stops listening and ends every fiber. Not to be called by a thread of the
+  /// Stops listening and ends all fibers. Must not be called on a thread of the
   /// runtime.
   ~Agent();
 
@@ -92,7 +92,7 @@
   std::atomic<ServingState> mServing{ ServingState::Starting };
   mutable std::mutex mConfigurationMutex; ///< Guards mConfiguration.
   ConfigurationFollower mConfiguration;
-  Endpoint mEndpoint; ///< Where mServer listens.
+  Endpoint mEndpoint; ///< mServer listens on it.
   std::unique_ptr<net::HttpServer> mServer;
 };
 
--- a/apps/agent/AgentSettings.cpp
+++ b/apps/agent/AgentSettings.cpp
@@ -19,7 +19,8 @@
     .Required();
   aSettings.AddId("--rack", aValues.mRack, "Rack of this VM").Required();
   aSettings
-    .AddId("--failure-domain", aValues.mFailureDomain, "Failure domain of it")
+    .AddId(
+      "--failure-domain", aValues.mFailureDomain, "Failure domain of this VM")
     .Required();
 }
 
@@ -33,7 +34,7 @@
     .Required();
   aSettings
     .AddEndpoints(
-      "--entries", aValues.mEntries, "Entries to announce itself to")
+      "--entries", aValues.mEntries, "Entries to send the first heartbeats to")
     .Required();
 }
 
@@ -65,35 +66,37 @@
   aSettings.AddCount("--shards",
                      aValues.mShards,
                      { 1, 65'536 },
-                     "Shards of the job space; the same everywhere");
+                     "Shards of the job space; the same in every process");
 }
 
 void AddTimes(Settings& aSettings, AgentSettings& aValues)
 {
   const SettingRange<Duration> interval{ milliseconds(20), minutes(1) };
   const SettingRange<Duration> timeout{ milliseconds(1), minutes(60) };
-  aSettings.AddMilliseconds(
-    "--heartbeat-ms", aValues.mHeartbeat, interval, "Between heartbeats");
+  aSettings.AddMilliseconds("--heartbeat-ms",
+                            aValues.mHeartbeat,
+                            interval,
+                            "Interval between heartbeats");
   aSettings.AddMilliseconds("--default-deadline-ms",
                             aValues.mDefaultDeadline,
                             timeout,
-                            "For requests that name none");
+                            "Deadline of requests without one");
   aSettings.AddMilliseconds("--drain-timeout-ms",
                             aValues.mDrainTimeout,
                             timeout,
-                            "Longest time to finish work when stopped");
+                            "Maximum time to finish work on shutdown");
   aSettings.AddMilliseconds("--worker-timeout-ms",
                             aValues.mWorkerTimeout,
                             timeout,
-                            "Of one call to the worker");
+                            "Timeout of a call to the worker");
   aSettings.AddMilliseconds("--view-interval-ms",
                             aValues.mViewInterval,
                             interval,
-                            "Between looks at the worker");
+                            "Interval between polls of the worker");
   aSettings.AddMilliseconds("--backend-probe-ms",
                             aValues.mBackendProbe,
                             interval,
-                            "Between looks at the backend server's /healthz");
+                            "Interval between probes of the backend server");
 }
 
 } // namespace
@@ -103,8 +106,8 @@
                                       AgentSettings& aValues)
 {
   Settings settings("foxtailbarrow-agent",
-                    "Runs beside a backend server: admits its requests and "
-                    "governs the tasks of its worker");
+                    "Runs next to a backend server: admits its requests and "
+                    "manages the tasks of its worker");
   AddIdentity(settings, aValues);
   AddAddresses(settings, aValues);
   AddSizes(settings, aValues);
--- a/apps/agent/AgentSettings.h
+++ b/apps/agent/AgentSettings.h
@@ -21,27 +21,27 @@
   Endpoint mListen{ "127.0.0.1", 0 };
   Endpoint mBackend;
   Endpoint mWorker;
-  std::vector<Endpoint> mEntries; ///< To announce itself to at first.
+  std::vector<Endpoint> mEntries; ///< Heartbeat targets until one replies.
   ServiceId mService;
   RackId mRack;
   FailureDomainId mFailureDomain;
   SlotGateLimits mSlots;
-  /// Reserved on the worker for the service beside this agent.
+  /// Reserved on the worker for the colocated service.
   Resources mServiceReserve{ 16'000, 16'384, 0 };
   unsigned mThreads = 1;
   Duration mHeartbeat = std::chrono::seconds(1);
-  /// Of requests that name no deadline.
+  /// For requests without a deadline.
   Duration mDefaultDeadline = std::chrono::seconds(10);
   Duration mDrainTimeout = std::chrono::seconds(60);
   Duration mWorkerTimeout = std::chrono::seconds(2); ///< Of one call.
-  Duration mViewInterval = std::chrono::seconds(1);  ///< Of the worker.
+  Duration mViewInterval = std::chrono::seconds(1);  ///< Of worker polls.
   Duration mBackendProbe = std::chrono::milliseconds(500);
   ShardId mShards = 64; ///< Of the job space; the same in every process.
   LogLevel mLogLevel = LogLevel::Info;
 };
 
-/// Fills `aValues` from flags and environment variables. Returns the exit code
-/// when the program is to end now.
+/// Fills `aValues` from flags and environment variables. Returns an exit code
+/// if the program must exit now.
 std::optional<int> ParseAgentSettings(int argc,
                                       const char* const* argv,
                                       AgentSettings& aValues);
--- a/apps/agent/BackendProbe.cpp
+++ b/apps/agent/BackendProbe.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr unsigned kServerErrors = 500;
+constexpr unsigned kFirstServerError = 500;
 constexpr Duration kMinTimeout = std::chrono::seconds(1);
 
 } // namespace
@@ -39,7 +39,7 @@
                  request,
                  std::max(kMinTimeout, mSettings.mBackendProbe));
   const bool answers = response.ok();
-  const bool isHealthy = answers && response->mStatus < kServerErrors;
+  const bool isHealthy = answers && response->mStatus < kFirstServerError;
   mFailures = isHealthy ? 0 : mFailures + 1;
   const bool isUp =
     isHealthy || (mIsUp && !answers && mFailures < kMaxFailures);
--- a/apps/agent/BackendProbe.h
+++ b/apps/agent/BackendProbe.h
@@ -11,9 +11,9 @@
 
 namespace foxtailbarrow {
 
-/// Watches the backend server by GET /healthz. It is up while it answers with a
-/// status below 500, and leaving as soon as it answers 503, or after
-/// kMaxFailures probes in a row without an answer.
+/// Probes the backend server by GET /healthz. The server is up while it answers
+/// with a status below 500. It is leaving as soon as it answers 503 or another
+/// server error, or after kMaxFailures consecutive probes without an answer.
 class BackendProbe
 {
 public:
@@ -26,7 +26,7 @@
 
   void Start();
 
-  /// Ends its fiber. Not to be called by a thread of the runtime.
+  /// Ends its fiber. Must not be called on a thread of the runtime.
   void Stop() { mFibers.Stop(); }
 
   bool IsUp() const { return mIsUp; }
--- a/apps/agent/ColocationControl.cpp
+++ b/apps/agent/ColocationControl.cpp
@@ -24,7 +24,7 @@
                                 "Tasks evicted for the service's latency"))
 {
   aMetrics.SampledGauge("agent_colocation_excess",
-                        "Service tail over its calm one, minus 1",
+                        "Service tail latency over its baseline, minus 1",
                         [this] {
                           const std::lock_guard lock(mMutex);
                           return mGuard.Excess();
@@ -48,7 +48,7 @@
 {
   std::vector<ColocatedTask> tasks = mHooks.mTasks();
   const double weight = mHooks.mLatencyWeight();
-  std::vector<ColocationAction> acts;
+  std::vector<ColocationAction> actions;
   {
     const std::lock_guard lock(mMutex);
     const Instant now = MonotonicNow();
@@ -56,29 +56,29 @@
     mGuard.SetLatencyWeight(weight);
     mGuard.SetTasks(std::move(tasks), now);
     mGuard.OnLatencies(mRecorder.Take(now));
-    acts = mGuard.Advance(now);
+    actions = mGuard.Advance(now);
   }
-  for (const ColocationAction& act : acts) {
-    std::visit([this](const auto& aOne) { Perform(aOne); }, act);
+  for (const ColocationAction& action : actions) {
+    std::visit([this](const auto& aTyped) { Perform(aTyped); }, action);
   }
 }
 
-void ColocationControl::Perform(const ThrottleBatch& aAct)
+void ColocationControl::Perform(const ThrottleBatch& aAction)
 {
   mThrottles.Increment();
   LogChange("task-throttled",
-            { { "job", aAct.mKey.mJob },
-              { "epoch", aAct.mKey.mEpoch },
-              { "fraction", aAct.mFraction } });
-  mHooks.mThrottle(aAct.mKey, aAct.mFraction);
+            { { "job", aAction.mKey.mJob },
+              { "epoch", aAction.mKey.mEpoch },
+              { "fraction", aAction.mFraction } });
+  mHooks.mThrottle(aAction.mKey, aAction.mFraction);
 }
 
-void ColocationControl::Perform(const EvictBatch& aAct)
+void ColocationControl::Perform(const EvictBatch& aAction)
 {
   mEvictions.Increment();
   LogChange("task-evicted-for-latency",
-            { { "job", aAct.mKey.mJob }, { "epoch", aAct.mKey.mEpoch } });
-  mHooks.mEvict(aAct.mKey, Reason::EvictedForLatency);
+            { { "job", aAction.mKey.mJob }, { "epoch", aAction.mKey.mEpoch } });
+  mHooks.mEvict(aAction.mKey, Reason::EvictedForLatency);
 }
 
 Json::Value ColocationControl::StateJson() const
--- a/apps/agent/ColocationControl.h
+++ b/apps/agent/ColocationControl.h
@@ -15,12 +15,12 @@
 
 namespace foxtailbarrow {
 
-/// The shell around ColocationGuard: collects the service's latencies, judges
-/// once a second and hands the guard's steps on.
+/// Runs ColocationGuard: collects the service's latencies, evaluates them once
+/// a second and executes the guard's actions.
 class ColocationControl
 {
 public:
-  /// What colocation needs to know of the tasks here, and may do to them.
+  /// Access to the worker's tasks and the service's contracts.
   struct Hooks
   {
     std::function<std::vector<ColocatedTask>()> mTasks;
@@ -35,16 +35,16 @@
 
   void Start();
 
-  /// Ends its fiber. Not to be called by a thread of the runtime.
+  /// Ends its fiber. Must not be called on a thread of the runtime.
   void Stop() { mFibers.Stop(); }
 
-  /// On the path of every request; callable from any thread.
+  /// Called after every request, from any thread.
   void OnServed(Duration aHeld, std::int32_t aInUse, std::int32_t aSlots)
   {
     mRecorder.Add(aHeld, LoadLevelOf(aInUse, aSlots));
   }
 
-  /// `aUsed`: part of the worker's processors.
+  /// `aUsed`: fraction of the worker's processors.
   void OnUsage(const TaskKey& aKey, double aUsed, Instant aTakenAt);
 
   /// For the state dump.
@@ -52,14 +52,14 @@
 
 private:
   void Evaluate();
-  void Perform(const ThrottleBatch& aAct);
-  void Perform(const EvictBatch& aAct);
+  void Perform(const ThrottleBatch& aAction);
+  void Perform(const EvictBatch& aAction);
 
   const Hooks mHooks;
   LatencyRecorder mRecorder;
   Poke mPoke;
   FiberGroup mFibers;
-  mutable std::mutex mMutex; ///< Guards what follows.
+  mutable std::mutex mMutex; ///< Guards the members below.
   ColocationGuard mGuard;
   std::vector<ColocatedTask> mTasks;
   prometheus::Counter& mThrottles;
--- a/apps/agent/ErrorResponse.cpp
+++ b/apps/agent/ErrorResponse.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string SecondsUp(Duration aTime)
+std::string CeilSeconds(Duration aTime)
 {
   return std::to_string(std::chrono::ceil<std::chrono::seconds>(aTime).count());
 }
@@ -25,7 +25,7 @@
   response.mHeaders.Set(kReasonHeader, reason);
   response.mHeaders.Set(net::kVerdictHeader, ToString(aCause.mVerdict));
   if (aCause.mRetryAfter > Duration{}) {
-    response.mHeaders.Set(kRetryAfterHeader, SecondsUp(aCause.mRetryAfter));
+    response.mHeaders.Set(kRetryAfterHeader, CeilSeconds(aCause.mRetryAfter));
   }
   response.mBody = R"({"reason":")" + reason + "\"}\n";
   return response;
--- a/apps/agent/ErrorResponse.h
+++ b/apps/agent/ErrorResponse.h
@@ -7,16 +7,16 @@
 
 namespace foxtailbarrow {
 
-/// Why a request gets no answer of the backend server.
+/// Error that the agent answers a request with instead of the backend server.
 struct ErrorCause
 {
-  unsigned mStatus = 503; ///< Of HTTP.
+  unsigned mStatus = 503; ///< HTTP status.
   Reason mReason = Reason::None;
   Verdict mVerdict = Verdict::NotRun;
-  Duration mRetryAfter{}; ///< Zero = none is given.
+  Duration mRetryAfter{}; ///< Zero = not sent.
 };
 
-/// The answer that says so, in headers and as a small JSON body.
+/// The response for an error, with headers and a JSON body.
 net::HttpResponse ErrorResponse(const ErrorCause& aCause);
 
 } // namespace foxtailbarrow
--- a/apps/agent/ForwardedRequest.h
+++ b/apps/agent/ForwardedRequest.h
@@ -9,7 +9,7 @@
 
 namespace foxtailbarrow {
 
-/// What the headers of a forwarded request say.
+/// Parsed headers of a forwarded request.
 struct ForwardedRequest
 {
   RequestId mId;
@@ -17,8 +17,8 @@
   std::optional<IdempotencyKey> mKey;
 };
 
-/// nullopt when the request id is missing or a header has no valid value.
-/// `aDefault`: time for the answer when none is named.
+/// nullopt if the request id is missing or a header is invalid. `aDefault`:
+/// time to the deadline if the headers state none.
 std::optional<ForwardedRequest> ParseForwarded(const net::HttpHeaders& aHeaders,
                                                Instant aNow,
                                                Duration aDefault);
--- a/apps/agent/Forwarder.cpp
+++ b/apps/agent/Forwarder.cpp
@@ -22,7 +22,7 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 
-/// When a backend server that refuses connections is tried again.
+/// Delay before a retry at an unavailable backend server.
 constexpr Duration kBackendRetryAfter = std::chrono::seconds(1);
 
 constexpr ErrorCause kMalformed{ kBadRequest, Reason::None, Verdict::NotRun };
@@ -248,14 +248,14 @@
   return { kBadGateway, Reason::NoBackendServer, verdict };
 }
 
-RevokeReply Forwarder::Revoke(const foxtailbarrow::Revoke& aQuestion)
+RevokeReply Forwarder::Revoke(const foxtailbarrow::Revoke& aRevoke)
 {
   const Instant now = MonotonicNow();
-  if (aQuestion.mIdempotencyKey.empty()) {
-    return { mRequests.Revoke(aQuestion.mRequest, aQuestion.mAge, now) };
+  if (aRevoke.mIdempotencyKey.empty()) {
+    return { mRequests.Revoke(aRevoke.mRequest, aRevoke.mAge, now) };
   }
   const KeyRevocation promise =
-    mKeys.Revoke({ aQuestion.mCustomer, aQuestion.mIdempotencyKey }, now);
+    mKeys.Revoke({ aRevoke.mCustomer, aRevoke.mIdempotencyKey }, now);
   return { promise.mVerdict, promise.mPromisedBefore };
 }
 
--- a/apps/agent/Forwarder.h
+++ b/apps/agent/Forwarder.h
@@ -16,19 +16,19 @@
 
 namespace foxtailbarrow {
 
-/// The path of a caller's request through the agent: is its id new, is its
-/// idempotency key new, is there a slot; then the backend server answers.
+/// Forwards callers' requests to the backend server if the request id and the
+/// idempotency key are new and a slot is free.
 ///
-/// Promises: each request gets one final answer at once when it is decided; an
-/// error's verdict is exact (NotRun only where no byte of the request reached
-/// the backend server); a whole answer of the backend server passes unchanged
-/// but for the system's own headers. Safe for use by any number of fibers and
-/// threads.
+/// Guarantees: each request gets one final response as soon as it is decided;
+/// an error's verdict is exact (NotRun only if no byte of the request reached
+/// the backend server); a complete response of the backend server passes
+/// unchanged except for the system's own headers. Safe for use by any number of
+/// fibers and threads.
 class Forwarder
 {
 public:
-  /// Called after each request that held a slot: the time that it was held, and
-  /// the slots in use as it began.
+  /// Called after each request that held a slot, with the time it was held and
+  /// the slots in use at its start.
   using OnServed = std::function<void(Duration aHeld, std::int32_t aInUse)>;
 
   Forwarder(const AgentSettings& aSettings,
@@ -40,18 +40,18 @@
 
   net::HttpResponse Forward(net::HttpRequest& aRequest);
 
-  /// See RequestRegister::Revoke(), and IdempotencyRegister::Revoke() where the
-  /// question names a key.
-  RevokeReply Revoke(const foxtailbarrow::Revoke& aQuestion);
+  /// See RequestRegister::Revoke(), and IdempotencyRegister::Revoke() if
+  /// `aRevoke` names a key.
+  RevokeReply Revoke(const foxtailbarrow::Revoke& aRevoke);
 
-  /// Refuses new requests, or takes them again.
+  /// Accepts or refuses new requests.
   void SetOpen(bool aOpen) { mOpen.store(aOpen, std::memory_order_relaxed); }
 
   SlotLoad Load() const { return mGate.Load(); }
   std::size_t RememberedRequests() const { return mRequests.Size(); }
 
 private:
-  /// An answer, and what the registers must remember of the attempt.
+  /// A response, and the verdict to record in the registers.
   struct Outcome
   {
     Verdict mVerdict = Verdict::NotRun;
--- a/apps/agent/HeartbeatSender.cpp
+++ b/apps/agent/HeartbeatSender.cpp
@@ -11,17 +11,18 @@
 
 namespace {
 
-/// After this long without an answer the settings' entries are tried too.
+/// After this long without a reply, the settings' entries are tried too.
 constexpr Duration kNoAnswerTimeout = std::chrono::seconds(5);
 
-/// An answer that comes later is of no use: the next heartbeat is due.
+/// Minimum timeout of a call. A later reply is of no use, since the next
+/// heartbeat is due.
 constexpr Duration kMinTimeout = std::chrono::milliseconds(500);
 
-/// Shortest pause between two looks at the schedule.
+/// Minimum delay between two checks of the schedule.
 constexpr Duration kMinPause = std::chrono::milliseconds(5);
 
-/// HTTP headers and JSON-RPC frame of a call and its answer together; measured
-/// with two entries on one machine, rounded up.
+/// HTTP headers and JSON-RPC frames of a call and its reply together, rounded
+/// up.
 constexpr std::size_t kFrameBytes = 400;
 
 void AddMissing(std::vector<Endpoint>& aTargets,
@@ -55,7 +56,7 @@
   , mSchedule(ScheduleSettings(aSettings))
   , mSent(aMetrics.Counter("agent_heartbeats_total", "Heartbeats sent"))
   , mFailed(aMetrics.Counter("agent_heartbeats_failed_total",
-                             "Heartbeats without a readable answer"))
+                             "Heartbeats without a valid reply"))
 {
 }
 
--- a/apps/agent/HeartbeatSender.h
+++ b/apps/agent/HeartbeatSender.h
@@ -21,26 +21,26 @@
 
 namespace foxtailbarrow {
 
-/// Announces the agent to every live entry, by HeartbeatSchedule, and hands on
-/// what they answer.
+/// Sends heartbeats to every live entry, scheduled by HeartbeatSchedule, and
+/// passes on the replies.
 ///
-/// Entries are those of the settings until one answers, then those that the
-/// latest answer named; the settings' ones are tried again when nobody has
-/// answered for a while. An entry that has not answered its last heartbeat yet
-/// is left out of a round. A round is one heartbeat, sent to every entry whose
-/// turn it is.
+/// The entries are those of the settings until one replies, then those named in
+/// the latest reply. Those of the settings are tried again if no entry has
+/// replied for a while. A round is one heartbeat, sent to every entry that is
+/// due, except entries that have not replied to the last one yet.
 class HeartbeatSender
 {
 public:
   struct Hooks
   {
-    /// Fills everything but the sequence and the configuration.
+    /// Fills all fields but the sequence and the configuration.
     std::function<void(Heartbeat&)> mFill;
-    /// What to state as the configuration to this entry; empty = not known yet.
+    /// The configuration revision to report to the entry. The id is empty
+    /// before the entry's first reply.
     std::function<Revision(const EntryId&)> mCursor;
     /// Called before a round is sent, with the time that leases count from.
     std::function<void(std::uint64_t, Instant)> mOnSend;
-    /// With the heartbeat that the reply answers.
+    /// Called with each reply and the heartbeat that it answers.
     std::function<void(const Heartbeat&, const HeartbeatReply&)> mOnReply;
   };
 
@@ -52,20 +52,20 @@
 
   void Start();
 
-  /// Ends its fibers. Not to be called by a thread of the runtime.
+  /// Ends its fibers. Must not be called on a thread of the runtime.
   void Stop() { mFibers.Stop(); }
 
-  /// Sends a round to every entry at once.
+  /// Sends a round to every entry without waiting for the schedule.
   void SendNow();
 
-  /// Of the latest round.
+  /// Sequence number of the latest round.
   std::uint64_t SentSequence() const { return mSequence; }
 
-  /// True when every entry that answers has answered this round or a later one,
-  /// and at least one has.
+  /// True if every responding entry has answered this round or a later one, and
+  /// at least one entry responds.
   bool Reported(std::uint64_t aSequence) const;
 
-  /// When an entry answered last.
+  /// Time of the latest reply from any entry.
   Instant LastAnswer() const;
 
   /// For the state dump.
@@ -74,8 +74,8 @@
 private:
   struct Peer
   {
-    EntryId mEntry;         ///< Empty before its first answer.
-    bool mInFlight = false; ///< A heartbeat is under way.
+    EntryId mEntry;         ///< Empty before its first reply.
+    bool mInFlight = false; ///< A heartbeat awaits its reply.
     bool mAnswers = false;
     Instant mAnsweredAt{};
     std::uint64_t mAnsweredSequence = 0;
@@ -100,10 +100,10 @@
   FiberGroup mFibers;
   std::atomic<std::uint64_t> mSequence{ 0 };
   std::atomic<bool> mSendToAll{ false };
-  mutable std::mutex mMutex; ///< Guards what follows.
+  mutable std::mutex mMutex; ///< Guards the members below.
   HeartbeatSchedule mSchedule;
   absl::BitGen mRandom;
-  std::vector<Endpoint> mEntries; ///< As the latest answer named them.
+  std::vector<Endpoint> mEntries; ///< As named in the latest reply.
   std::map<Endpoint, Peer> mPeers;
   Instant mLastAnswer{};
   prometheus::Counter& mSent;
--- a/apps/agent/SlotWaiter.h
+++ b/apps/agent/SlotWaiter.h
@@ -7,7 +7,8 @@
 
 namespace foxtailbarrow {
 
-/// Lets one fiber wait until another, maybe on another thread, gives it a slot.
+/// Lets a fiber wait until another one, possibly on another thread, grants it a
+/// slot.
 class SlotWaiter
 {
 public:
@@ -20,7 +21,7 @@
     mChanged.notify_one();
   }
 
-  /// False when nothing was given by `aUntil`.
+  /// False if no slot was granted by `aUntil`.
   bool WaitUntil(Instant aUntil)
   {
     std::unique_lock lock(mMutex);
--- a/apps/agent/TaskControl.cpp
+++ b/apps/agent/TaskControl.cpp
@@ -15,7 +15,6 @@
 /// Longest time between two rounds of the call loop.
 constexpr Duration kMaxCallInterval = std::chrono::milliseconds(200);
 
-/// Leases are renewed this often.
 constexpr Duration kRenewalInterval = std::chrono::seconds(1);
 
 constexpr Duration kPollInterval = std::chrono::milliseconds(5);
@@ -101,8 +100,9 @@
   const std::lock_guard lock(mMutex);
   auto status = mTable.StatusOf(aControl.mKey);
   if (!status) {
-    return WithVerdict(absl::NotFoundError("the task was acknowledged"),
-                       Verdict::Ran);
+    return WithVerdict(
+      absl::NotFoundError("the task's end has been acknowledged"),
+      Verdict::Ran);
   }
   return ControlReply{ *std::move(status) };
 }
@@ -156,7 +156,7 @@
 std::vector<ColocatedTask> TaskControl::ColocatedTasks() const
 {
   const std::lock_guard lock(mMutex);
-  const auto whole = static_cast<double>(
+  const auto total = static_cast<double>(
     std::max<std::int64_t>(1, mLedger.Capacity().mMillicores));
   std::vector<ColocatedTask> tasks;
   for (const auto& [key, task] : mTable.Tasks()) {
@@ -164,15 +164,16 @@
       continue;
     }
     const Contract* const contract = mLedger.ContractOf(task.mStatus.mCustomer);
-    ColocatedTask one;
-    one.mKey = key;
-    one.mClass = task.mStatus.mCustomer.Value() + "/" + task.mStart.mProgram;
-    one.mEvictable = task.mStatus.mKind == JobKind::Batch;
-    one.mEvictionWeight =
+    ColocatedTask colocated;
+    colocated.mKey = key;
+    colocated.mClass =
+      task.mStatus.mCustomer.Value() + "/" + task.mStart.mProgram;
+    colocated.mEvictable = task.mStatus.mKind == JobKind::Batch;
+    colocated.mEvictionWeight =
       contract == nullptr ? 1.0 : contract->mWeights.mEvictions;
-    one.mReserved =
-      static_cast<double>(task.mStatus.mReserved.mMillicores) / whole;
-    tasks.push_back(std::move(one));
+    colocated.mReserved =
+      static_cast<double>(task.mStatus.mReserved.mMillicores) / total;
+    tasks.push_back(std::move(colocated));
   }
   return tasks;
 }
--- a/apps/agent/TaskControl.h
+++ b/apps/agent/TaskControl.h
@@ -20,17 +20,18 @@
 
 namespace foxtailbarrow {
 
-/// The shell around CapacityLedger and TaskTable: takes the owners' messages,
-/// makes the calls to the worker that the table asks for, looks at the worker
-/// and renews leases. Its fibers run on the runtime's first thread; its methods
-/// may be called by any fiber or thread.
+/// Runs CapacityLedger and TaskTable: handles the owners' messages, makes the
+/// calls to the worker that the table requests, polls the worker and renews
+/// leases. Its fibers run on the runtime's first thread; its methods may be
+/// called by any fiber or thread.
 class TaskControl
 {
 public:
-  /// Called when something happened that owners should hear of at once.
+  /// Called on changes that must be reported to the owners at once.
   using OnChange = std::function<void()>;
 
-  /// Called with each usage sample: the part of the worker's processors.
+  /// Called with each usage sample. `aUsed`: fraction of the worker's
+  /// processors.
   using OnUsage =
     std::function<void(const TaskKey&, double aUsed, Instant aTakenAt)>;
 
@@ -44,13 +45,13 @@
 
   void Start();
 
-  /// Ends the fibers. Not to be called by a thread of the runtime.
+  /// Ends the fibers. Must not be called on a thread of the runtime.
   void Stop() { mFibers.Stop(); }
 
   AssignReply Assign(const Assign& aAssign);
 
-  /// Answers when the action is done, or after the worker's timeout with the
-  /// status so far.
+  /// Returns when the action is done, or after the worker's timeout with the
+  /// current status.
   absl::StatusOr<ControlReply> Control(const Control& aControl);
 
   void HeartbeatSent(std::uint64_t aSequence, Instant aNow);
@@ -58,10 +59,10 @@
   void ApplyContract(const Contract& aContract);
   void RemoveContract(const CustomerId& aCustomer);
 
-  /// The started tasks, for colocation.
+  /// The tasks that have started and not ended, for colocation.
   std::vector<ColocatedTask> ColocatedTasks() const;
 
-  /// The greatest weight of tail latency among the service's contracts.
+  /// The maximum weight of tail latency among the service's contracts.
   double LatencyWeight() const;
 
   void Throttle(const TaskKey& aKey, double aFraction);
@@ -70,12 +71,12 @@
   /// Checkpoints everything and refuses new assignments.
   void Drain();
 
-  /// False until the ledger was rebuilt from the worker.
+  /// False until the ledger has been rebuilt from the worker.
   bool Ready() const { return mReady; }
   bool Empty() const;
   bool AllEnded() const;
 
-  /// Fills the parts of a heartbeat that concern tasks and capacity.
+  /// Fills the task and capacity fields of a heartbeat.
   void Fill(Heartbeat& aHeartbeat) const;
 
   /// For the state dump.
--- a/apps/agent/TaskControlWorker.cpp
+++ b/apps/agent/TaskControlWorker.cpp
@@ -4,13 +4,13 @@
 #include "apps/agent/TaskControl.h"
 #include "src/telemetry/Log.h"
 
-/// The part of TaskControl that faces the worker.
+/// The worker calls of TaskControl.
 namespace foxtailbarrow {
 
 namespace {
 
-/// A call that was decided longer ago is decided anew: the process may have
-/// been frozen, and a lease may have lapsed.
+/// A call that was decided longer ago is not made but decided again, since the
+/// process may have been paused and a lease may have lapsed.
 constexpr Duration kMaxDecisionAge = std::chrono::milliseconds(250);
 
 } // namespace
@@ -58,10 +58,10 @@
   if (aView.mCapacity.mMillicores <= 0) {
     return;
   }
-  const auto whole = static_cast<double>(aView.mCapacity.mMillicores);
+  const auto total = static_cast<double>(aView.mCapacity.mMillicores);
   for (const UsageSample& sample : aView.mUsage) {
     mOnUsage(sample.mKey,
-             static_cast<double>(sample.mUsed.mMillicores) / whole,
+             static_cast<double>(sample.mUsed.mMillicores) / total,
              aAskedAt - sample.mAge);
   }
 }
@@ -84,7 +84,7 @@
     ReportNotRun(aCall);
     return;
   }
-  std::visit([this](const auto& aOne) { Call(aOne); }, aCall);
+  std::visit([this](const auto& aTyped) { Call(aTyped); }, aCall);
   mCallPoke.Now();
 }
 
@@ -142,20 +142,22 @@
 
 void TaskControl::ReportNotRun(const WorkerCall& aCall)
 {
-  const absl::Status late =
-    WithVerdict(absl::AbortedError("decided too long ago"), Verdict::NotRun);
+  const absl::Status tooLate =
+    WithVerdict(absl::AbortedError("the decision is too old"), Verdict::NotRun);
   const Instant now = MonotonicNow();
   const std::lock_guard lock(mMutex);
   if (const auto* const start = std::get_if<CallStart>(&aCall)) {
-    mTable.StartDone(start->mStart.mKey, late, now);
+    mTable.StartDone(start->mStart.mKey, tooLate, now);
   } else if (const auto* const stop = std::get_if<CallStop>(&aCall)) {
-    mTable.StopDone(stop->mKey, late, now);
-  } else if (const auto* const write = std::get_if<CallCheckpoint>(&aCall)) {
-    mTable.CheckpointDone(write->mKey, late, now);
-  } else if (const auto* const slow = std::get_if<CallThrottle>(&aCall)) {
-    mTable.ThrottleDone(slow->mKey, slow->mFraction, late, now);
-  } else if (const auto* const known = std::get_if<CallAcknowledge>(&aCall)) {
-    mTable.AcknowledgeDone(known->mKeys, late, now);
+    mTable.StopDone(stop->mKey, tooLate, now);
+  } else if (const auto* const checkpoint =
+               std::get_if<CallCheckpoint>(&aCall)) {
+    mTable.CheckpointDone(checkpoint->mKey, tooLate, now);
+  } else if (const auto* const throttle = std::get_if<CallThrottle>(&aCall)) {
+    mTable.ThrottleDone(throttle->mKey, throttle->mFraction, tooLate, now);
+  } else if (const auto* const acknowledge =
+               std::get_if<CallAcknowledge>(&aCall)) {
+    mTable.AcknowledgeDone(acknowledge->mKeys, tooLate, now);
   }
 }
 
