--- a/apps/ctl/Command.h
+++ b/apps/ctl/Command.h
@@ -9,7 +9,7 @@
 #include "foxtailbarrow/Id.h"
 #include "foxtailbarrow/Job.h"
 
-/// What the command line asks for, one type a subcommand.
+/// Parsed command lines, one type per subcommand.
 namespace foxtailbarrow::ctl {
 
 struct ContractsCheck
--- a/apps/ctl/CommandResult.h
+++ b/apps/ctl/CommandResult.h
@@ -8,14 +8,14 @@
 
 namespace foxtailbarrow::ctl {
 
-/// Exit codes of the program. kExitUsage (2) is that of every program's bad
-/// settings.
+/// Exit codes of the program. kExitBadUsage equals kExitUsage, which every
+/// program returns for invalid settings.
 inline constexpr int kExitOk = 0;
 inline constexpr int kExitRefused = 1; ///< Refused, lost a race, not found.
 inline constexpr int kExitBadUsage = 2;
-inline constexpr int kExitUnreachable = 3; ///< No answer, or none to trust.
+inline constexpr int kExitUnreachable = 3; ///< No response or an invalid one.
 
-/// What a command leaves behind: an exit code and its answer in both forms.
+/// Result of a command: an exit code and the output in both forms.
 struct CommandResult
 {
   int mExitCode = kExitOk;
@@ -25,11 +25,11 @@
 
 CommandResult Succeed(std::string aText, Json::Value aJson);
 
-/// `aText` tells what was refused and why.
+/// `aText` states what failed and why.
 CommandResult Fail(int aExitCode, std::string aText);
 
-/// An error of the store or of a call: unreachable unless the status says that
-/// the other side refused. The text says whether it may have taken effect.
+/// An error of the store or of a call: kExitRefused if the status is a refusal,
+/// else kExitUnreachable. The text states whether it may have taken effect.
 CommandResult Fail(std::string_view aWhat, const absl::Status& aStatus);
 
 } // namespace foxtailbarrow::ctl
--- a/apps/ctl/CommandRunner.h
+++ b/apps/ctl/CommandRunner.h
@@ -6,7 +6,7 @@
 
 namespace foxtailbarrow::ctl {
 
-/// Carries the command out. Call it from a fiber of `aRuntime`.
+/// Executes the command. Must be called on a fiber of `aRuntime`.
 CommandResult RunCommand(net::FiberRuntime& aRuntime,
                          const CtlSettings& aSettings);
 
--- a/apps/ctl/ContractCommands.cpp
+++ b/apps/ctl/ContractCommands.cpp
@@ -25,12 +25,12 @@
   return ParseContract(*text);
 }
 
-CommandResult BadFile(const std::string& aPath, const absl::Status& aStatus)
+CommandResult InvalidFile(const std::string& aPath, const absl::Status& aStatus)
 {
   return Fail(kExitRefused, absl::StrCat(aPath, ": ", aStatus.message()));
 }
 
-/// Tells the outcome of a write to one contract.
+/// Formats the outcome of a write to a contract.
 struct WriteOutcomeFormatter
 {
   std::string mContract; ///< "contract of hydro-krakow"
@@ -38,7 +38,7 @@
 
   CommandResult operator()(const ContractWritten& aWritten) const
   {
-    return Written(
+    return WriteSucceeded(
       absl::StrCat(mContract, " ", mDone, " at revision ", aWritten.mRevision),
       mDone,
       aWritten.mRevision);
@@ -46,11 +46,11 @@
 
   CommandResult operator()(const ContractUnchanged& aUnchanged) const
   {
-    return Written(absl::StrCat(mContract,
-                                " is in force already, since revision ",
-                                aUnchanged.mRevision),
-                   "unchanged",
-                   aUnchanged.mRevision);
+    return WriteSucceeded(absl::StrCat(mContract,
+                                       " is already in force since revision ",
+                                       aUnchanged.mRevision),
+                          "unchanged",
+                          aUnchanged.mRevision);
   }
 
   CommandResult operator()(const ContractConflict& aConflict) const
@@ -60,23 +60,23 @@
            absl::StrCat(mContract,
                         " not ",
                         mDone,
-                        ": another operator was faster; ",
+                        ": another operator changed it first; ",
                         StoredRevisionText(aConflict.mFound),
-                        ". Look at it with contracts show, then try again."));
+                        ". Check it with contracts show, then retry."));
     result.mJson["revision"] = Json::Int64{ aConflict.mFound };
     return result;
   }
 
   CommandResult operator()(const ContractUnknown& aUnknown) const
   {
-    CommandResult result = Fail(
-      kExitUnreachable,
-      absl::StrCat(mContract,
-                   " may have been ",
-                   mDone,
-                   ": the store's reply was lost (",
-                   aUnknown.mStatus.message(),
-                   "). Look at it with contracts show before trying again."));
+    CommandResult result =
+      Fail(kExitUnreachable,
+           absl::StrCat(mContract,
+                        " may have been ",
+                        mDone,
+                        ": the store's reply was lost (",
+                        aUnknown.mStatus.message(),
+                        "). Check it with contracts show before retrying."));
     result.mJson["verdict"] = std::string(ToString(Verdict::MayHaveRun));
     return result;
   }
@@ -87,9 +87,9 @@
   }
 
 private:
-  static CommandResult Written(const std::string& aText,
-                               const std::string& aOutcome,
-                               Revision aRevision)
+  static CommandResult WriteSucceeded(const std::string& aText,
+                                      const std::string& aOutcome,
+                                      Revision aRevision)
   {
     Json::Value json(Json::objectValue);
     json["outcome"] = aOutcome;
@@ -105,9 +105,9 @@
   }
 };
 
-CommandResult ShowOne(ContractRegistry& aBook, const CustomerId& aCustomer)
+CommandResult ShowOne(ContractRegistry& aRegistry, const CustomerId& aCustomer)
 {
-  const absl::StatusOr<Contract> contract = aBook.Read(aCustomer);
+  const absl::StatusOr<Contract> contract = aRegistry.Read(aCustomer);
   if (!contract.ok()) {
     return Fail("contract of " + aCustomer.Value(), contract.status());
   }
@@ -121,9 +121,9 @@
     aLimit.mMillicores, "/", aLimit.mMemoryMb, "/", aLimit.mAccelerators);
 }
 
-CommandResult ShowAll(ContractRegistry& aBook)
+CommandResult ShowAll(ContractRegistry& aRegistry)
 {
-  const absl::StatusOr<std::vector<Contract>> contracts = aBook.List();
+  const absl::StatusOr<std::vector<Contract>> contracts = aRegistry.List();
   if (!contracts.ok()) {
     return Fail("contracts", contracts.status());
   }
@@ -160,7 +160,7 @@
 {
   const absl::StatusOr<Contract> contract = ReadContract(aPath);
   if (!contract.ok()) {
-    return BadFile(aPath, contract.status());
+    return InvalidFile(aPath, contract.status());
   }
   Json::Value json(Json::objectValue);
   json["customer"] = contract->mCustomer.Value();
@@ -176,7 +176,7 @@
 {
   const absl::StatusOr<Contract> contract = ReadContract(aPath);
   if (!contract.ok()) {
-    return BadFile(aPath, contract.status());
+    return InvalidFile(aPath, contract.status());
   }
   const WriteOutcomeFormatter formatter{
     "contract of " + contract->mCustomer.Value(), "applied"
@@ -188,8 +188,8 @@
 CommandResult ShowContracts(Store& aStore,
                             const std::optional<CustomerId>& aCustomer)
 {
-  ContractRegistry book(aStore);
-  return aCustomer ? ShowOne(book, *aCustomer) : ShowAll(book);
+  ContractRegistry registry(aStore);
+  return aCustomer ? ShowOne(registry, *aCustomer) : ShowAll(registry);
 }
 
 CommandResult RemoveContract(Store& aStore,
--- a/apps/ctl/ContractCommands.h
+++ b/apps/ctl/ContractCommands.h
@@ -10,15 +10,15 @@
 /// The subcommands of `contracts`.
 namespace foxtailbarrow::ctl {
 
-/// Reads the file and reports every bad field. Touches no store.
+/// Validates the file and reports every invalid field. Accesses no store.
 CommandResult CheckContractFile(const std::string& aPath);
 
-/// Checks the file, then puts it in force.
+/// Validates the file and applies its contract.
 CommandResult ApplyContractFile(Store& aStore,
                                 const std::string& aPath,
                                 std::optional<Revision> aExpected);
 
-/// One contract, or all of them as a table.
+/// Shows one contract, or all of them as a table.
 CommandResult ShowContracts(Store& aStore,
                             const std::optional<CustomerId>& aCustomer);
 
--- a/apps/ctl/CtlSettings.cpp
+++ b/apps/ctl/CtlSettings.cpp
@@ -13,17 +13,19 @@
 
 constexpr std::int64_t kMaxAmount = 1'000'000'000;
 constexpr char kFileAllowed[] = "a readable file";
-constexpr char kJobAllowed[] = "id of a job, as told when it was accepted";
+constexpr char kJobAllowed[] = "id of a job, as printed when it was accepted";
 constexpr char kStoreHelp[] = "addresses of the platform's store";
-constexpr char kEntryHelp[] = "control addresses of entries, any one answers";
+constexpr char kEntryHelp[] =
+  "control addresses of entries; any of them can answer";
 
-/// The command line's tree of subcommands, with the targets of their flags.
+/// The tree of subcommands and the variables that their flags set.
 class CommandLine
 {
 public:
   CommandLine()
   {
-    mSettings.AddSwitch("--json", mValues.mJson, "print JSON, not tables");
+    mSettings.AddSwitch(
+      "--json", mValues.mJson, "print JSON instead of tables");
     mSettings.AddMilliseconds(
       "--timeout-ms",
       mValues.mTimeout,
@@ -47,8 +49,8 @@
         mValues.mCommand = makeCommand();
       }
     }
-    if (const char* fault = SubmitError()) {
-      aErr << "foxtailbarrow-ctl: jobs submit: " << fault << "\n";
+    if (const char* error = SubmitError()) {
+      aErr << "foxtailbarrow-ctl: jobs submit: " << error << "\n";
       return kExitUsage;
     }
     return std::move(mValues);
@@ -75,9 +77,10 @@
       return ContractsCheck{ mFile };
     });
     check.AddPositional("FILE", mFile, kFileAllowed).Required();
-    Settings& apply = Add(group, "apply", "put a file in force", [this] {
-      return ContractsApply{ mFile, mExpected };
-    });
+    Settings& apply =
+      Add(group, "apply", "apply the contract in a file", [this] {
+        return ContractsApply{ mFile, mExpected };
+      });
     apply.AddPositional("FILE", mFile, kFileAllowed).Required();
     AddExpected(apply);
     AddStore(apply);
@@ -87,7 +90,7 @@
     });
     AddCustomerPositional(show);
     AddStore(show);
-    Settings& remove = Add(group, "remove", "end a contract", [this] {
+    Settings& remove = Add(group, "remove", "remove a contract", [this] {
       return ContractsRemove{ mCustomer, mExpected };
     });
     AddCustomerPositional(remove).Required();
@@ -98,12 +101,12 @@
   void AddJobs()
   {
     Settings& group =
-      mSettings.AddSubcommand("jobs", "batch and standing work");
+      mSettings.AddSubcommand("jobs", "batch and standing jobs");
     AddSubmit(group);
     Settings& list = Add(group, "list", "list jobs", [this] {
       return JobsList{ mCustomer.Value(), mState };
     });
-    list.AddId("--customer", mCustomer, "of this customer alone");
+    list.AddId("--customer", mCustomer, "jobs of this customer only");
     list.AddChoice("--state",
                    mState,
                    { "queued",
@@ -113,15 +116,15 @@
                      "finished",
                      "failed",
                      "cancelled" },
-                   "in this state alone");
+                   "jobs in this state only");
     AddEntries(list);
     Settings& explain =
-      Add(group, "explain", "tell why a job is where it is", [this] {
+      Add(group, "explain", "show the reasons for a job's state", [this] {
         return JobsExplain{ mJob };
       });
     explain.AddPositional("ID", mJob, kJobAllowed).Required();
     AddEntries(explain);
-    Settings& cancel = Add(group, "cancel", "stop a job for good", [this] {
+    Settings& cancel = Add(group, "cancel", "stop a job permanently", [this] {
       return JobsCancel{ mJob };
     });
     cancel.AddPositional("ID", mJob, kJobAllowed).Required();
@@ -137,7 +140,7 @@
       });
     JobSpec& spec = mSubmit.mSpec;
     submit.AddPositional("FILE", mSubmit.mFile, kFileAllowed);
-    submit.AddId("--customer", mCustomer, "whose job it is");
+    submit.AddId("--customer", mCustomer, "customer of the job");
     AddKindAndPriority(submit);
     submit.AddCount("--millicores",
                     spec.mDeclared.mMillicores,
@@ -159,7 +162,7 @@
     submit.AddText("--arguments", spec.mArguments, "the program's arguments");
     submit.AddText("--idempotency-key",
                    mSubmit.mIdempotencyKey,
-                   "names this job when it is submitted again");
+                   "identifies the job if it is submitted again");
     AddEntries(submit);
   }
 
@@ -168,7 +171,7 @@
     JobSpec& spec = mSubmit.mSpec;
     aSettings.Add(
       "--kind",
-      "what runs, and how often at a time",
+      "kind of the job",
       "batch, exclusive, standing",
       [&spec](std::string_view aText) {
         const std::optional<JobKind> kind = ParseJobKind(aText);
@@ -222,7 +225,7 @@
   void AddExpected(Settings& aSettings)
   {
     aSettings.Add("--expect-revision",
-                  "change nothing unless the store holds this revision",
+                  "fail unless the store holds this revision",
                   "a whole number from 0; 0 = no such contract",
                   [this](std::string_view aText) {
                     Revision revision = 0;
@@ -245,7 +248,8 @@
     aSettings.AddEndpoints("--entry", mValues.mEntries, kEntryHelp).Required();
   }
 
-  /// Null when the command is no submission or its flags fit together.
+  /// Error message if the flags of a submission are incomplete or contradict
+  /// each other; null otherwise.
   const char* SubmitError() const
   {
     const auto* submit = std::get_if<JobsSubmit>(&mValues.mCommand);
--- a/apps/ctl/CtlSettings.h
+++ b/apps/ctl/CtlSettings.h
@@ -12,7 +12,7 @@
 
 namespace foxtailbarrow::ctl {
 
-/// Checked settings of foxtailbarrow-ctl.
+/// Validated settings of foxtailbarrow-ctl.
 struct CtlSettings
 {
   Command mCommand;
@@ -22,7 +22,7 @@
   bool mJson = false;
 };
 
-/// The settings, or the exit code when the program is to end now.
+/// Returns the settings, or an exit code if the program must exit now.
 std::variant<CtlSettings, int> ParseCtlSettings(
   std::vector<std::string> aArguments,
   std::ostream& aOut,
--- a/apps/ctl/EntryAnswer.cpp
+++ b/apps/ctl/EntryAnswer.cpp
@@ -23,7 +23,7 @@
                                                      : std::string();
 }
 
-/// "no such job, reason none, not-run; try again after 2 s".
+/// For example "no such job (not-run); retry after 2 s".
 std::string ErrorText(const net::HttpResponse& aResponse,
                       const Json::Value& aBody)
 {
@@ -40,7 +40,7 @@
     absl::StrAppend(&text, " (", verdict, ")");
   }
   if (const auto after = aResponse.mHeaders.Find("Retry-After")) {
-    absl::StrAppend(&text, "; try again after ", std::string(*after), " s");
+    absl::StrAppend(&text, "; retry after ", std::string(*after), " s");
   }
   return text;
 }
@@ -68,7 +68,7 @@
   if (!body.ok()) {
     return Fail(kExitUnreachable,
                 absl::StrCat(std::string(aWhat),
-                             ": the answer is no JSON: ",
+                             ": the answer is not valid JSON: ",
                              body.status().message()));
   }
   return aOnSuccess(*body);
--- a/apps/ctl/EntryAnswer.h
+++ b/apps/ctl/EntryAnswer.h
@@ -11,9 +11,9 @@
 
 namespace foxtailbarrow::ctl {
 
-/// Turns an entry's answer into a result: `aOnSuccess` sees the JSON body of a
-/// 2xx answer; any other answer is a refusal (4xx) or an unreachable service
-/// (5xx) that repeats the entry's own words.
+/// Converts an entry's answer to a result. `aOnSuccess` receives the JSON body
+/// of a 2xx answer; any other answer is a refusal (4xx) or an unreachable
+/// service (5xx), with the entry's error message.
 CommandResult ToCommandResult(
   std::string_view aWhat,
   const absl::StatusOr<net::HttpResponse>& aAnswer,
--- a/apps/ctl/EntryCaller.h
+++ b/apps/ctl/EntryCaller.h
@@ -11,8 +11,8 @@
 
 namespace foxtailbarrow::ctl {
 
-/// Calls any one of several entries: goes on to the next where the call did
-/// certainly not run, and after a lost reply where repeating is safe.
+/// Calls one of several entries. Tries the next one if the call certainly did
+/// not run, or after a lost reply if repeating is safe.
 class EntryCaller
 {
 public:
--- a/apps/ctl/FleetCommands.cpp
+++ b/apps/ctl/FleetCommands.cpp
@@ -34,7 +34,7 @@
   return ToCommandResult(
     "agents", Get(aCall, kAgentsTarget), [&](const Json::Value& aAgents) {
       if (!aAgents.isArray()) {
-        return Fail(kExitUnreachable, "agents: the answer is no list");
+        return Fail(kExitUnreachable, "agents: the answer is not a list");
       }
       for (const Json::Value& agent : aAgents) {
         aTable.Add(aRow(agent));
@@ -52,11 +52,11 @@
            CellText(aAgent["failureDomain"]), CellText(aAgent["reason"]) };
 }
 
-/// "used/whole" of one kind of resource.
-std::string UsedOfCapacity(const Json::Value& aAgent, const char* aField)
+/// "reserved/capacity" of one kind of resource.
+std::string ReservedOfCapacity(const Json::Value& aAgent, const char* aField)
 {
-  const auto amount = [&](const char* aSide) {
-    const Json::Value& resources = aAgent[aSide];
+  const auto amount = [&](const char* aMember) {
+    const Json::Value& resources = aAgent[aMember];
     return resources.isObject() && resources.isMember(aField)
              ? CellText(resources[aField])
              : std::string("0");
@@ -70,9 +70,9 @@
            CellText(aAgent["failureDomain"]),
            CellText(aAgent["rack"]),
            CellText(aAgent["state"]),
-           UsedOfCapacity(aAgent, "millicores"),
-           UsedOfCapacity(aAgent, "memoryMb"),
-           UsedOfCapacity(aAgent, "accelerators"),
+           ReservedOfCapacity(aAgent, "millicores"),
+           ReservedOfCapacity(aAgent, "memoryMb"),
+           ReservedOfCapacity(aAgent, "accelerators"),
            CellText(aAgent["reason"]) };
 }
 
--- a/apps/ctl/FleetCommands.h
+++ b/apps/ctl/FleetCommands.h
@@ -5,16 +5,16 @@
 #include "apps/ctl/CommandResult.h"
 #include "apps/ctl/JobCommands.h"
 
-/// What an entry knows of the fleet, from its state dump.
+/// Commands that show the fleet from an entry's state dump.
 namespace foxtailbarrow::ctl {
 
-/// Backend servers: slots, load, state.
+/// Lists the backend servers with their slots, load and state.
 CommandResult ListServers(const CallEntry& aCall);
 
-/// Workers: size and what is reserved of it.
+/// Lists the workers with their size and reserved resources.
 CommandResult ListWorkers(const CallEntry& aCall);
 
-/// The whole state dump of the process that `aCall` reaches.
+/// Shows the state dump of the process that `aCall` reaches.
 CommandResult DumpState(const CallEntry& aCall);
 
 } // namespace foxtailbarrow::ctl
--- a/apps/ctl/JobCommands.cpp
+++ b/apps/ctl/JobCommands.cpp
@@ -72,8 +72,8 @@
   return Succeed(std::move(text), aBody);
 }
 
-/// The record as the entry tells it: whole in an explanation, a summary where
-/// no entry owns the job's shard just now.
+/// Formats the job's record. It is complete in an explanation, and a summary if
+/// no entry owns the job's shard at the moment.
 std::string ExplanationHeader(const Json::Value& aBody)
 {
   const Json::Value& record =
--- a/apps/ctl/JobCommands.h
+++ b/apps/ctl/JobCommands.h
@@ -18,7 +18,7 @@
                                                   bool)>;
 
 /// `aBody`: JSON of a JobSpec without its id. The key makes the submission
-/// safe to repeat: the same key names the same job.
+/// safe to repeat, since the same key identifies the same job.
 CommandResult SubmitJob(const CallEntry& aCall,
                         const std::string& aBody,
                         const std::string& aIdempotencyKey);
--- a/apps/ctl/JsonText.h
+++ b/apps/ctl/JsonText.h
@@ -6,8 +6,8 @@
 
 namespace foxtailbarrow::ctl {
 
-/// A value as a cell of a table: "-" for null or an empty text, compact JSON
-/// for lists and objects.
+/// Formats a value as a table cell: "-" for null and empty strings, compact
+/// JSON for arrays and objects.
 std::string CellText(const Json::Value& aValue);
 
 } // namespace foxtailbarrow::ctl
--- a/apps/ctl/ReadFile.h
+++ b/apps/ctl/ReadFile.h
@@ -6,8 +6,8 @@
 
 namespace foxtailbarrow::ctl {
 
-/// The whole file; InvalidArgument when it cannot be read or is larger than
-/// 1 MiB, more than any document of ours.
+/// Reads a whole file; InvalidArgument if it cannot be read or is larger than
+/// 1 MiB, more than any valid document.
 absl::StatusOr<std::string> ReadFile(const std::string& aPath);
 
 } // namespace foxtailbarrow::ctl
--- a/apps/ctl/TextTable.h
+++ b/apps/ctl/TextTable.h
@@ -6,13 +6,13 @@
 
 namespace foxtailbarrow::ctl {
 
-/// Rows of text in aligned columns, two blanks between them.
+/// Rows of text in aligned columns, separated by two spaces.
 class TextTable
 {
 public:
   explicit TextTable(std::vector<std::string> aHeader);
 
-  /// Missing cells are empty; there may not be more than the header has.
+  /// Missing cells are empty. A row may not have more cells than the header.
   void Add(std::vector<std::string> aRow);
 
   std::string Text() const;
--- a/tests/ctl/ContractCommandsTest.cpp
+++ b/tests/ctl/ContractCommandsTest.cpp
@@ -31,7 +31,7 @@
   return contract;
 }
 
-/// A file of this process alone: tests run side by side.
+/// The file name contains the process id, since tests run in parallel.
 std::string WriteFile(const std::string& aText)
 {
   const std::string path =
@@ -55,7 +55,7 @@
     return *ContractRegistry(mStore).Read(CustomerId("hydro"));
   }
 
-  /// Its clock stands, so that its rate ceilings never refill.
+  /// Its clock is stopped, so that its rate limits never refill.
   MemoryStore mStore{ [] { return Instant(); } };
 };
 
@@ -86,7 +86,7 @@
   Apply(5, first);
   const CommandResult late = Apply(6, first);
   EXPECT_EQ(late.mExitCode, kExitRefused);
-  EXPECT_THAT(late.mText, HasSubstr("another operator was faster"));
+  EXPECT_THAT(late.mText, HasSubstr("another operator changed it first"));
   EXPECT_EQ(late.mJson["revision"].asInt64(), Stored().mRevision);
   EXPECT_EQ(Stored().mMaxCopies, 5);
   EXPECT_EQ(Apply(7, 0).mExitCode, kExitRefused);
@@ -106,7 +106,7 @@
   EXPECT_EQ(ShowContracts(mStore, CustomerId("hydro")).mExitCode, kExitRefused);
 }
 
-TEST_F(ContractCommands, JudgeALostReplyByReadingBack)
+TEST_F(ContractCommands, ResolveALostReplyByReadingBack)
 {
   mStore.SetFaults({ .mLoseReplies = 1 });
   EXPECT_EQ(Apply(4).mExitCode, kExitOk);
@@ -116,7 +116,7 @@
   EXPECT_EQ(mStore.Counts().Count(StoreCall::Commit), 2U);
 }
 
-TEST_F(ContractCommands, TellThatTheStoreIsAway)
+TEST_F(ContractCommands, ReportThatTheStoreIsUnavailable)
 {
   mStore.SetFaults({ .mOutage = true });
   const CommandResult result = Apply(4);
@@ -125,7 +125,7 @@
   EXPECT_EQ(ShowContracts(mStore, std::nullopt).mExitCode, kExitUnreachable);
 }
 
-/// A store in which something happens just before each commit.
+/// A store that calls a function before each commit.
 class InterruptedStore final : public Store
 {
 public:
@@ -184,14 +184,14 @@
   const std::string path = WriteFile(FormatContract(MakeContract(4)));
   const CommandResult result = ApplyContractFile(store, path, std::nullopt);
   EXPECT_EQ(result.mExitCode, kExitRefused);
-  EXPECT_THAT(result.mText, HasSubstr("another operator was faster"));
+  EXPECT_THAT(result.mText, HasSubstr("another operator changed it first"));
   EXPECT_EQ(Stored().mMaxCopies, 9);
 }
 
-TEST_F(ContractCommands, DoNotGuessWhenTheStoreStaysSilentAfterALostReply)
+TEST_F(ContractCommands, ReportAnUnknownOutcomeIfReadingBackFails)
 {
   const std::string path = WriteFile(FormatContract(MakeContract(4)));
-  // The write is applied and its reply lost; the reading back fails, too.
+  // The write is applied, its reply is lost, and reading it back fails.
   InterruptedStore store(mStore, [this] {
     mStore.SetFaults({ .mLoseReplies = 1, .mReadsPerSecond = 1 });
     while (mStore.Read(kKey).status().code() !=
@@ -248,7 +248,7 @@
                          ContractFileRefused,
                          testing::ValuesIn(kBadFiles));
 
-TEST(ContractFile, ThatIsNotThereIsRefused)
+TEST(ContractFile, ThatDoesNotExistIsRefused)
 {
   const CommandResult result = CheckContractFile("/no/such/file");
   EXPECT_EQ(result.mExitCode, kExitRefused);
--- a/tests/ctl/CtlSettingsTest.cpp
+++ b/tests/ctl/CtlSettingsTest.cpp
@@ -76,7 +76,7 @@
                          CommandLineRefused,
                          testing::ValuesIn(kBadLines));
 
-TEST(CtlSettings, TellTheCommandAndItsFlags)
+TEST(CtlSettings, ContainTheCommandAndItsFlags)
 {
   std::ostringstream out;
   std::ostringstream err;
--- a/tests/ctl/EntryCallerTest.cpp
+++ b/tests/ctl/EntryCallerTest.cpp
@@ -10,12 +10,12 @@
 namespace foxtailbarrow::ctl {
 namespace {
 
-/// What the first entry does; the second one always answers.
+/// Behavior of the first entry; the second one always answers.
 enum class FirstEntryBehavior : std::uint8_t
 {
   Answers,
-  IsUnreachable, ///< Nothing listens there.
-  LosesReply,    ///< Takes the request and closes the connection.
+  IsUnreachable, ///< Nothing listens at its endpoint.
+  LosesReply,    ///< Reads the request and closes the connection.
 };
 
 struct CallCase
@@ -69,7 +69,7 @@
   std::vector<std::unique_ptr<net::HttpServer>> mServers;
 };
 
-TEST_P(EntryCall, GoesOnOnlyWhereThatIsSafe)
+TEST_P(EntryCall, TriesTheNextEntryOnlyIfThatIsSafe)
 {
   const Endpoint first = FirstEntry();
   const Endpoint second = Serve(200, mCallsOfSecond);
--- a/tests/ctl/JobCommandsTest.cpp
+++ b/tests/ctl/JobCommandsTest.cpp
@@ -12,7 +12,7 @@
 
 using testing::HasSubstr;
 
-/// An entry that remembers the call and gives a prepared answer.
+/// An entry that records the request and returns a prepared answer.
 class FakeEntry
 {
 public:
@@ -58,7 +58,7 @@
   EXPECT_FALSE(ParseJson(entry.mRequest.mBody)->isMember("id"));
 }
 
-TEST(JobCommands, ListWithFiltersAndTellWhoIsMissing)
+TEST(JobCommands, ListWithFiltersAndReportUnreachableEntries)
 {
   FakeEntry entry(200,
                   R"({"jobs":[{"id":"hydro.k1","state":"parked",)"
@@ -73,7 +73,7 @@
                         "entry-2"));
 }
 
-TEST(JobCommands, ExplainByTheLatestDecisions)
+TEST(JobCommands, ExplainWithTheLatestDecisions)
 {
   FakeEntry entry(200,
                   R"({"record":{"spec":{"id":"h.k1","customer":"h"},)"
@@ -119,7 +119,7 @@
 class EntryError : public testing::TestWithParam<ErrorCase>
 {};
 
-TEST_P(EntryError, IsToldWithItsExitCode)
+TEST_P(EntryError, IsReportedWithItsExitCode)
 {
   FakeEntry entry = GetParam().mEntry;
   const CommandResult result = ExplainJob(entry.Call(), "h.k1");
@@ -138,7 +138,10 @@
     FakeEntry(503, R"({"error":"no store","reason":"waiting-for-store"})"),
     kExitUnreachable,
     { "no store", "waiting-for-store", "after 2 s" } },
-  { "no JSON", FakeEntry(200, "hello"), kExitUnreachable, { "no JSON" } },
+  { "no JSON",
+    FakeEntry(200, "hello"),
+    kExitUnreachable,
+    { "not valid JSON" } },
   { "error without body", FakeEntry(500, ""), kExitUnreachable, { "500" } },
   { "connection refused",
     FakeEntry(WithVerdict(absl::UnavailableError("refused"), Verdict::NotRun)),
--- a/tests/entry/CallerRequestTest.cpp
+++ b/tests/entry/CallerRequestTest.cpp
@@ -48,7 +48,7 @@
 class BadCallerRequest : public testing::TestWithParam<BadHeader>
 {};
 
-TEST_P(BadCallerRequest, IsRefusedAsNotRunAndNamesWhatIsAllowed)
+TEST_P(BadCallerRequest, IsRefusedAsNotRunWithTheAllowedValues)
 {
   const auto result = ReadCallerRequest(
     RequestWith({ GetParam().mHeader }), kLimits, RequestId("fresh"), kNow);
@@ -89,7 +89,7 @@
   EXPECT_TRUE(std::holds_alternative<Refusal>(result));
 }
 
-TEST(CallerRequest, TakesIdKeyAndDeadlineFromItsHeaders)
+TEST(CallerRequest, ReadsIdKeyAndDeadlineFromItsHeaders)
 {
   const net::HttpRequest request =
     RequestWith({ { kRequestIdHeader, "call-7" },
@@ -122,7 +122,7 @@
 class Idempotence : public testing::TestWithParam<MethodCase>
 {};
 
-TEST_P(Idempotence, FollowsFromMethodAndMark)
+TEST_P(Idempotence, FollowsFromMethodAndHeader)
 {
   net::HttpRequest request = RequestWith({});
   request.mMethod = GetParam().mMethod;
--- a/tests/entry/JobWriterTest.cpp
+++ b/tests/entry/JobWriterTest.cpp
@@ -65,7 +65,7 @@
   EXPECT_EQ(Stored().mState, JobState::Queued);
 }
 
-TEST_F(JobWriterTest, SaysNotRunWhenTheStoreIsAway)
+TEST_F(JobWriterTest, ReportsNotRunIfTheStoreIsUnavailable)
 {
   mStore.SetFaults({ .mOutage = true });
   const auto result = mWriter.Submit(kShard, Spec());
@@ -75,19 +75,19 @@
   EXPECT_FALSE(mStore.Read(JobKey(kShard, Spec().mId)).ok());
 }
 
-TEST_F(JobWriterTest, AcceptsARepeatedSubmissionOfASealedJob)
+TEST_F(JobWriterTest, AcceptsARepeatedSubmissionOfABlockedJob)
 {
-  JobRecord sealed;
-  sealed.mSpec = Spec();
-  sealed.mState = JobState::Cancelled;
-  sealed.mReason = std::string(ToString(Reason::WaitingForStore));
-  Overwrite(sealed);
+  JobRecord blocked;
+  blocked.mSpec = Spec();
+  blocked.mState = JobState::Cancelled;
+  blocked.mReason = std::string(ToString(Reason::WaitingForStore));
+  Overwrite(blocked);
   EXPECT_TRUE(
     std::holds_alternative<Submitted>(mWriter.Submit(kShard, Spec())));
   EXPECT_EQ(Stored().mState, JobState::Queued);
 }
 
-TEST_F(JobWriterTest, DoesNotReviveAJobThatItsCustomerCancelled)
+TEST_F(JobWriterTest, DoesNotReopenAJobThatItsCustomerCancelled)
 {
   JobRecord cancelled;
   cancelled.mSpec = Spec();
@@ -114,7 +114,7 @@
   EXPECT_EQ(mWriter.Cancel(kShard, Spec().mId), CancelResult::AlreadyFinal);
 }
 
-TEST_F(JobWriterTest, JudgesALostReplyOfACancellationByReadingBack)
+TEST_F(JobWriterTest, ResolvesALostReplyOfACancellationByReadingBack)
 {
   mWriter.Submit(kShard, Spec());
   mStore.SetFaults({ .mLoseReplies = 1 });
