--- a/apps/replay/JobReplayer.cpp
+++ b/apps/replay/JobReplayer.cpp
@@ -52,34 +52,34 @@
   if (response.ok() && response->mStatus == kAccepted) {
     const absl::StatusOr<Json::Value> body = ParseJson(response->mBody);
     if (body.ok() && (*body)["id"].isString()) {
-      mBook.Accept(aLine, (*body)["id"].asString());
+      mTracker.Accept(aLine, (*body)["id"].asString());
       return;
     }
   }
-  mBook.Refuse(aLine);
+  mTracker.Refuse(aLine);
 }
 
 void JobReplayer::Cancel(const TraceCancel& aLine)
 {
-  if (const std::string id = mBook.IdOf(aLine.mJob); !id.empty()) {
+  if (const std::string id = mTracker.IdOf(aLine.mJob); !id.empty()) {
     // What came of it shows in the job's state.
     (void)CallUntilAnswered(Request("DELETE", TargetOf(id)));
   }
 }
 
-void JobReplayer::LookAtOpenJobs()
+void JobReplayer::PollOpenJobs()
 {
-  for (const ReplayedJob& job : mBook.Open()) {
-    LookAt(job);
+  for (const ReplayedJob& job : mTracker.Open()) {
+    Poll(job);
   }
 }
 
-void JobReplayer::Follow(Instant aUntil)
+void JobReplayer::PollUntilEnded(Instant aUntil)
 {
-  LookAtOpenJobs();
-  while (!mBook.Open().empty() && MonotonicNow() < aUntil) {
+  PollOpenJobs();
+  while (!mTracker.Open().empty() && MonotonicNow() < aUntil) {
     boost::this_fiber::sleep_for(kPause);
-    LookAtOpenJobs();
+    PollOpenJobs();
   }
 }
 
@@ -100,7 +100,7 @@
   return response;
 }
 
-void JobReplayer::LookAt(const ReplayedJob& aJob)
+void JobReplayer::Poll(const ReplayedJob& aJob)
 {
   const absl::StatusOr<net::HttpResponse> response = mContext.mClient.Call(
     mContext.NextEntry(), Request("GET", TargetOf(aJob.mId)), kCallTimeout);
@@ -108,7 +108,7 @@
     return;
   }
   if (response->mStatus == kNotFound) {
-    mBook.SeeNothing(aJob.mLineId);
+    mTracker.OnUnknown(aJob.mLineId);
     return;
   }
   const absl::StatusOr<Json::Value> body = ParseJson(response->mBody);
@@ -118,10 +118,10 @@
   const std::optional<JobState> state =
     ParseJobState((*body)["state"].asString());
   if (state) {
-    mBook.See(aJob.mLineId,
-              *state,
-              (*body)["reason"].asString(),
-              (*body)["evictions"].asInt64());
+    mTracker.OnState(aJob.mLineId,
+                     *state,
+                     (*body)["reason"].asString(),
+                     (*body)["evictions"].asInt64());
   }
 }
 
--- a/apps/replay/JobReplayer.h
+++ b/apps/replay/JobReplayer.h
@@ -3,7 +3,7 @@
 #include "absl/status/statusor.h"
 #include <json/value.h>
 
-#include "apps/replay/JobBook.h"
+#include "apps/replay/JobTracker.h"
 #include "apps/replay/ReplayContext.h"
 #include "src/core/trace/TraceEvents.h"
 #include "src/net/HttpMessage.h"
@@ -16,9 +16,9 @@
 class JobReplayer
 {
 public:
-  JobReplayer(ReplayContext& aContext, JobBook& aBook)
+  JobReplayer(ReplayContext& aContext, JobTracker& aTracker)
     : mContext(aContext)
-    , mBook(aBook)
+    , mTracker(aTracker)
   {
   }
 
@@ -26,18 +26,18 @@
   void Cancel(const TraceCancel& aLine);
 
   /// Asks for each job that has not ended as stated.
-  void LookAtOpenJobs();
+  void PollOpenJobs();
 
   /// Until every job has ended as stated, `aUntil` at the latest.
-  void Follow(Instant aUntil);
+  void PollUntilEnded(Instant aUntil);
 
 private:
   absl::StatusOr<net::HttpResponse> CallUntilAnswered(
     const net::HttpRequest& aRequest);
-  void LookAt(const ReplayedJob& aJob);
+  void Poll(const ReplayedJob& aJob);
 
   ReplayContext& mContext;
-  JobBook& mBook;
+  JobTracker& mTracker;
 };
 
 } // namespace foxtailbarrow::replay
--- a/apps/replay/JobBook.cpp
+++ b/apps/replay/JobTracker.cpp
@@ -1,4 +1,4 @@
-#include "apps/replay/JobBook.h"
+#include "apps/replay/JobTracker.h"
 
 #include <utility>
 
@@ -8,37 +8,37 @@
 
 bool EndedAsStated(const ReplayedJob& aJob)
 {
-  return aJob.mState == aJob.mStatedEnd;
+  return aJob.mState == aJob.mExpectedEnd;
 }
 
 } // namespace
 
-void JobBook::Accept(const TraceJob& aLine, std::string aId)
+void JobTracker::Accept(const TraceJob& aLine, std::string aId)
 {
   ReplayedJob job;
   job.mLineId = aLine.mId;
-  job.mStatedEnd = aLine.mEndState;
+  job.mExpectedEnd = aLine.mEndState;
   job.mId = std::move(aId);
   const std::lock_guard lock(mMutex);
   mJobs.insert_or_assign(aLine.mId, std::move(job));
 }
 
-void JobBook::Refuse(const TraceJob& aLine)
+void JobTracker::Refuse(const TraceJob& aLine)
 {
   Accept(aLine, {});
 }
 
-std::string JobBook::IdOf(const JobId& aLineId) const
+std::string JobTracker::IdOf(const JobId& aLineId) const
 {
   const std::lock_guard lock(mMutex);
   const auto found = mJobs.find(aLineId);
   return found == mJobs.end() ? std::string() : found->second.mId;
 }
 
-void JobBook::See(const JobId& aLineId,
-                  JobState aState,
-                  const std::string& aReason,
-                  std::int64_t aEvictions)
+void JobTracker::OnState(const JobId& aLineId,
+                         JobState aState,
+                         const std::string& aReason,
+                         std::int64_t aEvictions)
 {
   const std::lock_guard lock(mMutex);
   ReplayedJob& job = mJobs[aLineId];
@@ -48,13 +48,13 @@
   job.mUnknown = false;
 }
 
-void JobBook::SeeNothing(const JobId& aLineId)
+void JobTracker::OnUnknown(const JobId& aLineId)
 {
   const std::lock_guard lock(mMutex);
   mJobs[aLineId].mUnknown = true;
 }
 
-std::vector<ReplayedJob> JobBook::Open() const
+std::vector<ReplayedJob> JobTracker::Open() const
 {
   std::vector<ReplayedJob> open;
   const std::lock_guard lock(mMutex);
@@ -66,18 +66,18 @@
   return open;
 }
 
-void JobBook::AddTo(ReplayTotals& aTotals) const
+void JobTracker::AddTo(ReplayTotals& aTotals) const
 {
   const std::lock_guard lock(mMutex);
   for (const auto& [id, job] : mJobs) {
     ++(job.mId.empty() ? aTotals.mJobsRefused : aTotals.mJobs);
-    aTotals.mJobsAsStated += EndedAsStated(job) ? 1 : 0;
+    aTotals.mJobsAsExpected += EndedAsStated(job) ? 1 : 0;
     aTotals.mLostJobs += job.mUnknown ? 1 : 0;
     aTotals.mEvictions += job.mEvictions;
   }
 }
 
-std::vector<std::string> JobBook::Ids() const
+std::vector<std::string> JobTracker::Ids() const
 {
   std::vector<std::string> ids;
   const std::lock_guard lock(mMutex);
--- a/apps/replay/JobBook.h
+++ b/apps/replay/JobTracker.h
@@ -16,7 +16,7 @@
 struct ReplayedJob
 {
   JobId mLineId; ///< In the trace.
-  JobState mStatedEnd = JobState::Finished;
+  JobState mExpectedEnd = JobState::Finished;
   std::string mId;                ///< Told by the entry; empty = not accepted.
   std::optional<JobState> mState; ///< Last seen.
   std::string mReason;            ///< Last seen, of that state.
@@ -25,7 +25,7 @@
 };
 
 /// The jobs of a replay. Callable from any thread.
-class JobBook
+class JobTracker
 {
 public:
   void Accept(const TraceJob& aLine, std::string aId);
@@ -34,11 +34,11 @@
   /// Empty when the job was not accepted (yet).
   std::string IdOf(const JobId& aLineId) const;
 
-  void See(const JobId& aLineId,
-           JobState aState,
-           const std::string& aReason,
-           std::int64_t aEvictions);
-  void SeeNothing(const JobId& aLineId);
+  void OnState(const JobId& aLineId,
+               JobState aState,
+               const std::string& aReason,
+               std::int64_t aEvictions);
+  void OnUnknown(const JobId& aLineId);
 
   /// Accepted jobs that have not ended as stated.
   std::vector<ReplayedJob> Open() const;
--- a/apps/replay/ReplayRun.cpp
+++ b/apps/replay/ReplayRun.cpp
@@ -77,7 +77,7 @@
   const auto& [format, deployment, seed, durationMs, outcomes] = mTrace.mHeader;
   const Instant end = start + std::chrono::milliseconds(durationMs);
   JobReplayer(mContext, mJobs)
-    .Follow(end + std::chrono::milliseconds(outcomes.mJobsDeadlineMs));
+    .PollUntilEnded(end + std::chrono::milliseconds(outcomes.mJobsDeadlineMs));
   WaitForAll(MonotonicNow() + kStragglers);
   PrintProgress(start);
   PrintOpenJobs();
@@ -112,7 +112,7 @@
     boost::this_fiber::sleep_until(due);
     if (MonotonicNow() >= mNextProgress) {
       PrintProgress(aStart);
-      Spawn(i, [this] { JobReplayer(mContext, mJobs).LookAtOpenJobs(); });
+      Spawn(i, [this] { JobReplayer(mContext, mJobs).PollOpenJobs(); });
     }
     Dispatch(event, i, due);
   }
@@ -142,11 +142,11 @@
 
 void ReplayRun::Spawn(std::size_t aIndex, std::function<void()> aBody)
 {
-  ++mUnderWay;
+  ++mActiveFibers;
   const auto thread = static_cast<unsigned>(aIndex % mRuntime.Threads());
   mRuntime.SpawnOn(thread, [this, body = std::move(aBody)] {
     body();
-    --mUnderWay;
+    --mActiveFibers;
   });
 }
 
@@ -165,7 +165,7 @@
 
 void ReplayRun::WaitForAll(Instant aUntil)
 {
-  while (mUnderWay > 0 && MonotonicNow() < aUntil) {
+  while (mActiveFibers > 0 && MonotonicNow() < aUntil) {
     boost::this_fiber::sleep_for(kPause);
   }
 }
@@ -187,13 +187,13 @@
   }
   const RequestAudit audit = AuditRequests(mRequests.Requests(), *executions);
   aTotals.mAudited = true;
-  aTotals.mToldWrongly = audit.mToldWrongly;
+  aTotals.mRanDespiteNotRun = audit.mRanDespiteNotRun;
   aTotals.mLostRequests = audit.mLost;
-  aTotals.mDoubledRequests = audit.mDoubled;
+  aTotals.mRepeatedRequests = audit.mDoubled;
   aTotals.mOvercommitted = workers->mOvercommitted;
-  for (const std::string& job : FindDoubledJobs(workers->mRuns)) {
+  for (const std::string& job : FindOverlappingJobs(workers->mRuns)) {
     std::cerr << "doubled job: " << job << "\n";
-    ++aTotals.mDoubledJobs;
+    ++aTotals.mOverlappingJobs;
   }
   return absl::OkStatus();
 }
@@ -224,7 +224,7 @@
     totals.mNotRun,
     totals.mWrongAnswers,
     totals.mJobs,
-    totals.mJobsAsStated);
+    totals.mJobsAsExpected);
 }
 
 void ReplayRun::PrintOpenJobs() const
@@ -233,7 +233,7 @@
     std::cerr << "not ended as stated: job " << job.mLineId.Value() << ", id "
               << job.mId << ", "
               << (job.mState ? ToString(*job.mState) : "never seen")
-              << " in place of " << ToString(job.mStatedEnd) << ", reason "
+              << " in place of " << ToString(job.mExpectedEnd) << ", reason "
               << (job.mReason.empty() ? "none" : job.mReason) << "\n";
   }
 }
--- a/apps/replay/ReplayRun.h
+++ b/apps/replay/ReplayRun.h
@@ -2,10 +2,10 @@
 
 #include "absl/status/statusor.h"
 
-#include "apps/replay/JobBook.h"
+#include "apps/replay/JobTracker.h"
 #include "apps/replay/ReplayContext.h"
 #include "apps/replay/ReplaySettings.h"
-#include "apps/replay/RequestBook.h"
+#include "apps/replay/RequestTracker.h"
 #include "foxtailbarrow/Store.h"
 #include "src/core/trace/ReplayTotals.h"
 #include "src/core/trace/Trace.h"
@@ -47,11 +47,11 @@
   Store* mStore;
   net::HttpClient mClient;
   ReplayContext mContext;
-  RequestBook mRequests;
-  JobBook mJobs;
+  RequestTracker mRequests;
+  JobTracker mJobs;
   std::atomic<std::int64_t> mContracts{ 0 };
   std::atomic<std::int64_t> mFailedContracts{ 0 };
-  std::atomic<std::int64_t> mUnderWay{ 0 }; ///< Fibers of events.
+  std::atomic<std::int64_t> mActiveFibers{ 0 }; ///< Fibers of events.
   Instant mNextProgress;
 };
 
--- a/apps/replay/RequestReplayer.cpp
+++ b/apps/replay/RequestReplayer.cpp
@@ -89,7 +89,7 @@
     }
     boost::this_fiber::sleep_for(*outcome.mRetryAfter);
   }
-  mBook.End(std::move(attempted), MonotonicNow() - aDue);
+  mTracker.End(std::move(attempted), MonotonicNow() - aDue);
 }
 
 RequestReplayer::Outcome RequestReplayer::Send(const TraceRequest& aLine,
--- a/apps/replay/RequestReplayer.h
+++ b/apps/replay/RequestReplayer.h
@@ -3,7 +3,7 @@
 #include <cstddef>
 
 #include "apps/replay/ReplayContext.h"
-#include "apps/replay/RequestBook.h"
+#include "apps/replay/RequestTracker.h"
 #include "src/core/trace/TraceEvents.h"
 
 namespace foxtailbarrow::replay {
@@ -14,9 +14,9 @@
 class RequestReplayer
 {
 public:
-  RequestReplayer(ReplayContext& aContext, RequestBook& aBook)
+  RequestReplayer(ReplayContext& aContext, RequestTracker& aTracker)
     : mContext(aContext)
-    , mBook(aBook)
+    , mTracker(aTracker)
   {
   }
 
@@ -37,7 +37,7 @@
                Duration aRemaining);
 
   ReplayContext& mContext;
-  RequestBook& mBook;
+  RequestTracker& mTracker;
 };
 
 } // namespace foxtailbarrow::replay
--- a/apps/replay/RequestBook.cpp
+++ b/apps/replay/RequestTracker.cpp
@@ -1,4 +1,4 @@
-#include "apps/replay/RequestBook.h"
+#include "apps/replay/RequestTracker.h"
 
 #include <utility>
 
@@ -31,13 +31,13 @@
 
 } // namespace
 
-void RequestBook::Begin()
+void RequestTracker::Begin()
 {
   const std::lock_guard lock(mMutex);
   ++mBegun;
 }
 
-void RequestBook::End(AttemptedRequest aRequest, Duration aLatency)
+void RequestTracker::End(AttemptedRequest aRequest, Duration aLatency)
 {
   const AttemptEnd end = aRequest.mAttempts.back().mEnd;
   const std::lock_guard lock(mMutex);
@@ -54,13 +54,13 @@
   mRequests.push_back(std::move(aRequest));
 }
 
-std::int64_t RequestBook::InProgress() const
+std::int64_t RequestTracker::InProgress() const
 {
   const std::lock_guard lock(mMutex);
   return mBegun - static_cast<std::int64_t>(mRequests.size());
 }
 
-void RequestBook::AddTo(ReplayTotals& aTotals) const
+void RequestTracker::AddTo(ReplayTotals& aTotals) const
 {
   const std::lock_guard lock(mMutex);
   aTotals.mRequests = mBegun;
--- a/apps/replay/RequestBook.h
+++ b/apps/replay/RequestTracker.h
@@ -11,7 +11,7 @@
 namespace foxtailbarrow::replay {
 
 /// How each request ended. Callable from any thread.
-class RequestBook
+class RequestTracker
 {
 public:
   /// A request of the trace is due.
--- a/soak/Callers.cpp
+++ b/soak/Callers.cpp
@@ -20,8 +20,8 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kCallTimeout = milliseconds(3000);
-constexpr int kTries = 4;
-constexpr Duration kAskEvery = milliseconds(700);
+constexpr int kMaxAttempts = 4;
+constexpr Duration kQueryInterval = milliseconds(700);
 constexpr unsigned kOk = 200;
 constexpr unsigned kGone = 410;
 constexpr unsigned kTooMany = 429;
@@ -29,8 +29,8 @@
 constexpr std::int64_t kPercent = 100;
 constexpr int kServingImages = 3;
 constexpr int kServingReplicas = 4;
-constexpr int kLeftoverImages = 6;
-constexpr Duration kLeftoverEvery = milliseconds(800);
+constexpr int kBestEffortImages = 6;
+constexpr Duration kBestEffortInterval = milliseconds(800);
 
 constexpr std::array kPhases = { JobPhase::Queued,
                                  JobPhase::Running,
@@ -89,7 +89,7 @@
   cell::StepSpec& step = graph.mSteps[0];
   step.mDemand = { 1000, 500, 0 };
   step.mEstimate = aProgram.mWork;
-  step.mStanding = aProgram.mStands;
+  step.mStanding = aProgram.mRunsUntilStopped;
   return graph;
 }
 
@@ -97,22 +97,22 @@
 
 Callers::Callers(net::FiberRuntime& aRuntime,
                  const Fleet& aFleet,
-                 PromiseBook& aBook,
+                 PromiseChecker& aChecker,
                  unsigned aSeed,
                  const CallerSettings& aSettings)
   : mRuntime(aRuntime)
   , mFleet(aFleet)
-  , mBook(aBook)
+  , mChecker(aChecker)
   , mRandom(aSeed)
-  , mLeftoverRandom(~static_cast<std::uint64_t>(aSeed))
+  , mServingRandom(~static_cast<std::uint64_t>(aSeed))
   , mSettings(aSettings)
   , mClient(aRuntime)
 {
 }
 
-std::int64_t Callers::Random(std::int64_t aLeast, std::int64_t aMost)
+std::int64_t Callers::Random(std::int64_t aMin, std::int64_t aMax)
 {
-  return std::uniform_int_distribution(aLeast, aMost)(mRandom);
+  return std::uniform_int_distribution(aMin, aMax)(mRandom);
 }
 
 void Callers::Start(unsigned aCount)
@@ -121,17 +121,17 @@
     mRuntime.Spawn([this] { Run(); });
   }
   if (mSettings.mServing) {
-    ServeAll();
-    mRuntime.Spawn([this] { SubmitLeftover(); });
+    SubmitServing();
+    mRuntime.Spawn([this] { SubmitBestEffort(); });
   }
 }
 
 cell::JobGraph Callers::ServingJob(int aImage)
 {
   standin::TaskProgram program;
-  program.mStands = true;
-  program.mServes = aImage;
-  cell::JobGraph graph = OneStepJob(RandomId(mLeftoverRandom), program);
+  program.mRunsUntilStopped = true;
+  program.mServingImage = aImage;
+  cell::JobGraph graph = OneStepJob(RandomId(mServingRandom), program);
   cell::StepSpec& step = graph.mSteps[0];
   step.mReplicas = kServingReplicas;
   step.mMaxPerWorker = 1;
@@ -140,44 +140,44 @@
   return graph;
 }
 
-cell::JobGraph Callers::LeftoverJob()
+cell::JobGraph Callers::BestEffortJob()
 {
   standin::TaskProgram program;
-  program.mFills =
-    std::uniform_int_distribution<int>(0, kLeftoverImages - 1)(mLeftoverRandom);
-  program.mWork = milliseconds(
-    std::uniform_int_distribution<int>(500, 5000)(mLeftoverRandom));
-  cell::JobGraph graph = OneStepJob(RandomId(mLeftoverRandom), program);
+  program.mBestEffortImage = std::uniform_int_distribution<int>(
+    0, kBestEffortImages - 1)(mServingRandom);
+  program.mWork =
+    milliseconds(std::uniform_int_distribution<int>(500, 5000)(mServingRandom));
+  cell::JobGraph graph = OneStepJob(RandomId(mServingRandom), program);
   cell::StepSpec& step = graph.mSteps[0];
-  step.mReplicas = std::uniform_int_distribution<int>(2, 5)(mLeftoverRandom);
+  step.mReplicas = std::uniform_int_distribution<int>(2, 5)(mServingRandom);
   step.mBestEffort = true;
   step.mCheckpoints = true;
-  step.mImage = "leftover" + std::to_string(*program.mFills);
+  step.mImage = "leftover" + std::to_string(*program.mBestEffortImage);
   return graph;
 }
 
-void Callers::ServeAll()
+void Callers::SubmitServing()
 {
   for (int image = 0; image < kServingImages; ++image) {
     mRuntime.Spawn([this, graph = ServingJob(image)] {
-      mBook.Submitting(graph);
-      mBook.Submitted(graph.mId, Submit(graph));
+      mChecker.OnSubmitting(graph);
+      mChecker.OnSubmitted(graph.mId, Submit(graph));
     });
   }
 }
 
-void Callers::SubmitLeftover()
+void Callers::SubmitBestEffort()
 {
-  while (mSubmittingLeftover) {
-    mRuntime.Spawn([this, graph = LeftoverJob()] {
-      mBook.Submitting(graph);
-      const Told told = Submit(graph);
-      mBook.Submitted(graph.mId, told);
-      if (told != Told::Refused) {
+  while (mSubmittingBestEffort) {
+    mRuntime.Spawn([this, graph = BestEffortJob()] {
+      mChecker.OnSubmitting(graph);
+      const SubmitOutcome outcome = Submit(graph);
+      mChecker.OnSubmitted(graph.mId, outcome);
+      if (outcome != SubmitOutcome::Refused) {
         Follow(graph.mId, false);
       }
     });
-    boost::this_fiber::sleep_for(kLeftoverEvery);
+    boost::this_fiber::sleep_for(kBestEffortInterval);
   }
 }
 
@@ -194,26 +194,26 @@
 
 cell::JobGraph Callers::RandomJob()
 {
-  constexpr std::int64_t kStandsPercent = 4;
+  constexpr std::int64_t kStandingPercent = 4;
   constexpr std::int64_t kFailsPercent = 10;
   cell::JobGraph graph;
   graph.mId = RandomId(mRandom);
   graph.mQueue = cell::QueueId("queue");
   const std::int64_t kind = Random(1, kPercent);
   standin::TaskProgram program;
-  program.mStands = kind <= kStandsPercent;
-  program.mFails = !program.mStands && kind <= kFailsPercent;
+  program.mRunsUntilStopped = kind <= kStandingPercent;
+  program.mFails = !program.mRunsUntilStopped && kind <= kFailsPercent;
   program.mWork = milliseconds(Random(50, 900));
   graph.mPayload = standin::FormatTaskProgram(program);
   const auto steps =
-    static_cast<std::int32_t>(program.mStands ? 1 : Random(1, 3));
+    static_cast<std::int32_t>(program.mRunsUntilStopped ? 1 : Random(1, 3));
   for (std::int32_t i = 0; i < steps; ++i) {
     cell::StepSpec step;
     step.mReplicas = static_cast<std::int32_t>(Random(1, 4));
     step.mDemand = { Random(200, 2000), Random(100, 2000), 0 };
     step.mEstimate = program.mWork;
     step.mCheckpoints = Random(0, 1) == 1;
-    step.mStanding = program.mStands;
+    step.mStanding = program.mRunsUntilStopped;
     if (i > 0) {
       step.mAfter = { i - 1 };
     }
@@ -235,35 +235,35 @@
   request.mTarget = "/jobs/" + aJob.Value();
   request.mBody = std::move(aBody);
   const auto door = static_cast<unsigned>(Random(0, mFleet.Schedulers() - 1));
-  return mClient.Call(mFleet.Door(door), request, kCallTimeout);
+  return mClient.Call(mFleet.CallerEndpoint(door), request, kCallTimeout);
 }
 
-Told Callers::Submit(const cell::JobGraph& aGraph)
+SubmitOutcome Callers::Submit(const cell::JobGraph& aGraph)
 {
-  Told told = Told::Refused;
-  for (int i = 0; i < kTries; ++i) {
+  SubmitOutcome outcome = SubmitOutcome::Refused;
+  for (int i = 0; i < kMaxAttempts; ++i) {
     const auto answer = Call("POST", aGraph.mId, Body(aGraph));
     if (answer.ok() && answer->mStatus == kOk) {
-      return Told::Accepted;
+      return SubmitOutcome::Accepted;
     }
     const bool refused =
       answer.ok()
         ? answer->mStatus == kTooMany || answer->mStatus == kUnavailable
         : VerdictOf(answer.status()) == Verdict::NotRun;
-    told = refused ? told : Told::Nothing;
+    outcome = refused ? outcome : SubmitOutcome::Nothing;
     boost::this_fiber::sleep_for(milliseconds(Random(50, 400)));
   }
-  return told;
+  return outcome;
 }
 
-void Callers::Ask(const JobId& aJob)
+void Callers::QueryState(const JobId& aJob)
 {
   const auto answer = Call("GET", aJob, {});
   if (!answer.ok()) {
     return;
   }
   if (answer->mStatus == kGone) {
-    mBook.ShownGone(aJob);
+    mChecker.OnUnknownJob(aJob);
     return;
   }
   const auto body = platform::ParseObject(answer->mBody);
@@ -275,16 +275,16 @@
   const auto phase = std::ranges::find_if(
     kPhases, [&](JobPhase aPhase) { return ToString(aPhase) == state; });
   if (phase != kPhases.end()) {
-    mBook.Shown(aJob, *phase);
+    mChecker.OnPhaseShown(aJob, *phase);
   }
 }
 
 bool Callers::Cancel(const JobId& aJob)
 {
-  mBook.Cancelling(aJob);
+  mChecker.OnCancelling(aJob);
   const auto answer = Call("DELETE", aJob, {});
   if (answer.ok() && answer->mStatus == kOk) {
-    mBook.Cancelled(aJob);
+    mChecker.Cancelled(aJob);
     return true;
   }
   return false;
@@ -293,10 +293,10 @@
 void Callers::Follow(const JobId& aJob, bool aCancel)
 {
   bool cancelled = !aCancel;
-  while (mAsking) {
-    boost::this_fiber::sleep_for(kAskEvery);
+  while (mQuerying) {
+    boost::this_fiber::sleep_for(kQueryInterval);
     cancelled = cancelled || Cancel(aJob);
-    Ask(aJob);
+    QueryState(aJob);
   }
 }
 
@@ -305,10 +305,10 @@
   constexpr std::int64_t kCancelPercent = 10;
   while (mSubmitting) {
     const cell::JobGraph graph = RandomJob();
-    mBook.Submitting(graph);
-    const Told told = Submit(graph);
-    mBook.Submitted(graph.mId, told);
-    if (told != Told::Refused) {
+    mChecker.OnSubmitting(graph);
+    const SubmitOutcome outcome = Submit(graph);
+    mChecker.OnSubmitted(graph.mId, outcome);
+    if (outcome != SubmitOutcome::Refused) {
       mRuntime.Spawn(
         [this, id = graph.mId, cancel = Random(1, kPercent) <= kCancelPercent] {
           Follow(id, cancel);
--- a/soak/Callers.h
+++ b/soak/Callers.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "soak/Fleet.h"
-#include "soak/PromiseBook.h"
+#include "soak/PromiseChecker.h"
 #include "src/net/HttpClient.h"
 
 namespace foxtailbarrow::soak {
@@ -23,7 +23,7 @@
 public:
   Callers(net::FiberRuntime& aRuntime,
           const Fleet& aFleet,
-          PromiseBook& aBook,
+          PromiseChecker& aChecker,
           unsigned aSeed,
           const CallerSettings& aSettings);
 
@@ -31,37 +31,37 @@
   void Start(unsigned aCount);
   void Stop() { mSubmitting = false; }
   /// Leftover jobs go on until then.
-  void StopLeftover() { mSubmittingLeftover = false; }
-  void End() { mAsking = false; }
+  void StopBestEffort() { mSubmittingBestEffort = false; }
+  void End() { mQuerying = false; }
 
 private:
   void Run();
   cell::JobGraph RandomJob();
-  void ServeAll();
-  void SubmitLeftover();
+  void SubmitServing();
+  void SubmitBestEffort();
   cell::JobGraph ServingJob(int aImage);
-  cell::JobGraph LeftoverJob();
+  cell::JobGraph BestEffortJob();
   void Follow(const JobId& aJob, bool aCancel);
   void MakeCrashing(cell::JobGraph& aGraph);
-  Told Submit(const cell::JobGraph& aGraph);
-  void Ask(const JobId& aJob);
+  SubmitOutcome Submit(const cell::JobGraph& aGraph);
+  void QueryState(const JobId& aJob);
   bool Cancel(const JobId& aJob);
   absl::StatusOr<net::HttpResponse> Call(const char* aMethod,
                                          const JobId& aJob,
                                          std::string aBody);
-  std::int64_t Random(std::int64_t aLeast, std::int64_t aMost);
+  std::int64_t Random(std::int64_t aMin, std::int64_t aMax);
 
   net::FiberRuntime& mRuntime;
   const Fleet& mFleet;
-  PromiseBook& mBook;
+  PromiseChecker& mChecker;
   std::mt19937_64 mRandom;
   /// Apart, so that the other jobs are the same with and without.
-  std::mt19937_64 mLeftoverRandom;
+  std::mt19937_64 mServingRandom;
   CallerSettings mSettings;
   net::HttpClient mClient;
   bool mSubmitting = true;
-  bool mSubmittingLeftover = true;
-  bool mAsking = true;
+  bool mSubmittingBestEffort = true;
+  bool mQuerying = true;
 };
 
 } // namespace foxtailbarrow::soak
--- a/soak/FaultTimes.cpp
+++ b/soak/FaultTimeline.cpp
@@ -1,4 +1,4 @@
-#include "soak/FaultTimes.h"
+#include "soak/FaultTimeline.h"
 
 #include <algorithm>
 #include <charconv>
@@ -11,11 +11,11 @@
 namespace {
 
 /// After a fault, until what it touched is in touch again.
-constexpr Duration kInTouchAfter = std::chrono::seconds(3);
+constexpr Duration kReconnectTime = std::chrono::seconds(3);
 /// A calm so long lets an agent find the owner and be told what runs.
-constexpr Duration kTold = std::chrono::seconds(6);
+constexpr Duration kResyncTime = std::chrono::seconds(6);
 /// A process is back so long after its fault has ended.
-constexpr Duration kRestart = std::chrono::seconds(1);
+constexpr Duration kRestartTime = std::chrono::seconds(1);
 
 bool RestartsAgent(FaultKind aKind)
 {
@@ -23,7 +23,7 @@
          aKind == FaultKind::KillAll;
 }
 
-bool TouchesWorker(FaultKind aKind)
+bool AffectsWorker(FaultKind aKind)
 {
   switch (aKind) {
     case FaultKind::PauseAgent:
@@ -54,36 +54,39 @@
 
 } // namespace
 
-FaultTimes::FaultTimes(const std::vector<Fault>& aPlan,
-                       Instant aStart,
-                       std::int64_t aWorkers)
+FaultTimeline::FaultTimeline(const std::vector<Fault>& aPlan,
+                             Instant aStart,
+                             std::int64_t aWorkers)
 {
   for (const Fault& fault : aPlan) {
     Span span;
     span.mFrom = aStart + fault.mAt;
-    span.mTo = span.mFrom + fault.mFor + kRestart;
-    span.mTouches = TouchesWorker(fault.mKind);
-    span.mRestarts = RestartsAgent(fault.mKind);
-    if (span.mTouches && fault.mKind != FaultKind::KillAll) {
+    span.mTo = span.mFrom + fault.mFor + kRestartTime;
+    span.mAffectsWorker = AffectsWorker(fault.mKind);
+    span.mRestartsAgent = RestartsAgent(fault.mKind);
+    if (span.mAffectsWorker && fault.mKind != FaultKind::KillAll) {
       span.mWorker = fault.mTarget % static_cast<unsigned>(aWorkers);
     }
     mSpans.push_back(span);
   }
 }
 
-bool FaultTimes::Touched(unsigned aWorker, Instant aFrom, Instant aTo) const
+bool FaultTimeline::IsAffected(unsigned aWorker,
+                               Instant aFrom,
+                               Instant aTo) const
 {
   return std::ranges::any_of(mSpans, [&](const Span& aSpan) {
-    return aSpan.mTouches && (!aSpan.mWorker || *aSpan.mWorker == aWorker) &&
+    return aSpan.mAffectsWorker &&
+           (!aSpan.mWorker || *aSpan.mWorker == aWorker) &&
            aSpan.mFrom <= aTo && aSpan.mTo >= aFrom;
   });
 }
 
-Instant FaultTimes::LastRestart(unsigned aWorker, Instant aBefore) const
+Instant FaultTimeline::LastRestart(unsigned aWorker, Instant aBefore) const
 {
   Instant last{};
   for (const Span& span : mSpans) {
-    if (span.mRestarts && (!span.mWorker || *span.mWorker == aWorker) &&
+    if (span.mRestartsAgent && (!span.mWorker || *span.mWorker == aWorker) &&
         span.mFrom <= aBefore) {
       last = std::max(last, span.mTo);
     }
@@ -91,30 +94,33 @@
   return last;
 }
 
-/// No fault for kTold on end between the two.
-bool FaultTimes::Calm(Instant aFrom, Instant aTo) const
+/// No fault for kResyncTime on end between the two.
+bool FaultTimeline::HasFaultFreePeriod(Instant aFrom, Instant aTo) const
 {
-  Instant calmSince = aFrom;
+  Instant faultFreeSince = aFrom;
   for (const Span& span : mSpans) {
-    if (span.mTo <= calmSince) {
+    if (span.mTo <= faultFreeSince) {
       continue;
     }
-    if (span.mFrom - calmSince >= kTold || calmSince >= aTo) {
+    if (span.mFrom - faultFreeSince >= kResyncTime || faultFreeSince >= aTo) {
       break;
     }
-    calmSince = span.mTo;
+    faultFreeSince = span.mTo;
   }
-  return aTo - calmSince >= kTold;
+  return aTo - faultFreeSince >= kResyncTime;
 }
 
-bool FaultTimes::Protected(std::string_view aIncarnation, Instant aSince) const
+bool FaultTimeline::IsProtected(std::string_view aIncarnation,
+                                Instant aSince) const
 {
   const unsigned worker = WorkerOf(aIncarnation);
-  if (Touched(worker, aSince - kInTouchAfter, aSince + standin::kLongestOver)) {
+  if (IsAffected(worker,
+                 aSince - kReconnectTime,
+                 aSince + standin::kMaxTimeOverTarget)) {
     return false;
   }
   const Instant restarted = LastRestart(worker, aSince);
-  return restarted == Instant() || Calm(restarted, aSince);
+  return restarted == Instant() || HasFaultFreePeriod(restarted, aSince);
 }
 
 } // namespace foxtailbarrow::soak
--- a/soak/FaultTimes.h
+++ b/soak/FaultTimeline.h
@@ -14,16 +14,16 @@
 /// Tells from the plan of faults when an agent is bound to protect the serving
 /// tasks on its worker: while nothing has touched the two for a while, and once
 /// an agent that was restarted has had calm enough to be told what runs. Pure.
-class FaultTimes
+class FaultTimeline
 {
 public:
   /// The plan begins at `aStart`.
-  FaultTimes(const std::vector<Fault>& aPlan,
-             Instant aStart,
-             std::int64_t aWorkers);
+  FaultTimeline(const std::vector<Fault>& aPlan,
+                Instant aStart,
+                std::int64_t aWorkers);
 
   /// True for a task of the incarnation that is over its target since then.
-  bool Protected(std::string_view aIncarnation, Instant aSince) const;
+  bool IsProtected(std::string_view aIncarnation, Instant aSince) const;
 
 private:
   struct Span
@@ -31,13 +31,13 @@
     Instant mFrom{};
     Instant mTo{};
     std::optional<unsigned> mWorker; ///< Empty = all, or the cell's owner.
-    bool mTouches = false;           ///< The worker or its agent.
-    bool mRestarts = false;          ///< The agent.
+    bool mAffectsWorker = false;     ///< The worker or its agent.
+    bool mRestartsAgent = false;     ///< The agent.
   };
 
-  bool Touched(unsigned aWorker, Instant aFrom, Instant aTo) const;
+  bool IsAffected(unsigned aWorker, Instant aFrom, Instant aTo) const;
   Instant LastRestart(unsigned aWorker, Instant aBefore) const;
-  bool Calm(Instant aFrom, Instant aTo) const;
+  bool HasFaultFreePeriod(Instant aFrom, Instant aTo) const;
 
   std::vector<Span> mSpans;
 };
--- a/soak/Fleet.cpp
+++ b/soak/Fleet.cpp
@@ -45,19 +45,20 @@
              "." + std::to_string(process / kNetworks % kNetworks) + ".";
 }
 
-Endpoint Fleet::At(unsigned aHost, std::uint16_t aPort) const
+Endpoint Fleet::EndpointAt(unsigned aHost, std::uint16_t aPort) const
 {
   return { mNetwork + std::to_string(aHost), aPort };
 }
 
-Endpoint Fleet::Door(unsigned aIndex) const
+Endpoint Fleet::CallerEndpoint(unsigned aIndex) const
 {
-  return At(kFirstScheduler + aIndex % mSettings.mSchedulers, kCallerPort);
+  return EndpointAt(kFirstScheduler + aIndex % mSettings.mSchedulers,
+                    kCallerPort);
 }
 
 Endpoint Fleet::AgentControl(unsigned aIndex) const
 {
-  return At(kFirstAgent + aIndex % mSettings.mWorkers, kControlPort);
+  return EndpointAt(kFirstAgent + aIndex % mSettings.mWorkers, kControlPort);
 }
 
 std::string Fleet::Seeds() const
@@ -65,17 +66,17 @@
   std::string seeds;
   for (unsigned i = 0; i < mSettings.mSchedulers; ++i) {
     seeds += (i == 0 ? "" : ",") +
-             ToString(At(kFirstScheduler + i + kLinkOf, kPeerPort));
+             ToString(EndpointAt(kFirstScheduler + i + kLinkOf, kPeerPort));
   }
   return seeds;
 }
 
 absl::StatusOr<std::unique_ptr<Fleet>> Fleet::Start(net::FiberRuntime& aRuntime,
                                                     FleetSettings aSettings,
-                                                    PromiseBook& aBook)
+                                                    PromiseChecker& aChecker)
 {
   std::unique_ptr<Fleet> fleet(new Fleet(std::move(aSettings)));
-  absl::Status status = fleet->StartStandIns(aRuntime, aBook);
+  absl::Status status = fleet->StartStandIns(aRuntime, aChecker);
   if (status.ok()) {
     status = fleet->AddSchedulers();
   }
@@ -91,37 +92,39 @@
 }
 
 absl::Status Fleet::StartStandIns(net::FiberRuntime& aRuntime,
-                                  PromiseBook& aBook)
+                                  PromiseChecker& aChecker)
 {
   auto store = standin::KvService::Start(
-    aRuntime, At(kStoreHost, kStorePort), mSettings.mSeed);
+    aRuntime, EndpointAt(kStoreHost, kStorePort), mSettings.mSeed);
   if (!store.ok()) {
     return store.status();
   }
   mStore = *std::move(store);
   for (unsigned i = 0; i < mSettings.mWorkers; ++i) {
     standin::TaskWorkerSettings settings;
-    settings.mPaceTime = kPaceTime;
+    settings.mThrottleDelay = kPaceTime;
     settings.mSeed = mSettings.mSeed + i;
     settings.mClockRate = i == 0 ? kSlowClock : 1.0;
     auto worker = standin::TaskWorkerService::Start(
       aRuntime,
-      { At(kFirstAgent + i, kWorkerPort),
-        At(kFirstAgent + i, kControlPort),
+      { EndpointAt(kFirstAgent + i, kWorkerPort),
+        EndpointAt(kFirstAgent + i, kControlPort),
         "worker" + std::to_string(i),
         "service",
         "rack" + std::to_string(i % 2) },
       settings,
       mSettings.mSeed + i,
-      [&aBook](const std::string& aIncarnation, const standin::RunMark& aMark) {
-        aBook.Mark(aIncarnation, aMark);
+      [&aChecker](const std::string& aIncarnation,
+                  const standin::RunEvent& aEvent) {
+        aChecker.OnRunEvent(aIncarnation, aEvent);
       });
     if (!worker.ok()) {
       return worker.status();
     }
-    (*worker)->OnBeat([&aBook](const standin::BeatMark& aMark) {
-      aBook.Beat(aMark, MonotonicNow());
-    });
+    (*worker)->SetHeartbeatSink(
+      [&aChecker](const standin::HeartbeatEvent& aEvent) {
+        aChecker.OnHeartbeat(aEvent, MonotonicNow());
+      });
     mWorkers.push_back(*std::move(worker));
   }
   return absl::OkStatus();
@@ -143,27 +146,28 @@
 {
   for (unsigned i = 0; i < mSettings.mSchedulers; ++i) {
     const unsigned host = kFirstScheduler + i;
-    const Endpoint store = At(kFirstStoreLink + host, kStorePort);
-    const Endpoint advertised = At(host + kLinkOf, kPeerPort);
+    const Endpoint store = EndpointAt(kFirstStoreLink + host, kStorePort);
+    const Endpoint advertised = EndpointAt(host + kLinkOf, kPeerPort);
     absl::Status status =
-      AddLink(mStoreLinks, store, At(kStoreHost, kStorePort));
+      AddLink(mStoreLinks, store, EndpointAt(kStoreHost, kStorePort));
     if (status.ok()) {
-      status = AddLink(mSchedulerLinks, advertised, At(host, kPeerPort));
+      status =
+        AddLink(mSchedulerLinks, advertised, EndpointAt(host, kPeerPort));
     }
     if (!status.ok()) {
       return status;
     }
     const std::string name = "scheduler" + std::to_string(i);
     mSchedulers.push_back(std::make_unique<Child>(
-      std::vector<std::string>{ mSettings.mPrograms +
-                                  "/foxtailbarrow-scheduler",
-                                "--id=" + name,
-                                "--listen=" + ToString(At(host, kCallerPort)),
-                                "--ready=" + ToString(At(host, kReadyPort)),
-                                "--peers=" + ToString(At(host, kPeerPort)),
-                                "--advertise=" + ToString(advertised),
-                                "--store=" + ToString(store),
-                                "--seeds=" + Seeds() },
+      std::vector<std::string>{
+        mSettings.mPrograms + "/foxtailbarrow-scheduler",
+        "--id=" + name,
+        "--listen=" + ToString(EndpointAt(host, kCallerPort)),
+        "--ready=" + ToString(EndpointAt(host, kReadyPort)),
+        "--peers=" + ToString(EndpointAt(host, kPeerPort)),
+        "--advertise=" + ToString(advertised),
+        "--store=" + ToString(store),
+        "--seeds=" + Seeds() },
       mSettings.mLogs + "/" + name + ".log"));
   }
   return absl::OkStatus();
@@ -173,27 +177,27 @@
 {
   for (unsigned i = 0; i < mSettings.mWorkers; ++i) {
     const unsigned host = kFirstAgent + i;
-    const Endpoint store = At(kFirstStoreLink + host, kStorePort);
-    const Endpoint advertised = At(host + kLinkOf, kPeerPort);
+    const Endpoint store = EndpointAt(kFirstStoreLink + host, kStorePort);
+    const Endpoint advertised = EndpointAt(host + kLinkOf, kPeerPort);
     absl::Status status =
-      AddLink(mStoreLinks, store, At(kStoreHost, kStorePort));
+      AddLink(mStoreLinks, store, EndpointAt(kStoreHost, kStorePort));
     if (status.ok()) {
-      status = AddLink(mAgentLinks, advertised, At(host, kPeerPort));
+      status = AddLink(mAgentLinks, advertised, EndpointAt(host, kPeerPort));
     }
     if (!status.ok()) {
       return status;
     }
     const std::string name = "agent" + std::to_string(i);
     mAgents.push_back(std::make_unique<Child>(
-      std::vector<std::string>{ mSettings.mPrograms +
-                                  "/foxtailbarrow-taskagent",
-                                "--id=" + name,
-                                "--listen=" + ToString(At(host, kPeerPort)),
-                                "--advertise=" + ToString(advertised),
-                                "--control=" + ToString(At(host, kControlPort)),
-                                "--worker=" + ToString(At(host, kWorkerPort)),
-                                "--store=" + ToString(store),
-                                "--seeds=" + Seeds() },
+      std::vector<std::string>{
+        mSettings.mPrograms + "/foxtailbarrow-taskagent",
+        "--id=" + name,
+        "--listen=" + ToString(EndpointAt(host, kPeerPort)),
+        "--advertise=" + ToString(advertised),
+        "--control=" + ToString(EndpointAt(host, kControlPort)),
+        "--worker=" + ToString(EndpointAt(host, kWorkerPort)),
+        "--store=" + ToString(store),
+        "--seeds=" + Seeds() },
       mSettings.mLogs + "/" + name + ".log"));
   }
   return absl::OkStatus();
@@ -235,7 +239,7 @@
   Json::Value configuration;
   configuration["Version"] = Json::Int64{ mVersion += kVersionStep };
   for (unsigned i = 0; i < mSettings.mSchedulers; ++i) {
-    route["Host"] = Door(i).mAddress; // A client names its peer.
+    route["Host"] = CallerEndpoint(i).mAddress; // A client names its peer.
     configuration["Routes"].append(route);
   }
   mStore->Put("op/config", FormatJson(configuration));
--- a/soak/Fleet.h
+++ b/soak/Fleet.h
@@ -8,7 +8,7 @@
 
 #include "soak/Child.h"
 #include "soak/LinkProxy.h"
-#include "soak/PromiseBook.h"
+#include "soak/PromiseChecker.h"
 #include "src/net/FiberRuntime.h"
 #include "standins/kv/KvService.h"
 #include "standins/taskworker/TaskWorkerService.h"
@@ -33,7 +33,7 @@
   static absl::StatusOr<std::unique_ptr<Fleet>> Start(
     net::FiberRuntime& aRuntime,
     FleetSettings aSettings,
-    PromiseBook& aBook);
+    PromiseChecker& aChecker);
 
   Child& Scheduler(unsigned aIndex) { return *Of(mSchedulers, aIndex); }
   Child& Agent(unsigned aIndex) { return *Of(mAgents, aIndex); }
@@ -56,7 +56,7 @@
   void Configure();
 
   /// Where callers reach the scheduler.
-  Endpoint Door(unsigned aIndex) const;
+  Endpoint CallerEndpoint(unsigned aIndex) const;
   /// Where the agent takes heartbeats.
   Endpoint AgentControl(unsigned aIndex) const;
   unsigned Schedulers() const { return mSettings.mSchedulers; }
@@ -70,13 +70,14 @@
     return aItems[aIndex % aItems.size()];
   }
 
-  absl::Status StartStandIns(net::FiberRuntime& aRuntime, PromiseBook& aBook);
+  absl::Status StartStandIns(net::FiberRuntime& aRuntime,
+                             PromiseChecker& aChecker);
   absl::Status AddLink(std::vector<std::unique_ptr<LinkProxy>>& aLinks,
                        const Endpoint& aListen,
                        const Endpoint& aServer);
   absl::Status AddSchedulers();
   absl::Status AddAgents();
-  Endpoint At(unsigned aHost, std::uint16_t aPort) const;
+  Endpoint EndpointAt(unsigned aHost, std::uint16_t aPort) const;
   std::string Seeds() const;
 
   FleetSettings mSettings;
--- a/soak/Injector.cpp
+++ b/soak/Injector.cpp
@@ -66,7 +66,7 @@
 {
 }
 
-void Injector::Play(const std::vector<Fault>& aFaults)
+void Injector::InjectAll(const std::vector<Fault>& aFaults)
 {
   const Instant start = MonotonicNow();
   for (const Fault& fault : aFaults) {
@@ -78,13 +78,13 @@
               << fault.mVariant % kLinkStates << " for "
               << std::chrono::duration_cast<milliseconds>(fault.mFor).count()
               << " ms" << std::endl;
-    mRuntime.Spawn([this, fault] { Bring(fault); });
+    mRuntime.Spawn([this, fault] { Inject(fault); });
   }
 }
 
-void Injector::Heal()
+void Injector::EndAllFaults()
 {
-  mHealed = true;
+  mAllEnded = true;
   mFleet.Store().SetFaults({});
   for (unsigned host = 0; host < kMostHosts; ++host) {
     mFleet.Scheduler(host).Signal(SIGCONT);
@@ -95,32 +95,32 @@
     mFleet.Worker(host).SetFaults({});
     mFleet.Worker(host).Resize(standin::TaskWorkerSettings().mCapacity);
     if (!mFleet.Worker(host).Up()) {
-      mFleet.Worker(host).Rise();
+      mFleet.Worker(host).Restart();
     }
   }
   mFleet.StartAll();
 }
 
-void Injector::Bring(const Fault& aFault)
+void Injector::Inject(const Fault& aFault)
 {
   switch (aFault.mKind) {
     case FaultKind::KillScheduler:
-      BringProcess(aFault, mFleet.Scheduler(aFault.mTarget), SIGKILL);
+      InjectProcessFault(aFault, mFleet.Scheduler(aFault.mTarget), SIGKILL);
       break;
     case FaultKind::TermScheduler:
-      BringProcess(aFault, mFleet.Scheduler(aFault.mTarget), SIGTERM);
+      InjectProcessFault(aFault, mFleet.Scheduler(aFault.mTarget), SIGTERM);
       break;
     case FaultKind::PauseScheduler:
-      BringProcess(aFault, mFleet.Scheduler(aFault.mTarget), SIGSTOP);
+      InjectProcessFault(aFault, mFleet.Scheduler(aFault.mTarget), SIGSTOP);
       break;
     case FaultKind::KillAgent:
-      BringProcess(aFault, mFleet.Agent(aFault.mTarget), SIGKILL);
+      InjectProcessFault(aFault, mFleet.Agent(aFault.mTarget), SIGKILL);
       break;
     case FaultKind::TermAgent:
-      BringProcess(aFault, mFleet.Agent(aFault.mTarget), SIGTERM);
+      InjectProcessFault(aFault, mFleet.Agent(aFault.mTarget), SIGTERM);
       break;
     case FaultKind::PauseAgent:
-      BringProcess(aFault, mFleet.Agent(aFault.mTarget), SIGSTOP);
+      InjectProcessFault(aFault, mFleet.Agent(aFault.mTarget), SIGSTOP);
       break;
     case FaultKind::KillAll:
       mFleet.KillAll();
@@ -128,34 +128,36 @@
       mFleet.StartAll();
       break;
     case FaultKind::StoreLink:
-      BringLink(aFault, mFleet.StoreLink(aFault.mTarget));
+      InjectLinkFault(aFault, mFleet.StoreLink(aFault.mTarget));
       break;
     case FaultKind::SchedulerLink:
-      BringLink(aFault, mFleet.SchedulerLink(aFault.mTarget));
+      InjectLinkFault(aFault, mFleet.SchedulerLink(aFault.mTarget));
       break;
     case FaultKind::AgentLink:
-      BringLink(aFault, mFleet.AgentLink(aFault.mTarget));
+      InjectLinkFault(aFault, mFleet.AgentLink(aFault.mTarget));
       break;
     case FaultKind::WorkerCrashes:
     case FaultKind::WorkerLeaves:
     case FaultKind::WorkerMute:
     case FaultKind::WorkerFailsAll:
     case FaultKind::WorkerLate:
-      BringWorker(aFault);
+      InjectWorkerFault(aFault);
       break;
     case FaultKind::WorkerShrinks:
-      BringShrinkage(aFault);
+      InjectShrinking(aFault);
       break;
     case FaultKind::Configuration:
       mFleet.Configure();
       break;
     default:
-      BringStore(aFault);
+      InjectStoreFault(aFault);
       break;
   }
 }
 
-void Injector::BringProcess(const Fault& aFault, Child& aChild, int aSignal)
+void Injector::InjectProcessFault(const Fault& aFault,
+                                  Child& aChild,
+                                  int aSignal)
 {
   aChild.Signal(aSignal);
   boost::this_fiber::sleep_for(aFault.mFor);
@@ -163,16 +165,16 @@
     aChild.Signal(SIGCONT);
     return;
   }
-  while (aChild.Running() && !mHealed && aSignal == SIGTERM) {
+  while (aChild.Running() && !mAllEnded && aSignal == SIGTERM) {
     boost::this_fiber::sleep_for(kRestartDelay);
   }
   aChild.Start();
 }
 
-void Injector::BringStore(const Fault& aFault)
+void Injector::InjectStoreFault(const Fault& aFault)
 {
   if (aFault.mKind == FaultKind::StoreForgets) {
-    mFleet.Store().ForgetHistory();
+    mFleet.Store().CompactHistory();
     return;
   }
   mFleet.Store().SetFaults(StoreFaults(aFault.mKind));
@@ -180,14 +182,14 @@
   mFleet.Store().SetFaults({});
 }
 
-void Injector::BringLink(const Fault& aFault, LinkProxy& aLink)
+void Injector::InjectLinkFault(const Fault& aFault, LinkProxy& aLink)
 {
   aLink.Set(static_cast<LinkState>(1 + aFault.mVariant % kLinkStates));
   boost::this_fiber::sleep_for(aFault.mFor);
   aLink.Set(LinkState::Passes);
 }
 
-void Injector::BringWorker(const Fault& aFault)
+void Injector::InjectWorkerFault(const Fault& aFault)
 {
   standin::TaskWorkerService& worker = mFleet.Worker(aFault.mTarget);
   if (!worker.Up()) {
@@ -202,14 +204,14 @@
   }
   boost::this_fiber::sleep_for(aFault.mFor);
   worker.SetFaults({});
-  // A crash that comes with the last fault may come after Heal().
+  // A crash that comes with the last fault may come after EndAllFaults().
   if (!worker.Up()) {
-    worker.Rise();
+    worker.Restart();
   }
 }
 
 /// To nothing, a quarter or a half; or to and fro, faster than it is told.
-void Injector::BringShrinkage(const Fault& aFault)
+void Injector::InjectShrinking(const Fault& aFault)
 {
   constexpr std::uint32_t kSizes = 4;
   constexpr std::int64_t kQuarters = 4;
--- a/soak/Injector.h
+++ b/soak/Injector.h
@@ -12,22 +12,22 @@
   Injector(net::FiberRuntime& aRuntime, Fleet& aFleet);
 
   /// Returns after the last fault has begun; each ends in a fiber of its own.
-  void Play(const std::vector<Fault>& aFaults);
+  void InjectAll(const std::vector<Fault>& aFaults);
 
   /// Takes all faults back and starts every process that does not run.
-  void Heal();
+  void EndAllFaults();
 
 private:
-  void Bring(const Fault& aFault);
-  void BringProcess(const Fault& aFault, Child& aChild, int aSignal);
-  void BringStore(const Fault& aFault);
-  void BringWorker(const Fault& aFault);
-  void BringShrinkage(const Fault& aFault);
-  void BringLink(const Fault& aFault, LinkProxy& aLink);
+  void Inject(const Fault& aFault);
+  void InjectProcessFault(const Fault& aFault, Child& aChild, int aSignal);
+  void InjectStoreFault(const Fault& aFault);
+  void InjectWorkerFault(const Fault& aFault);
+  void InjectShrinking(const Fault& aFault);
+  void InjectLinkFault(const Fault& aFault, LinkProxy& aLink);
 
   net::FiberRuntime& mRuntime;
   Fleet& mFleet;
-  bool mHealed = false;
+  bool mAllEnded = false;
 };
 
 } // namespace foxtailbarrow::soak
--- a/soak/LinkProxy.cpp
+++ b/soak/LinkProxy.cpp
@@ -88,7 +88,7 @@
     mServer.async_connect(
       aServer, [self = shared_from_this()](const Error& aError) {
         if (aError) {
-          self->Break();
+          self->AddViolation();
           return;
         }
         Error ignored;
@@ -99,15 +99,15 @@
       });
   }
 
-  void Break()
+  void AddViolation()
   {
     Reset(mClient);
     Reset(mServer);
-    mBroken = true;
+    mViolations = true;
   }
 
   void Silence() { mSilenced = true; }
-  bool Broken() const { return mBroken; }
+  bool Violations() const { return mViolations; }
 
 private:
   struct Flow
@@ -139,7 +139,7 @@
   /// Hands on what was read, or the end, once the link lets it through.
   void Pass(Flow& aFlow, std::size_t aBytes, bool aEnd, bool aWaited)
   {
-    if (mBroken) {
+    if (mViolations) {
       return;
     }
     const bool slow = mState.load() == LinkState::Slow && !aWaited;
@@ -155,7 +155,7 @@
       // What was handed on before must arrive, so that this end is orderly.
       Error ignored;
       aFlow.mTo.shutdown(tcp::socket::shutdown_send, ignored);
-      mBroken = std::exchange(mHalfEnded, true);
+      mViolations = std::exchange(mHalfEnded, true);
       return;
     }
     asio::async_write(
@@ -163,7 +163,7 @@
       asio::buffer(aFlow.mBuffer.data(), aBytes),
       [self = shared_from_this(), &aFlow](const Error& aError, std::size_t) {
         if (aError) {
-          self->Break();
+          self->AddViolation();
         } else {
           self->Read(aFlow);
         }
@@ -177,7 +177,7 @@
   Flow mDown{ mServer, mClient, true, asio::steady_timer(LinkIo()) };
   bool mSilenced = false;
   bool mHalfEnded = false; ///< One side has sent its end.
-  bool mBroken = false;
+  bool mViolations = false;
 };
 
 struct LinkProxy::Impl : std::enable_shared_from_this<LinkProxy::Impl>
@@ -220,7 +220,7 @@
       return;
     }
     mSessions.remove_if(
-      [](const auto& aSession) { return aSession->Broken(); });
+      [](const auto& aSession) { return aSession->Violations(); });
     mSessions.push_back(std::make_shared<Session>(std::move(aSocket), mState));
     mSessions.back()->Open(mServer);
   }
@@ -230,7 +230,7 @@
     mState = aState;
     for (const auto& session : mSessions) {
       if (aState == LinkState::Resets) {
-        session->Break();
+        session->AddViolation();
       } else if (aState == LinkState::OpenSilent) {
         session->Silence();
       }
--- a/soak/Main.cpp
+++ b/soak/Main.cpp
@@ -40,35 +40,35 @@
 };
 
 /// What a run leaves undone when the recovery is over.
-std::vector<std::string> AwaitAll(const PromiseBook& aBook)
+std::vector<std::string> AwaitAll(const PromiseChecker& aChecker)
 {
   const Instant end = MonotonicNow() + kRecovery;
-  std::vector<std::string> missing = aBook.Missing();
+  std::vector<std::string> missing = aChecker.Missing();
   while (!missing.empty() && MonotonicNow() < end) {
     boost::this_fiber::sleep_for(kPoll);
-    missing = aBook.Missing();
+    missing = aChecker.Missing();
   }
   return missing;
 }
 
 bool Judge(const SoakSettings& aSettings,
-           const PromiseBook& aBook,
+           const PromiseChecker& aChecker,
            const std::vector<std::string>& aMissing)
 {
-  for (const std::string& broken : aBook.Broken()) {
+  for (const std::string& broken : aChecker.Violations()) {
     std::cout << "broken: " << broken << '\n';
   }
   for (const std::string& missing : aMissing) {
     std::cout << "missing: " << missing << '\n';
   }
-  if (aBook.Accepted() == 0) {
+  if (aChecker.Accepted() == 0) {
     std::cout << "missing: no job was accepted\n";
   }
-  const bool held =
-    aBook.Broken().empty() && aMissing.empty() && aBook.Accepted() > 0;
+  const bool held = aChecker.Violations().empty() && aMissing.empty() &&
+                    aChecker.Accepted() > 0;
   std::cout << "seed " << aSettings.mSeed << ": " << (held ? "held" : "FAILED")
-            << ", " << aBook.Accepted() << " jobs accepted, " << aBook.Starts()
-            << " starts, " << aBook.OverTargets()
+            << ", " << aChecker.Accepted() << " jobs accepted, "
+            << aChecker.Starts() << " starts, " << aChecker.OverTargets()
             << " times over a target for too long" << std::endl;
   return held;
 }
@@ -87,7 +87,7 @@
 
 bool Soak(net::FiberRuntime& aRuntime, const SoakSettings& aSettings)
 {
-  PromiseBook book(standin::TaskWorkerSettings().mCapacity);
+  PromiseChecker book(standin::TaskWorkerSettings().mCapacity);
   auto fleet = Fleet::Start(aRuntime, aSettings.mFleet, book);
   if (!fleet.ok()) {
     std::cout << "not started: " << fleet.status() << std::endl;
@@ -107,15 +107,15 @@
   callers.Start(kCallers);
   boost::this_fiber::sleep_for(kWarmUp);
   const std::vector<Fault> plan = PlanOf(aSettings);
-  book.TakeFaultTimes({ plan, MonotonicNow(), aSettings.mWorkers });
-  injector.Play(plan);
-  injector.Heal();
+  book.SetFaultTimes({ plan, MonotonicNow(), aSettings.mWorkers });
+  injector.InjectAll(plan);
+  injector.EndAllFaults();
   foreign.Stop();
   callers.Stop();
   if (aSettings.mServing != 0) {
     boost::this_fiber::sleep_for(kCalmServing);
   }
-  callers.StopLeftover();
+  callers.StopBestEffort();
   const std::vector<std::string> missing = AwaitAll(book);
   callers.End();
   (*fleet)->KillAll();
--- /dev/null
+++ b/soak/PromiseChecker.cpp
@@ -0,0 +1,295 @@
+#include "soak/PromiseChecker.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "absl/strings/str_cat.h"
+
+#include "src/core/cell/WorkerCapacity.h"
+
+namespace foxtailbarrow::soak {
+
+using cell::JobPhase;
+using cell::RunEnd;
+using cell::TaskRef;
+using standin::RunEvent;
+using standin::RunEventKind;
+
+namespace {
+
+/// A task under which so many workers have crashed may be given up.
+constexpr int kCrashesToGiveUp = 2;
+/// The third start of a task after so many have crashed under it breaks a
+/// promise.
+constexpr int kMaxCrashes = 3;
+constexpr int kForbiddenStart = 3;
+
+} // namespace
+
+PromiseChecker::PromiseChecker(Resources aWorkerCapacity)
+  : mCapacity(aWorkerCapacity)
+{
+}
+
+void PromiseChecker::OnSubmitting(const cell::JobGraph& aGraph)
+{
+  mJobs[aGraph.mId].mGraph = aGraph;
+}
+
+void PromiseChecker::OnSubmitted(const JobId& aJob, SubmitOutcome aOutcome)
+{
+  JobFacts& job = mJobs.at(aJob);
+  job.mTold = aOutcome;
+  if (aOutcome == SubmitOutcome::Refused && !job.mTasks.empty()) {
+    AddViolation("refused as not run, but it ran: " + aJob.Value());
+  }
+}
+
+void PromiseChecker::OnPhaseShown(const JobId& aJob, JobPhase aPhase)
+{
+  JobFacts& job = mJobs.at(aJob);
+  const std::string phase(ToString(aPhase));
+  if (job.mLastPhase && IsFinal(*job.mLastPhase) && *job.mLastPhase != aPhase) {
+    AddViolation("shown as " + phase + " after " +
+                 std::string(ToString(*job.mLastPhase)) + ": " + aJob.Value());
+  }
+  if (aPhase == JobPhase::Completed && !AllDone(job)) {
+    AddViolation("shown as completed before its last task: " + aJob.Value());
+  }
+  if (aPhase == JobPhase::Cancelled && !job.mCancelAsked) {
+    AddViolation("shown as cancelled without a request: " + aJob.Value());
+  }
+  if (aPhase == JobPhase::Failed &&
+      std::ranges::none_of(job.mTasks, [](const auto& aTask) {
+        return aTask.second.mFailed > 0 ||
+               aTask.second.mCrashed >= kCrashesToGiveUp;
+      })) {
+    AddViolation("shown as failed without cause: " + aJob.Value());
+  }
+  job.mLastPhase = aPhase;
+}
+
+void PromiseChecker::OnUnknownJob(const JobId& aJob)
+{
+  if (const JobFacts& job = mJobs.at(aJob);
+      job.mTold == SubmitOutcome::Accepted && !job.mCancelAsked) {
+    AddViolation("accepted, then unknown: " + aJob.Value());
+  }
+}
+
+void PromiseChecker::OnRunEvent(const std::string& aIncarnation,
+                                const RunEvent& aEvent)
+{
+  if (aEvent.mKind == RunEventKind::LeaseLapsed) {
+    LeaseLapsed(aIncarnation);
+    return;
+  }
+  const auto found = mJobs.find(aEvent.mTask.mJob);
+  if (found == mJobs.end()) {
+    AddViolation("nobody asked for " + ToString(aEvent.mTask));
+    return;
+  }
+  JobFacts& job = found->second;
+  if (aEvent.mKind == RunEventKind::Started) {
+    Started(aIncarnation, aEvent, job);
+    return;
+  }
+  if (aEvent.mKind == RunEventKind::OverTarget) {
+    OverTarget(aIncarnation, aEvent);
+    return;
+  }
+  TaskFacts& task = job.mTasks[aEvent.mTask];
+  if (aEvent.mKind == RunEventKind::Acknowledged) {
+    OnAcknowledged(aIncarnation, aEvent, task);
+    return;
+  }
+  task.mLive.erase(aIncarnation);
+  mUsed[aIncarnation] -=
+    cell::Reservation(job.mGraph.mSteps[aEvent.mTask.mStep]);
+  task.mCrashed += aEvent.mKind == RunEventKind::Lost ? 1 : 0;
+  if (aEvent.mKind == RunEventKind::Ended) {
+    if (aEvent.mEnd == RunEnd::Done) {
+      task.mDone = true;
+      task.mDoneRuns[{ aIncarnation, aEvent.mRun }] = false;
+    }
+    task.mFailed += aEvent.mEnd == RunEnd::Failed ? 1 : 0;
+  }
+}
+
+void PromiseChecker::OverTarget(const std::string& aIncarnation,
+                                const RunEvent& aEvent)
+{
+  ++mOverTarget;
+  if (!mFaultTimeline ||
+      mFaultTimeline->IsProtected(aIncarnation, aEvent.mAt)) {
+    AddViolation("over its target by what runs beside it: " +
+                 ToString(aEvent.mTask));
+  }
+}
+
+/// Ends that were not noted before do not count any more.
+void PromiseChecker::LeaseLapsed(const std::string& aIncarnation)
+{
+  for (auto& [id, job] : mJobs) {
+    for (auto& [ref, task] : job.mTasks) {
+      std::erase_if(task.mDoneRuns, [&](const auto& aRun) {
+        return aRun.first.first == aIncarnation;
+      });
+    }
+  }
+}
+
+void PromiseChecker::OnAcknowledged(const std::string& aIncarnation,
+                                    const RunEvent& aEvent,
+                                    TaskFacts& aTask)
+{
+  const auto done = aTask.mDoneRuns.find({ aIncarnation, aEvent.mRun });
+  if (aEvent.mEnd != RunEnd::Done || done == aTask.mDoneRuns.end()) {
+    return;
+  }
+  if (done->second) {
+    AddViolation("started again after an end that counts: " +
+                 ToString(aEvent.mTask));
+  }
+  aTask.mAcknowledged = true;
+}
+
+void PromiseChecker::Started(const std::string& aIncarnation,
+                             const RunEvent& aEvent,
+                             JobFacts& aJob)
+{
+  ++mStarts;
+  const std::string name =
+    ToString(aEvent.mTask) + " run " + std::to_string(aEvent.mRun);
+  TaskFacts& task = aJob.mTasks[aEvent.mTask];
+  if (aEvent.mPayload != aJob.mGraph.mPayload) {
+    AddViolation("another payload: " + name);
+  }
+  if (aJob.mTold == SubmitOutcome::Refused) {
+    AddViolation("refused as not run, but it runs: " + name);
+  }
+  for (const auto& [incarnation, run] : task.mLive) {
+    AddViolation(absl::StrCat("two runs at a time: ",
+                              name,
+                              " on ",
+                              aIncarnation,
+                              ", run ",
+                              run,
+                              " on ",
+                              incarnation));
+  }
+  if (task.mAcknowledged || aJob.mLastPhase == JobPhase::Completed) {
+    AddViolation("started again after its end was noted: " + name);
+  }
+  if (task.mCrashed >= kMaxCrashes &&
+      standin::ParseTaskProgram(aJob.mGraph.mPayload).mCrashes &&
+      ++task.mStartsAfterCrashes >= kForbiddenStart) {
+    AddViolation("started again and again under crashes: " + name);
+  }
+  for (auto& [run, followed] : task.mDoneRuns) {
+    followed = true;
+  }
+  CheckOrder(aJob, aEvent.mTask);
+  task.mLive[aIncarnation] = aEvent.mRun;
+  mUsed[aIncarnation] +=
+    cell::Reservation(aJob.mGraph.mSteps[aEvent.mTask.mStep]);
+  CheckCapacity(aIncarnation, aEvent);
+}
+
+void PromiseChecker::CheckOrder(const JobFacts& aJob, const TaskRef& aTask)
+{
+  for (const std::int32_t before : aJob.mGraph.mSteps[aTask.mStep].mAfter) {
+    if (!StepDone(aJob, before)) {
+      AddViolation("before the step that it waits for: " + ToString(aTask));
+    }
+  }
+}
+
+void PromiseChecker::OnHeartbeat(const standin::HeartbeatEvent& aEvent,
+                                 Instant aNow)
+{
+  ReportedCapacity& reported = ReportedCapacityOf(aEvent.mIncarnation);
+  if (aEvent.mAnswered) {
+    reported.Answered(aEvent.mSequence, aNow);
+  } else {
+    reported.Sent(aEvent.mSequence, aEvent.mCapacity);
+  }
+}
+
+ReportedCapacity& PromiseChecker::ReportedCapacityOf(
+  const std::string& aIncarnation)
+{
+  return mTold.try_emplace(aIncarnation, mCapacity).first->second;
+}
+
+/// An order that the worker itself held up is no more the agent's.
+void PromiseChecker::CheckCapacity(const std::string& aIncarnation,
+                                   const RunEvent& aEvent)
+{
+  if (!aEvent.mLate && !ReportedCapacityOf(aIncarnation)
+                          .Allows(mUsed[aIncarnation], aEvent.mAt)) {
+    AddViolation("over the capacity of " + aIncarnation);
+  }
+}
+
+bool PromiseChecker::StepDone(const JobFacts& aJob, std::int32_t aStep) const
+{
+  const auto done = std::ranges::count_if(aJob.mTasks, [&](const auto& aTask) {
+    return aTask.first.mStep == aStep && aTask.second.mDone;
+  });
+  return done == aJob.mGraph.mSteps[aStep].mReplicas;
+}
+
+bool PromiseChecker::AllDone(const JobFacts& aJob) const
+{
+  const auto steps = static_cast<std::int32_t>(aJob.mGraph.mSteps.size());
+  for (std::int32_t step = 0; step < steps; ++step) {
+    if (!StepDone(aJob, step)) {
+      return false;
+    }
+  }
+  return true;
+}
+
+std::string PromiseChecker::MissingOf(const JobFacts& aJob) const
+{
+  const auto live = std::ranges::count_if(
+    aJob.mTasks, [](const auto& aTask) { return !aTask.second.mLive.empty(); });
+  if (aJob.mCancelled) {
+    return live > 0 ? "still runs although cancelled" : "";
+  }
+  if (aJob.mTold != SubmitOutcome::Accepted || aJob.mCancelAsked) {
+    return "";
+  }
+  const auto program = standin::ParseTaskProgram(aJob.mGraph.mPayload);
+  if (program.mRunsUntilStopped) {
+    return live == aJob.mGraph.mSteps[0].mReplicas ? "" : "is not all at work";
+  }
+  const JobPhase wanted =
+    program.mFails || program.mCrashes ? JobPhase::Failed : JobPhase::Completed;
+  // A worker that fails all may have used up the attempts of a sound job.
+  const bool ended = aJob.mLastPhase && (*aJob.mLastPhase == wanted ||
+                                         *aJob.mLastPhase == JobPhase::Failed);
+  return ended ? "" : "has not ended";
+}
+
+std::vector<std::string> PromiseChecker::Missing() const
+{
+  std::vector<std::string> missing;
+  for (const auto& [id, job] : mJobs) {
+    if (std::string what = MissingOf(job); !what.empty()) {
+      missing.push_back(id.Value() + " " + what);
+    }
+  }
+  return missing;
+}
+
+std::size_t PromiseChecker::Accepted() const
+{
+  return static_cast<std::size_t>(
+    std::ranges::count_if(mJobs, [](const auto& aJob) {
+      return aJob.second.mTold == SubmitOutcome::Accepted;
+    }));
+}
+
+} // namespace foxtailbarrow::soak
--- a/soak/ToldCapacity.h
+++ b/soak/ReportedCapacity.h
@@ -10,15 +10,15 @@
 
 /// What the agent of one worker may believe of its capacity, by the heartbeats
 /// that were sent to it. Pure.
-class ToldCapacity
+class ReportedCapacity
 {
 public:
   /// A start reaches its worker so long after the agent's last look at its
   /// room: the longest that an agent waits for a start, and as much for a busy
   /// machine.
-  static constexpr Duration kOnItsWay = std::chrono::milliseconds(500);
+  static constexpr Duration kMaxStartDelay = std::chrono::milliseconds(500);
 
-  explicit ToldCapacity(Resources aFirst);
+  explicit ReportedCapacity(Resources aFirst);
 
   void Sent(std::int64_t aNumber, const Resources& aCapacity);
   /// The heartbeat was answered, and was the newest.
@@ -29,14 +29,14 @@
   bool Allows(const Resources& aUsed, Instant aNow);
 
 private:
-  struct Beat
+  struct Heartbeat
   {
     std::int64_t mNumber = 0;
     Resources mCapacity;
     Instant mAnsweredAt = Instant::max();
   };
 
-  std::deque<Beat> mBeats; ///< Oldest first.
+  std::deque<Heartbeat> mHeartbeats; ///< Oldest first.
 };
 
 } // namespace foxtailbarrow::soak
--- a/src/core/trace/DeploymentShape.cpp
+++ b/src/core/trace/DeploymentShape.cpp
@@ -15,7 +15,7 @@
   return std::nullopt;
 }
 
-TraceContract Doubled(Contract aContract, std::int64_t aAtMs)
+TraceContract WithDoubledLimits(Contract aContract, std::int64_t aAtMs)
 {
   aContract.mMaxConcurrency *= 2;
   aContract.mRequestsPerSecond *= 2;
--- a/src/core/trace/DeploymentShape.h
+++ b/src/core/trace/DeploymentShape.h
@@ -9,7 +9,7 @@
 #include "foxtailbarrow/Contract.h"
 #include "foxtailbarrow/Job.h"
 #include "foxtailbarrow/Resources.h"
-#include "src/core/trace/StatedOutcomes.h"
+#include "src/core/trace/ExpectedOutcomes.h"
 #include "src/core/trace/TraceEvents.h"
 
 namespace foxtailbarrow {
@@ -62,14 +62,14 @@
 {
   std::string mName;
   std::int64_t mDurationMs = 0;
-  double mRushFactor = 1.0; ///< Load at the top of the rush, mid-trace.
+  double mPeakFactor = 1.0; ///< Load at the top of the rush, mid-trace.
   std::vector<CustomerShape> mCustomers;
   std::vector<TraceContract> mChanges; ///< Contracts changed on the way.
-  StatedOutcomes mOutcomes;
+  ExpectedOutcomes mOutcomes;
 };
 
 /// The operator doubles a customer's limits at this time of the trace.
-TraceContract Doubled(Contract aContract, std::int64_t aAtMs);
+TraceContract WithDoubledLimits(Contract aContract, std::int64_t aAtMs);
 
 /// The mileage ledger: end-of-day trip syncs, deduction reports, watchers.
 DeploymentShape TrasowkaShape();
--- a/src/core/trace/OutcomeCheck.cpp
+++ b/src/core/trace/OutcomeCheck.cpp
@@ -53,7 +53,7 @@
 OutcomeRow LatencyAtMost(std::string aName, Duration aLatency, double aLimitMs)
 {
   OutcomeRow row = Latency(std::move(aName), aLatency);
-  row.mStated = absl::StrFormat("<= %.2f", aLimitMs);
+  row.mExpected = absl::StrFormat("<= %.2f", aLimitMs);
   row.mMet = Milliseconds(aLatency) <= aLimitMs;
   return row;
 }
@@ -80,62 +80,64 @@
            aShare >= aLimit };
 }
 
-OutcomeRow AnsweredRow(const StatedOutcomes& aStated,
+OutcomeRow AnsweredRow(const ExpectedOutcomes& aExpected,
                        const ReplayTotals& aTotals)
 {
   const double share =
     aTotals.mRequests == 0 ? 1.0 : Share(aTotals.mAnswered, aTotals.mRequests);
   return ShareAtLeast(
-    "requests answered", aTotals.mAnswered, share, aStated.mMinAnswered);
+    "requests answered", aTotals.mAnswered, share, aExpected.mMinAnswered);
 }
 
-OutcomeRow NotRunRow(const StatedOutcomes& aStated, const ReplayTotals& aTotals)
+OutcomeRow NotRunRow(const ExpectedOutcomes& aExpected,
+                     const ReplayTotals& aTotals)
 {
   const double share = Share(aTotals.mNotRun, aTotals.mRequests);
   return { "requests told not run",
            CountAndShare(aTotals.mNotRun, share),
-           absl::StrFormat("<= %.2f%%", 100.0 * aStated.mMaxNotRunShare),
-           share <= aStated.mMaxNotRunShare };
+           absl::StrFormat("<= %.2f%%", 100.0 * aExpected.mMaxNotRunShare),
+           share <= aExpected.mMaxNotRunShare };
 }
 
-OutcomeRow JobsRow(const StatedOutcomes& aStated, const ReplayTotals& aTotals)
+OutcomeRow JobsRow(const ExpectedOutcomes& aExpected,
+                   const ReplayTotals& aTotals)
 {
   const std::int64_t submitted = aTotals.mJobs + aTotals.mJobsRefused;
   const double share =
-    submitted == 0 ? 1.0 : Share(aTotals.mJobsAsStated, submitted);
+    submitted == 0 ? 1.0 : Share(aTotals.mJobsAsExpected, submitted);
   return ShareAtLeast("jobs ended as stated",
-                      aTotals.mJobsAsStated,
+                      aTotals.mJobsAsExpected,
                       share,
-                      aStated.mMinJobsAsStated);
+                      aExpected.mMinJobsAsExpected);
 }
 
 } // namespace
 
-std::vector<OutcomeRow> CheckOutcomes(const StatedOutcomes& aStated,
+std::vector<OutcomeRow> CheckOutcomes(const ExpectedOutcomes& aExpected,
                                       const ReplayTotals& aTotals)
 {
   std::vector<OutcomeRow> rows = {
     Told("requests", aTotals.mRequests),
-    AnsweredRow(aStated, aTotals),
-    NotRunRow(aStated, aTotals),
+    AnsweredRow(aExpected, aTotals),
+    NotRunRow(aExpected, aTotals),
     Told("requests told may have run", aTotals.mMayHaveRun),
     Told("requests failed by backend servers", aTotals.mErrors),
     Told("retries", aTotals.mRetries),
     Never("requests unanswered", aTotals.mUnanswered),
     Never("wrong answers", aTotals.mWrongAnswers),
-    NeverAudited("told wrongly", aTotals.mToldWrongly, aTotals),
+    NeverAudited("told wrongly", aTotals.mRanDespiteNotRun, aTotals),
     Latency("latency p50 (ms)", aTotals.mP50),
-    LatencyAtMost("latency p99 (ms)", aTotals.mP99, aStated.mMaxP99Ms),
+    LatencyAtMost("latency p99 (ms)", aTotals.mP99, aExpected.mMaxP99Ms),
     Latency("latency p99.9 (ms)", aTotals.mP999),
     Told("contracts applied", aTotals.mContracts),
     Told("jobs accepted", aTotals.mJobs),
     Told("jobs refused", aTotals.mJobsRefused),
-    JobsRow(aStated, aTotals),
-    AtMost("evictions", aTotals.mEvictions, aStated.mMaxEvictions),
+    JobsRow(aExpected, aTotals),
+    AtMost("evictions", aTotals.mEvictions, aExpected.mMaxEvictions),
     NeverAudited("lost requests", aTotals.mLostRequests, aTotals),
     Never("lost jobs", aTotals.mLostJobs),
-    NeverAudited("doubled requests", aTotals.mDoubledRequests, aTotals),
-    NeverAudited("doubled jobs", aTotals.mDoubledJobs, aTotals),
+    NeverAudited("doubled requests", aTotals.mRepeatedRequests, aTotals),
+    NeverAudited("doubled jobs", aTotals.mOverlappingJobs, aTotals),
     NeverAudited("workers over-committed", aTotals.mOvercommitted, aTotals),
   };
   for (const auto& [reason, count] : aTotals.mRefusals) {
@@ -158,13 +160,13 @@
   std::string text;
   for (const OutcomeRow& row : aRows) {
     const char* verdict =
-      row.mStated.empty() ? "" : (row.mMet ? "met" : "MISSED");
+      row.mExpected.empty() ? "" : (row.mMet ? "met" : "MISSED");
     absl::StrAppendFormat(&text,
                           "%-*s  %14s  %14s  %s\n",
                           static_cast<int>(nameWidth),
                           row.mName,
                           row.mMeasured,
-                          row.mStated,
+                          row.mExpected,
                           verdict);
     absl::StripTrailingAsciiWhitespace(&text);
     text += '\n';
--- a/src/core/trace/OutcomeCheck.h
+++ b/src/core/trace/OutcomeCheck.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
+#include "src/core/trace/ExpectedOutcomes.h"
 #include "src/core/trace/ReplayTotals.h"
-#include "src/core/trace/StatedOutcomes.h"
 
 namespace foxtailbarrow {
 
@@ -14,12 +14,12 @@
 {
   std::string mName;
   std::string mMeasured;
-  std::string mStated; ///< Empty where nothing is stated.
+  std::string mExpected; ///< Empty where nothing is stated.
   bool mMet = true;
 };
 
 /// Compares what was seen with what was stated.
-std::vector<OutcomeRow> CheckOutcomes(const StatedOutcomes& aStated,
+std::vector<OutcomeRow> CheckOutcomes(const ExpectedOutcomes& aExpected,
                                       const ReplayTotals& aTotals);
 
 bool AllMet(std::span<const OutcomeRow> aRows);
--- a/src/core/trace/QoimaShape.cpp
+++ b/src/core/trace/QoimaShape.cpp
@@ -107,7 +107,7 @@
   DeploymentShape shape;
   shape.mName = "qoima";
   shape.mDurationMs = kDurationMs;
-  shape.mRushFactor = 2.5;
+  shape.mPeakFactor = 2.5;
   shape.mOutcomes = { 250.0, 0.995, 0.005, 0.98, 2, 20'000 };
   shape.mCustomers = {
     { MakeContract("bank-alatau", "banks"),
@@ -124,7 +124,8 @@
       { CatalogueScans(10), ImpossibleScan() } },
   };
   shape.mCustomers.front().mContract.mUrgentAllowed = true;
-  shape.mChanges = { Doubled(shape.mCustomers.front().mContract, kWiderAtMs) };
+  shape.mChanges = { WithDoubledLimits(shape.mCustomers.front().mContract,
+                                       kWiderAtMs) };
   return shape;
 }
 
--- a/src/core/trace/ReplayTotals.h
+++ b/src/core/trace/ReplayTotals.h
@@ -22,20 +22,20 @@
   std::map<std::string, std::int64_t> mRefusals;
   std::int64_t mWrongAnswers = 0; ///< Of another request, or damaged.
   /// Told "not run", but a backend server ran it.
-  std::int64_t mToldWrongly = 0;
+  std::int64_t mRanDespiteNotRun = 0;
   /// Answered as run, but no backend server ran it.
   std::int64_t mLostRequests = 0;
   /// Not idempotent, but run more than once.
-  std::int64_t mDoubledRequests = 0;
+  std::int64_t mRepeatedRequests = 0;
   Duration mP50{};
   Duration mP99{};
   Duration mP999{};
 
-  std::int64_t mJobs = 0;         ///< Submitted and accepted.
-  std::int64_t mJobsRefused = 0;  ///< Not accepted.
-  std::int64_t mJobsAsStated = 0; ///< Ended as their lines say.
-  std::int64_t mLostJobs = 0;     ///< Accepted, but no entry knows them.
-  std::int64_t mDoubledJobs = 0;  ///< Ran in two places at once.
+  std::int64_t mJobs = 0;            ///< Submitted and accepted.
+  std::int64_t mJobsRefused = 0;     ///< Not accepted.
+  std::int64_t mJobsAsExpected = 0;  ///< Ended as their lines say.
+  std::int64_t mLostJobs = 0;        ///< Accepted, but no entry knows them.
+  std::int64_t mOverlappingJobs = 0; ///< Ran in two places at once.
   std::int64_t mEvictions = 0;
   /// Times that a worker held more than its size.
   std::int64_t mOvercommitted = 0;
--- a/src/core/trace/RequestAudit.cpp
+++ b/src/core/trace/RequestAudit.cpp
@@ -13,7 +13,7 @@
       const std::int64_t runs = found == aExecutions.end() ? 0 : found->second;
       allRuns += runs;
       if (attempt.mEnd == AttemptEnd::NotRun && runs > 0) {
-        ++audit.mToldWrongly;
+        ++audit.mRanDespiteNotRun;
       }
       if (attempt.mEnd == AttemptEnd::Answered && runs == 0) {
         ++audit.mLost;
--- a/src/core/trace/RequestAudit.h
+++ b/src/core/trace/RequestAudit.h
@@ -38,9 +38,9 @@
 
 struct RequestAudit
 {
-  std::int64_t mToldWrongly = 0; ///< Attempts told "not run" that ran.
-  std::int64_t mLost = 0;        ///< Attempts answered that never ran.
-  std::int64_t mDoubled = 0;     ///< Requests, not idempotent, that ran twice.
+  std::int64_t mRanDespiteNotRun = 0; ///< Attempts told "not run" that ran.
+  std::int64_t mLost = 0;             ///< Attempts answered that never ran.
+  std::int64_t mDoubled = 0; ///< Requests, not idempotent, that ran twice.
 };
 
 /// Compares what callers were told with what backend servers did.
--- a/src/core/trace/TaskAudit.cpp
+++ b/src/core/trace/TaskAudit.cpp
@@ -5,7 +5,7 @@
 
 namespace foxtailbarrow {
 
-std::vector<std::string> FindDoubledJobs(std::span<const TaskRun> aRuns)
+std::vector<std::string> FindOverlappingJobs(std::span<const TaskRun> aRuns)
 {
   std::vector<const TaskRun*> runs;
   for (const TaskRun& run : aRuns) {
--- a/src/core/trace/TaskAudit.h
+++ b/src/core/trace/TaskAudit.h
@@ -19,6 +19,6 @@
 
 /// Jobs of which two runs overlap, wherever they ran. The times must come from
 /// one clock. A run that begins when another ends does not overlap it.
-std::vector<std::string> FindDoubledJobs(std::span<const TaskRun> aRuns);
+std::vector<std::string> FindOverlappingJobs(std::span<const TaskRun> aRuns);
 
 } // namespace foxtailbarrow
--- a/src/core/trace/TraceGenerator.cpp
+++ b/src/core/trace/TraceGenerator.cpp
@@ -56,17 +56,17 @@
     const double angle =
       std::numbers::pi * aAtMs / static_cast<double>(mShape.mDurationMs);
     const double rise = std::pow(std::sin(angle), 2.0);
-    return 1.0 + (mShape.mRushFactor - 1.0) * rise;
+    return 1.0 + (mShape.mPeakFactor - 1.0) * rise;
   }
 
   /// Poisson arrivals at the peak rate, thinned to the rate of the moment.
   void AddRequests(const CustomerShape& aCustomer)
   {
     const double peakPerMs =
-      aCustomer.mRequestsPerSecond * mShape.mRushFactor / kMsPerSecond;
+      aCustomer.mRequestsPerSecond * mShape.mPeakFactor / kMsPerSecond;
     double atMs = absl::Exponential<double>(Random(), peakPerMs);
     while (atMs < static_cast<double>(mShape.mDurationMs)) {
-      if (absl::Bernoulli(Random(), LoadFactor(atMs) / mShape.mRushFactor)) {
+      if (absl::Bernoulli(Random(), LoadFactor(atMs) / mShape.mPeakFactor)) {
         AddRequest(aCustomer, static_cast<std::int64_t>(atMs));
       }
       atMs += absl::Exponential<double>(Random(), peakPerMs);
--- a/src/core/trace/TraceHeader.h
+++ b/src/core/trace/TraceHeader.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <string>
 
-#include "src/core/trace/StatedOutcomes.h"
+#include "src/core/trace/ExpectedOutcomes.h"
 
 namespace foxtailbarrow {
 
@@ -17,7 +17,7 @@
   std::string mDeployment;
   std::uint64_t mSeed = 0; ///< Of the generator; 0 for a recorded trace.
   std::int64_t mDurationMs = 0;
-  StatedOutcomes mOutcomes;
+  ExpectedOutcomes mOutcomes;
 
   bool operator==(const TraceHeader&) const = default;
 };
--- a/src/core/trace/TrasowkaShape.cpp
+++ b/src/core/trace/TrasowkaShape.cpp
@@ -100,7 +100,7 @@
   DeploymentShape shape;
   shape.mName = "trasowka";
   shape.mDurationMs = kDurationMs;
-  shape.mRushFactor = 4.0;
+  shape.mPeakFactor = 4.0;
   shape.mOutcomes = { 150.0, 0.995, 0.005, 0.98, 8, 20'000 };
   shape.mCustomers = {
     { MakeContract("hydro-krakow", "plumbers"),
@@ -121,7 +121,8 @@
       { RouteWatchers(6) } },
   };
   shape.mCustomers.front().mContract.mUrgentAllowed = true;
-  shape.mChanges = { Doubled(shape.mCustomers.front().mContract, kWiderAtMs) };
+  shape.mChanges = { WithDoubledLimits(shape.mCustomers.front().mContract,
+                                       kWiderAtMs) };
   return shape;
 }
 
--- a/src/core/trace/detail/TraceFields.h
+++ b/src/core/trace/detail/TraceFields.h
@@ -21,7 +21,7 @@
 inline constexpr TraceNumber kPositiveTraceTime{ 1, kMaxTraceMs };
 inline constexpr NumberRule<double> kTraceShare{ 0, 1 };
 
-template<typename Visitor, Is<StatedOutcomes> Message>
+template<typename Visitor, Is<ExpectedOutcomes> Message>
 void Fields(Visitor& aVisitor, Message& aMessage)
 {
   aVisitor.Required("maxP99Ms",
@@ -29,7 +29,8 @@
                     NumberRule<double>{ 0, double{ kMaxTraceMs } });
   aVisitor.Required("minAnswered", aMessage.mMinAnswered, kTraceShare);
   aVisitor.Required("maxNotRunShare", aMessage.mMaxNotRunShare, kTraceShare);
-  aVisitor.Required("minJobsAsStated", aMessage.mMinJobsAsStated, kTraceShare);
+  aVisitor.Required(
+    "minJobsAsStated", aMessage.mMinJobsAsExpected, kTraceShare);
   aVisitor.Required("maxEvictions",
                     aMessage.mMaxEvictions,
                     TraceNumber{ 0, kMaxTraceEvictions });
--- a/standins/backend/BackendService.cpp
+++ b/standins/backend/BackendService.cpp
@@ -80,14 +80,14 @@
       absl::SimpleAtoi(Header(aRequest, "Standin-Service-Us"), &micros)) {
     service = Duration(micros);
   }
-  Enter();
+  AcquireSlot();
   if (mSettings.mRecord) {
-    mBook.Add(Header(aRequest, "Foxtailbarrow-Request-Id"));
+    mExecutions.Add(Header(aRequest, "Foxtailbarrow-Request-Id"));
   }
   if (service + faults.mSlow > Duration{}) {
     boost::this_fiber::sleep_for(service + faults.mSlow);
   }
-  Leave();
+  ReleaseSlot();
   if (IsEvery(count, faults.mCutEvery)) {
     return net::JsonResponse(kNoAnswer, {});
   }
@@ -97,25 +97,25 @@
   return net::JsonResponse(200, Echo(aRequest));
 }
 
-void BackendService::Enter()
+void BackendService::AcquireSlot()
 {
-  const std::int32_t here = ++mHere;
+  const std::int32_t inProgress = ++mInProgress;
   std::int32_t peak = mPeak;
-  while (here > peak && !mPeak.compare_exchange_weak(peak, here)) {
+  while (inProgress > peak && !mPeak.compare_exchange_weak(peak, inProgress)) {
   }
   std::unique_lock lock(mSlotMutex);
-  mSlotFree.wait(lock, [this] { return mBusy < mSettings.mSlots; });
-  ++mBusy;
+  mSlotFree.wait(lock, [this] { return mUsedSlots < mSettings.mSlots; });
+  ++mUsedSlots;
 }
 
-void BackendService::Leave()
+void BackendService::ReleaseSlot()
 {
   {
     const std::lock_guard lock(mSlotMutex);
-    --mBusy;
+    --mUsedSlots;
   }
   mSlotFree.notify_one();
-  --mHere;
+  --mInProgress;
 }
 
 BackendFaults BackendService::Faults() const
@@ -141,7 +141,7 @@
 
 Json::Value BackendService::ExecutionsJson() const
 {
-  const ExecutionCounts counts = mBook.Counts();
+  const ExecutionCounts counts = mExecutions.Counts();
   Json::Value object(Json::objectValue);
   object["total"] = Json::UInt64{ counts.mTotal };
   object["distinct"] = Json::UInt64{ counts.mDistinct };
@@ -157,7 +157,7 @@
 Json::Value BackendService::IdsJson() const
 {
   Json::Value runs(Json::objectValue);
-  for (const auto& [id, count] : mBook.Runs()) {
+  for (const auto& [id, count] : mExecutions.Runs()) {
     runs[id] = Json::UInt{ count };
   }
   Json::Value object(Json::objectValue);
--- a/standins/backend/BackendService.h
+++ b/standins/backend/BackendService.h
@@ -10,7 +10,7 @@
 #include "foxtailbarrow/Time.h"
 #include "src/net/HttpMessage.h"
 #include "standins/backend/BackendFaults.h"
-#include "standins/backend/ExecutionBook.h"
+#include "standins/backend/ExecutionCounter.h"
 
 namespace foxtailbarrow::standin {
 
@@ -42,18 +42,18 @@
   Json::Value ExecutionsJson() const;
   Json::Value IdsJson() const;
   BackendFaults Faults() const;
-  void Enter();
-  void Leave();
+  void AcquireSlot();
+  void ReleaseSlot();
 
   const BackendSettings mSettings;
-  ExecutionBook mBook;
+  ExecutionCounter mExecutions;
   std::atomic<bool> mDraining{ false };
   std::atomic<std::uint64_t> mServed{ 0 };
   std::atomic<std::int32_t> mPeak{ 0 }; ///< Requests here at a time, at most.
-  std::atomic<std::int32_t> mHere{ 0 };
-  boost::fibers::mutex mSlotMutex; ///< Guards mBusy.
+  std::atomic<std::int32_t> mInProgress{ 0 };
+  boost::fibers::mutex mSlotMutex; ///< Guards mUsedSlots.
   boost::fibers::condition_variable mSlotFree;
-  std::int32_t mBusy = 0;
+  std::int32_t mUsedSlots = 0;
   mutable std::mutex mFaultMutex; ///< Guards mFaults.
   BackendFaults mFaults;
   std::atomic<bool> mAnyFault{ false };
--- a/standins/backend/ExecutionBook.cpp
+++ b/standins/backend/ExecutionCounter.cpp
@@ -1,4 +1,4 @@
-#include "standins/backend/ExecutionBook.h"
+#include "standins/backend/ExecutionCounter.h"
 
 #include "absl/hash/hash.h"
 
@@ -10,7 +10,7 @@
 
 } // namespace
 
-void ExecutionBook::Add(std::string_view aRequestId)
+void ExecutionCounter::Add(std::string_view aRequestId)
 {
   const std::string id(aRequestId);
   Shard& shard = mShards[(absl::HashOf(id) >> 40) % kShards];
@@ -18,7 +18,7 @@
   ++shard.mRuns[id];
 }
 
-ExecutionCounts ExecutionBook::Counts() const
+ExecutionCounts ExecutionCounter::Counts() const
 {
   ExecutionCounts counts;
   for (const Shard& shard : mShards) {
@@ -38,7 +38,7 @@
   return counts;
 }
 
-std::map<std::string, std::uint32_t> ExecutionBook::Runs() const
+std::map<std::string, std::uint32_t> ExecutionCounter::Runs() const
 {
   std::map<std::string, std::uint32_t> runs;
   for (const Shard& shard : mShards) {
--- a/standins/backend/ExecutionBook.h
+++ b/standins/backend/ExecutionCounter.h
@@ -22,7 +22,7 @@
 };
 
 /// Counts how often each request id ran. Safe for use by several threads.
-class ExecutionBook
+class ExecutionCounter
 {
 public:
   void Add(std::string_view aRequestId);
--- a/standins/kv/KvService.cpp
+++ b/standins/kv/KvService.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t kMaxText = std::size_t{ 2 } * 1024 * 1024;
 constexpr Duration kPoll = std::chrono::milliseconds(5);
 /// An unanswered connection is closed after this, as nobody waits longer.
-constexpr Duration kHang = std::chrono::seconds(4);
+constexpr Duration kSilenceTimeout = std::chrono::seconds(4);
 
 net::HttpResponse Reply(unsigned aStatus, const Json::Value& aBody = {})
 {
@@ -185,7 +185,7 @@
     return Reply(kUnavailable);
   }
   if (mFaults.mOutage == KvOutage::Silent) {
-    boost::this_fiber::sleep_for(kHang);
+    boost::this_fiber::sleep_for(kSilenceTimeout);
     return Reply(net::kCloseWithoutAnswer);
   }
   if (mFaults.mDelay > Duration::zero()) {
@@ -197,12 +197,12 @@
       boost::this_fiber::sleep_for(late);
       Route(aRequest);
     });
-    boost::this_fiber::sleep_for(kHang);
+    boost::this_fiber::sleep_for(kSilenceTimeout);
     return Reply(net::kCloseWithoutAnswer);
   }
   net::HttpResponse response = Route(aRequest);
   if (write && Chance(mFaults.mLoseShare)) {
-    boost::this_fiber::sleep_for(kHang);
+    boost::this_fiber::sleep_for(kSilenceTimeout);
     return Reply(net::kCloseWithoutAnswer);
   }
   return response;
@@ -235,7 +235,7 @@
     return GrantLease(aRequest.mBody);
   }
   if (path.starts_with("/kv-keep/")) {
-    return KeepLease(after("/kv-keep/"));
+    return RenewLease(after("/kv-keep/"));
   }
   if (path.starts_with("/kv-lease-end/")) {
     return EndLease(after("/kv-lease-end/"));
@@ -286,7 +286,7 @@
   for (;;) {
     Expire();
     const auto events = mTable.EventsAfter(range, from);
-    if (!events.ok() || from < mForgotten) {
+    if (!events.ok() || from < mCompactedRevision) {
       return Reply(kGone);
     }
     if (!events->empty() || MonotonicNow() >= end) {
@@ -354,7 +354,7 @@
   return lease.ok() ? Reply(kOk, reply) : Reply(kBadRequest);
 }
 
-net::HttpResponse KvService::KeepLease(std::string_view aLease)
+net::HttpResponse KvService::RenewLease(std::string_view aLease)
 {
   const auto ttl = mTable.KeepAlive(Number(aLease), LeaseClock());
   Json::Value reply;
--- a/standins/kv/KvService.h
+++ b/standins/kv/KvService.h
@@ -26,7 +26,7 @@
   /// `aFaults` replaces what was wrong before.
   void SetFaults(const KvFaults& aFaults);
   /// Watches from an earlier revision than the present one are refused.
-  void ForgetHistory() { mForgotten = mTable.LatestRevision(); }
+  void CompactHistory() { mCompactedRevision = mTable.LatestRevision(); }
   /// Writes as an operator does.
   void Put(const std::string& aKey, const std::string& aValue);
 
@@ -43,7 +43,7 @@
   net::HttpResponse Watch(std::string_view aQuery);
   net::HttpResponse Transaction(const std::string& aBody);
   net::HttpResponse GrantLease(const std::string& aBody);
-  net::HttpResponse KeepLease(std::string_view aLease);
+  net::HttpResponse RenewLease(std::string_view aLease);
   net::HttpResponse EndLease(std::string_view aLease);
   bool Chance(double aShare);
   Instant LeaseClock();
@@ -53,7 +53,7 @@
   KeyValueTable mTable;
   KvFaults mFaults;
   std::mt19937 mRandom;
-  Revision mForgotten = 0;
+  Revision mCompactedRevision = 0;
   Duration mPaused{}; ///< Time for which leases did not run, in all.
   Instant mPausedSince{};
   std::uint64_t mCalls = 0;
--- a/standins/store/Switches.cpp
+++ b/standins/store/FaultControls.cpp
@@ -1,4 +1,4 @@
-#include "standins/store/Switches.h"
+#include "standins/store/FaultControls.h"
 
 #include <chrono>
 #include <string>
--- a/standins/store/Gateway.cpp
+++ b/standins/store/Gateway.cpp
@@ -5,9 +5,9 @@
 #include <utility>
 
 #include "src/platform/store/GatewayJson.h"
+#include "standins/store/FaultControls.h"
 #include "standins/store/GatewayReplies.h"
 #include "standins/store/GatewayRequests.h"
-#include "standins/store/Switches.h"
 
 namespace foxtailbarrow {
 
--- a/standins/taskworker/Main.cpp
+++ b/standins/taskworker/Main.cpp
@@ -8,7 +8,7 @@
 {
   using namespace foxtailbarrow;
   net::BlockSignals();
-  standin::TaskWorkerService::Place place{
+  standin::TaskWorkerService::Registration place{
     { "127.0.0.1", 0 }, {}, "worker", "service", "rack"
   };
   Settings settings("foxtailbarrow-standin-taskworker",
@@ -24,7 +24,7 @@
   }
   net::FiberRuntime runtime(1);
   const auto service = standin::TaskWorkerService::Start(
-    runtime, place, {}, 1, [](const std::string&, const standin::RunMark&) {});
+    runtime, place, {}, 1, [](const std::string&, const standin::RunEvent&) {});
   if (!service.ok()) {
     std::cerr << service.status().message() << '\n';
     return 1;
--- a/standins/taskworker/ServingMeter.cpp
+++ b/standins/taskworker/ServingMeter.cpp
@@ -25,40 +25,44 @@
 
 } // namespace
 
-double OwnLatency(int aServing, Instant aNow)
+double BaselineLatency(int aServingImage, Instant aNow)
 {
   const double turns =
-    SecondsOf(aNow.time_since_epoch()) / kSwingPeriod + 0.37 * aServing;
+    SecondsOf(aNow.time_since_epoch()) / kSwingPeriod + 0.37 * aServingImage;
   return std::log(kCalmShare) + kSwing * std::sin(2 * std::numbers::pi * turns);
 }
 
-double PressureOf(int aServing, int aLeftover, Instant aNow)
+double BestEffortInterference(int aServingImage,
+                              int aBestEffortImage,
+                              Instant aNow)
 {
   const auto epoch =
     static_cast<unsigned>(SecondsOf(aNow.time_since_epoch()) / kWeightsLast);
-  std::minstd_rand weights(1 + epoch * 64 +
-                           static_cast<unsigned>(aServing * 8 + aLeftover));
+  std::minstd_rand weights(
+    1 + epoch * 64 +
+    static_cast<unsigned>(aServingImage * 8 + aBestEffortImage));
   weights.discard(4);
   return weights() % kHeavyOneIn == 0 ? kHeavy : kLight;
 }
 
-void ServingMeter::Take(double aOwn,
-                        double aPressure,
-                        Instant aNow,
-                        std::mt19937& aRandom)
+void ServingMeter::Update(double aBaseline,
+                          double aInterference,
+                          Instant aNow,
+                          std::mt19937& aRandom)
 {
-  const Duration passed = mTakenAt ? Duration(aNow - *mTakenAt) : Duration();
-  mTakenAt = aNow;
-  mSum += (aOwn + aPressure) * SecondsOf(passed);
+  const Duration passed =
+    mUpdatedAt ? Duration(aNow - *mUpdatedAt) : Duration();
+  mUpdatedAt = aNow;
+  mSum += (aBaseline + aInterference) * SecondsOf(passed);
   mCovered += passed;
   if (mCovered >= kFigureSpan) {
     const double noise = std::normal_distribution<double>(0, kNoise)(aRandom);
-    mFigure = std::lround(static_cast<double>(kServingTargetMs) *
-                          std::exp(mSum / SecondsOf(mCovered) + noise));
+    mReportedMs = std::lround(static_cast<double>(kServingTargetMs) *
+                              std::exp(mSum / SecondsOf(mCovered) + noise));
     mSum = 0;
     mCovered = {};
   }
-  if (aOwn > 0 || aOwn + aPressure <= 0) {
+  if (aBaseline > 0 || aBaseline + aInterference <= 0) {
     mOverSince.reset();
   } else if (!mOverSince) {
     mOverSince = aNow - passed;
--- a/standins/taskworker/TaskProgram.cpp
+++ b/standins/taskworker/TaskProgram.cpp
@@ -42,13 +42,13 @@
   }
   if (aPayload.starts_with(kServes)) {
     TaskProgram program{ Duration::zero(), false, true };
-    program.mServes = Number(aPayload.substr(kServes.size()));
+    program.mServingImage = Number(aPayload.substr(kServes.size()));
     return program;
   }
   if (aPayload.starts_with(kFills)) {
     const std::string_view text = aPayload.substr(kFills.size());
     TaskProgram program{ Milliseconds(text) };
-    program.mFills = Number(text.substr(text.find(':') + 1));
+    program.mBestEffortImage = Number(text.substr(text.find(':') + 1));
     return program;
   }
   return { Duration::zero(), false, aPayload == kStands };
@@ -56,17 +56,17 @@
 
 std::string FormatTaskProgram(const TaskProgram& aProgram)
 {
-  if (aProgram.mServes) {
-    return std::string(kServes) + std::to_string(*aProgram.mServes);
+  if (aProgram.mServingImage) {
+    return std::string(kServes) + std::to_string(*aProgram.mServingImage);
   }
-  if (aProgram.mStands) {
+  if (aProgram.mRunsUntilStopped) {
     return std::string(kStands);
   }
   const auto ms =
     std::chrono::duration_cast<std::chrono::milliseconds>(aProgram.mWork);
-  if (aProgram.mFills) {
+  if (aProgram.mBestEffortImage) {
     return std::string(kFills) + std::to_string(ms.count()) + ":" +
-           std::to_string(*aProgram.mFills);
+           std::to_string(*aProgram.mBestEffortImage);
   }
   const std::string_view kind = aProgram.mCrashes ? kCrashes
                                 : aProgram.mFails ? kFails
--- a/standins/taskworker/TaskProgram.h
+++ b/standins/taskworker/TaskProgram.h
@@ -17,10 +17,10 @@
 {
   Duration mWork{};
   bool mFails = false;
-  bool mStands = false;
+  bool mRunsUntilStopped = false;
   bool mCrashes = false;
-  std::optional<int> mServes{}; ///< Image.
-  std::optional<int> mFills{};  ///< Image.
+  std::optional<int> mServingImage{};    ///< Image.
+  std::optional<int> mBestEffortImage{}; ///< Image.
 };
 
 TaskProgram ParseTaskProgram(std::string_view aPayload);
--- a/standins/taskworker/TaskWorkerModel.cpp
+++ b/standins/taskworker/TaskWorkerModel.cpp
@@ -24,29 +24,29 @@
 } // namespace
 
 TaskWorkerModel::TaskWorkerModel(TaskWorkerSettings aSettings,
-                                 Instant aBornAt,
-                                 MarkSink aSink)
+                                 Instant aCreatedAt,
+                                 RunEventSink aSink)
   : mSettings(aSettings)
   , mRandom(aSettings.mSeed)
-  , mBornAt(aBornAt)
+  , mCreatedAt(aCreatedAt)
   , mSink(std::move(aSink))
 {
 }
 
 cell::WorkerTimeMs TaskWorkerModel::Clock(Instant aNow) const
 {
-  const auto lived = static_cast<double>(ToMs(aNow - mBornAt).count());
+  const auto lived = static_cast<double>(ToMs(aNow - mCreatedAt).count());
   return kFirstClock +
          static_cast<cell::WorkerTimeMs>(lived * mSettings.mClockRate);
 }
 
-void TaskWorkerModel::Progress(Run& aRun, Instant aNow) const
+void TaskWorkerModel::UpdateProgress(Run& aRun, Instant aNow) const
 {
-  aRun.mDone += (aNow - aRun.mAsOf) * aRun.mPercent / kFullPercent;
-  aRun.mAsOf = aNow;
-  for (auto pace = aRun.mPaces.begin();
-       pace != aRun.mPaces.end() && pace->first <= aNow;
-       pace = aRun.mPaces.erase(pace)) {
+  aRun.mDone += (aNow - aRun.mUpdatedAt) * aRun.mPercent / kFullPercent;
+  aRun.mUpdatedAt = aNow;
+  for (auto pace = aRun.mPendingThrottles.begin();
+       pace != aRun.mPendingThrottles.end() && pace->first <= aNow;
+       pace = aRun.mPendingThrottles.erase(pace)) {
     aRun.mPercent = pace->second;
   }
   if (const std::int64_t saves = aRun.mDone / mSettings.mSaveEvery;
@@ -64,30 +64,38 @@
                      run->second.mNumber,
                      aEnd,
                      aEnd == RunEnd::Done ? "" : run->second.mSaved });
-  mOver[aTask] = std::max(mOver[aTask], run->second.mNumber);
-  mSink({ RunMoment::Ended, aTask, run->second.mNumber, aEnd, {}, {} });
+  mHighestEnded[aTask] = std::max(mHighestEnded[aTask], run->second.mNumber);
+  mSink({ RunEventKind::Ended, aTask, run->second.mNumber, aEnd, {}, {} });
   mRuns.erase(run);
 }
 
-void TaskWorkerModel::Serve(const cell::TaskRef& aTask, Run& aRun, Instant aNow)
+void TaskWorkerModel::UpdateLatency(const cell::TaskRef& aTask,
+                                    Run& aRun,
+                                    Instant aNow)
 {
-  if (!aRun.mProgram.mServes) {
+  if (!aRun.mProgram.mServingImage) {
     return;
   }
-  const int image = *aRun.mProgram.mServes;
+  const int image = *aRun.mProgram.mServingImage;
   double pressure = 0;
   for (const auto& [task, other] : mRuns) {
-    if (other.mProgram.mFills) {
-      pressure += PressureOf(image, *other.mProgram.mFills, aNow) *
-                  other.mPercent / kFullPercent;
+    if (other.mProgram.mBestEffortImage) {
+      pressure +=
+        BestEffortInterference(image, *other.mProgram.mBestEffortImage, aNow) *
+        other.mPercent / kFullPercent;
     }
   }
-  aRun.mMeter.Take(OwnLatency(image, aNow), pressure, aNow, mRandom);
+  aRun.mMeter.Update(BaselineLatency(image, aNow), pressure, aNow, mRandom);
   const auto since = aRun.mMeter.OverSince();
-  if (since && aRun.mToldOver != since && aNow - *since >= kLongestOver) {
-    aRun.mToldOver = since;
-    mSink(
-      { RunMoment::OverTarget, aTask, aRun.mNumber, RunEnd::Done, {}, *since });
+  if (since && aRun.mReportedOverSince != since &&
+      aNow - *since >= kMaxTimeOverTarget) {
+    aRun.mReportedOverSince = since;
+    mSink({ RunEventKind::OverTarget,
+            aTask,
+            aRun.mNumber,
+            RunEnd::Done,
+            {},
+            *since });
   }
 }
 
@@ -95,18 +103,18 @@
 {
   const bool lapsed = Clock(aNow) >= mLeaseEnd;
   if (lapsed && !std::exchange(mLapsed, true)) {
-    mSink({ RunMoment::LeaseLapsed, {}, 0, RunEnd::LeaseExpired, {}, {} });
+    mSink({ RunEventKind::LeaseLapsed, {}, 0, RunEnd::LeaseExpired, {}, {} });
   }
   const auto runs = mRuns;
   for (const auto& [task, before] : runs) {
     Run& run = mRuns.at(task);
-    Progress(run, aNow);
-    Serve(task, run, aNow);
+    UpdateProgress(run, aNow);
+    UpdateLatency(task, run, aNow);
     if (lapsed) {
       End(task, RunEnd::LeaseExpired);
     } else if (aNow >= run.mStopAt) {
       End(task, RunEnd::Stopped);
-    } else if (!run.mProgram.mStands && !run.mProgram.mCrashes &&
+    } else if (!run.mProgram.mRunsUntilStopped && !run.mProgram.mCrashes &&
                run.mDone >= run.mProgram.mWork) {
       End(task, run.mProgram.mFails ? RunEnd::Failed : RunEnd::Done);
     } else if (mFailAll) {
@@ -115,13 +123,13 @@
   }
 }
 
-bool TaskWorkerModel::Admit(cell::Fence aFence)
+bool TaskWorkerModel::AcceptFence(cell::Fence aFence)
 {
   mFence = std::max(mFence, aFence);
   return aFence == mFence;
 }
 
-void TaskWorkerModel::Extend(cell::WorkerTimeMs aEnd, Instant aNow)
+void TaskWorkerModel::ExtendLease(cell::WorkerTimeMs aEnd, Instant aNow)
 {
   const cell::WorkerTimeMs latest =
     Clock(aNow) + ToMs(mSettings.mMaxLease).count();
@@ -132,32 +140,32 @@
 StartOutcome TaskWorkerModel::Start(const cell::StartCall& aCall, Instant aNow)
 {
   Advance(aNow);
-  if (!Admit(aCall.mFence)) {
+  if (!AcceptFence(aCall.mFence)) {
     return StartOutcome::NotStarted;
   }
   if (aCall.mLeaseEnd <= Clock(aNow)) {
     return StartOutcome::NoLease;
   }
-  Extend(aCall.mLeaseEnd, aNow);
+  ExtendLease(aCall.mLeaseEnd, aNow);
   const auto there = mRuns.find(aCall.mTask);
   if (there != mRuns.end() && there->second.mNumber == aCall.mRun) {
     return StartOutcome::Started;
   }
-  if (const auto over = mOver.find(aCall.mTask);
-      over != mOver.end() && aCall.mRun <= over->second) {
+  if (const auto over = mHighestEnded.find(aCall.mTask);
+      over != mHighestEnded.end() && aCall.mRun <= over->second) {
     return StartOutcome::StaleRun;
   }
   Run run;
   run.mNumber = aCall.mRun;
   run.mProgram = ParseTaskProgram(aCall.mPayload);
   run.mStartedAt = aNow;
-  run.mAsOf = aNow;
+  run.mUpdatedAt = aNow;
   if (!aCall.mCheckpoint.empty()) {
     run.mDone = std::chrono::milliseconds(std::stoll(aCall.mCheckpoint));
     run.mSaved = aCall.mCheckpoint;
     run.mSaves = run.mDone / mSettings.mSaveEvery;
   }
-  mSink({ RunMoment::Started,
+  mSink({ RunEventKind::Started,
           aCall.mTask,
           aCall.mRun,
           RunEnd::Done,
@@ -170,7 +178,7 @@
 bool TaskWorkerModel::Stop(const cell::StopCall& aCall, Instant aNow)
 {
   Advance(aNow);
-  if (!Admit(aCall.mFence)) {
+  if (!AcceptFence(aCall.mFence)) {
     return false;
   }
   const auto there = mRuns.find(aCall.mTask);
@@ -178,7 +186,8 @@
     there->second.mStopAt =
       std::min(there->second.mStopAt, aNow + mSettings.mStopTime);
   } else {
-    mOver[aCall.mTask] = std::max(mOver[aCall.mTask], aCall.mRun);
+    mHighestEnded[aCall.mTask] =
+      std::max(mHighestEnded[aCall.mTask], aCall.mRun);
   }
   return true;
 }
@@ -186,13 +195,14 @@
 bool TaskWorkerModel::Throttle(const cell::ThrottleCall& aCall, Instant aNow)
 {
   Advance(aNow);
-  if (!Admit(aCall.mFence)) {
+  if (!AcceptFence(aCall.mFence)) {
     return false;
   }
   if (const auto there = mRuns.find(aCall.mTask);
       there != mRuns.end() && there->second.mNumber == aCall.mRun) {
-    there->second.mPaces[aNow + mSettings.mPaceTime] = aCall.mPercent;
-    Progress(there->second, aNow);
+    there->second.mPendingThrottles[aNow + mSettings.mThrottleDelay] =
+      aCall.mPercent;
+    UpdateProgress(there->second, aNow);
   }
   return true;
 }
@@ -200,17 +210,17 @@
 bool TaskWorkerModel::Poll(const cell::PollCall& aCall, Instant aNow)
 {
   Advance(aNow);
-  if (!Admit(aCall.mFence)) {
+  if (!AcceptFence(aCall.mFence)) {
     return false;
   }
   if (aCall.mLeaseEnd) {
-    Extend(*aCall.mLeaseEnd, aNow);
+    ExtendLease(*aCall.mLeaseEnd, aNow);
   }
   std::erase_if(mEnded, [&](const cell::EndedTask& aEnded) {
     if (aEnded.mNumber > aCall.mAcknowledged) {
       return false;
     }
-    mSink({ RunMoment::Acknowledged,
+    mSink({ RunEventKind::Acknowledged,
             aEnded.mTask,
             aEnded.mRun,
             aEnded.mEnd,
@@ -232,14 +242,14 @@
     running.mRun = run.mNumber;
     running.mCheckpoint = run.mSaved;
     running.mPercent =
-      run.mProgram.mStands
+      run.mProgram.mRunsUntilStopped
         ? kFullPercent
         : static_cast<std::int32_t>(kFullPercent * run.mDone /
                                     std::max(run.mProgram.mWork, Duration(1)));
-    running.mFigure = run.mProgram.mServes ? run.mMeter.Figure()
-                      : run.mProgram.mFills
-                        ? kLeftoverMillicores * run.mPercent / kFullPercent
-                        : 0;
+    running.mReportedMs = run.mProgram.mServingImage ? run.mMeter.ReportedMs()
+                          : run.mProgram.mBestEffortImage
+                            ? kLeftoverMillicores * run.mPercent / kFullPercent
+                            : 0;
     reply.mRunning.push_back(std::move(running));
   }
   return reply;
@@ -256,7 +266,8 @@
 void TaskWorkerModel::Crash()
 {
   for (const auto& [task, run] : mRuns) {
-    mSink({ RunMoment::Lost, task, run.mNumber, RunEnd::LeaseExpired, {}, {} });
+    mSink(
+      { RunEventKind::Lost, task, run.mNumber, RunEnd::LeaseExpired, {}, {} });
   }
   mRuns.clear();
 }
--- a/standins/taskworker/TaskWorkerModel.h
+++ b/standins/taskworker/TaskWorkerModel.h
@@ -20,28 +20,28 @@
   Duration mMaxLease = std::chrono::milliseconds(6000);
   Duration mStopTime = std::chrono::milliseconds(150);
   Duration mSaveEvery = std::chrono::milliseconds(200);
-  Duration mPaceTime{};    ///< Until a pace works.
-  unsigned mSeed = 1;      ///< Of the roughness of figures.
-  double mClockRate = 1.0; ///< Of the worker's clock against true time.
+  Duration mThrottleDelay{}; ///< Until a pace works.
+  unsigned mSeed = 1;        ///< Of the roughness of figures.
+  double mClockRate = 1.0;   ///< Of the worker's clock against true time.
 };
 
 /// The longest time that a serving task may be over its target on end by what
 /// runs beside it.
-inline constexpr Duration kLongestOver = std::chrono::milliseconds(4000);
+inline constexpr Duration kMaxTimeOverTarget = std::chrono::milliseconds(4000);
 
-enum class RunMoment : std::uint8_t
+enum class RunEventKind : std::uint8_t
 {
   Started,
   Ended,
   Lost,         ///< With its worker.
   Acknowledged, ///< Its end was taken note of.
   LeaseLapsed,  ///< The worker's; of no run.
-  OverTarget,   ///< For kLongestOver, by what runs beside it.
+  OverTarget,   ///< For kMaxTimeOverTarget, by what runs beside it.
 };
 
-struct RunMark
+struct RunEvent
 {
-  RunMoment mMoment = RunMoment::Started;
+  RunEventKind mKind = RunEventKind::Started;
   cell::TaskRef mTask;
   cell::RunNumber mRun = 0;
   cell::RunEnd mEnd = cell::RunEnd::Done;
@@ -57,11 +57,11 @@
 class TaskWorkerModel
 {
 public:
-  using MarkSink = std::function<void(const RunMark&)>;
+  using RunEventSink = std::function<void(const RunEvent&)>;
 
   TaskWorkerModel(TaskWorkerSettings aSettings,
-                  Instant aBornAt,
-                  MarkSink aSink);
+                  Instant aCreatedAt,
+                  RunEventSink aSink);
 
   void FailAll(bool aFailAll) { mFailAll = aFailAll; }
 
@@ -88,32 +88,34 @@
     TaskProgram mProgram;
     Duration mDone{};
     Instant mStartedAt{};
-    Instant mAsOf{};
+    Instant mUpdatedAt{};
     std::int32_t mPercent = 100;
-    std::map<Instant, std::int32_t> mPaces; ///< That do not work yet.
+    std::map<Instant, std::int32_t>
+      mPendingThrottles; ///< That do not work yet.
     ServingMeter mMeter;
-    std::optional<Instant> mToldOver; ///< The stretch that was marked.
+    std::optional<Instant> mReportedOverSince; ///< The stretch that was marked.
     std::string mSaved;
     std::int64_t mSaves = 0;
     Instant mStopAt = Instant::max();
   };
 
-  bool Admit(cell::Fence aFence);
-  void Extend(cell::WorkerTimeMs aEnd, Instant aNow);
-  void Progress(Run& aRun, Instant aNow) const;
-  void Serve(const cell::TaskRef& aTask, Run& aRun, Instant aNow);
+  bool AcceptFence(cell::Fence aFence);
+  void ExtendLease(cell::WorkerTimeMs aEnd, Instant aNow);
+  void UpdateProgress(Run& aRun, Instant aNow) const;
+  void UpdateLatency(const cell::TaskRef& aTask, Run& aRun, Instant aNow);
   void End(const cell::TaskRef& aTask, cell::RunEnd aEnd);
 
   TaskWorkerSettings mSettings;
   std::mt19937 mRandom;
-  Instant mBornAt;
-  MarkSink mSink;
+  Instant mCreatedAt;
+  RunEventSink mSink;
   bool mFailAll = false;
   cell::Fence mFence = 0;
   cell::WorkerTimeMs mLeaseEnd = 0;
   bool mLapsed = true; ///< No lease is in force.
   std::map<cell::TaskRef, Run> mRuns;
-  std::map<cell::TaskRef, cell::RunNumber> mOver; ///< Highest that ended.
+  std::map<cell::TaskRef, cell::RunNumber>
+    mHighestEnded; ///< Highest that ended.
   std::vector<cell::EndedTask> mEnded;
   std::int64_t mEnds = 0;
 };
--- a/standins/taskworker/TaskWorkerService.cpp
+++ b/standins/taskworker/TaskWorkerService.cpp
@@ -33,7 +33,7 @@
 constexpr int kLeastDownMs = 800;
 constexpr int kMostDownMs = 4500;
 /// An unanswered connection is closed after this, as nobody waits longer.
-constexpr Duration kHang = std::chrono::seconds(3);
+constexpr Duration kSilenceTimeout = std::chrono::seconds(3);
 
 net::HttpResponse Reply(unsigned aStatus, const Json::Value& aBody)
 {
@@ -88,7 +88,7 @@
     row.append(Json::Int64{ running.mRun });
     row.append(running.mCheckpoint);
     row.append(running.mPercent);
-    row.append(Json::Int64{ running.mFigure });
+    row.append(Json::Int64{ running.mReportedMs });
     body["Running"].append(row);
   }
   for (const cell::EndedTask& ended : aView.mEnded) {
@@ -106,12 +106,12 @@
 } // namespace
 
 TaskWorkerService::TaskWorkerService(net::FiberRuntime& aRuntime,
-                                     Place aPlace,
+                                     Registration aRegistration,
                                      TaskWorkerSettings aSettings,
                                      unsigned aSeed,
-                                     MarkSink aSink)
+                                     RunEventSink aSink)
   : mRuntime(aRuntime)
-  , mPlace(std::move(aPlace))
+  , mRegistration(std::move(aRegistration))
   , mSettings(aSettings)
   , mCapacity(aSettings.mCapacity)
   , mRandom(aSeed)
@@ -122,18 +122,18 @@
 
 absl::StatusOr<std::unique_ptr<TaskWorkerService>> TaskWorkerService::Start(
   net::FiberRuntime& aRuntime,
-  Place aPlace,
+  Registration aRegistration,
   TaskWorkerSettings aSettings,
   unsigned aSeed,
-  MarkSink aSink)
+  RunEventSink aSink)
 {
   std::unique_ptr<TaskWorkerService> service(new TaskWorkerService(
-    aRuntime, std::move(aPlace), aSettings, aSeed, std::move(aSink)));
+    aRuntime, std::move(aRegistration), aSettings, aSeed, std::move(aSink)));
   if (absl::Status status = service->Listen(); !status.ok()) {
     return status;
   }
-  service->Rise();
-  aRuntime.Spawn([worker = service.get()] { worker->Beat(); });
+  service->Restart();
+  aRuntime.Spawn([worker = service.get()] { worker->RunHeartbeats(); });
   aRuntime.Spawn([worker = service.get()] { worker->Tick(); });
   return service;
 }
@@ -141,7 +141,7 @@
 absl::Status TaskWorkerService::Listen()
 {
   auto server = net::HttpServer::Start(
-    mRuntime, mPlace.mListen, [this](net::HttpRequest& aRequest) {
+    mRuntime, mRegistration.mListen, [this](net::HttpRequest& aRequest) {
       return Handle(aRequest);
     });
   if (!server.ok()) {
@@ -161,27 +161,27 @@
 {
   mUp = false;
   mModel->Crash();
-  if (mLives % 2 == 0 && mServer != nullptr) {
+  if (mIncarnations % 2 == 0 && mServer != nullptr) {
     mServer->Drain();
     mClosedServer = std::move(mServer);
   }
 }
 
-void TaskWorkerService::Rise()
+void TaskWorkerService::Restart()
 {
   while (mServer == nullptr) {
     if (const absl::Status status = Listen(); !status.ok()) {
-      std::cerr << mPlace.mName << ": " << status << std::endl;
+      std::cerr << mRegistration.mName << ": " << status << std::endl;
       boost::this_fiber::sleep_for(kListenRetry);
     }
   }
-  mIncarnation = mPlace.mName + "-" + std::to_string(++mLives);
+  mIncarnation = mRegistration.mName + "-" + std::to_string(++mIncarnations);
   mModel = std::make_shared<TaskWorkerModel>(
     mSettings,
     MonotonicNow(),
-    [this, incarnation = mIncarnation](RunMark aMark) {
-      aMark.mLate = mCarriesOutLate;
-      mSink(incarnation, aMark);
+    [this, incarnation = mIncarnation](RunEvent aEvent) {
+      aEvent.mLate = mExecutesLate;
+      mSink(incarnation, aEvent);
     });
   mModel->FailAll(mFaults.mFailAll);
   mSequence = 0;
@@ -191,17 +191,17 @@
 
 void TaskWorkerService::Leave()
 {
-  const int life = mLives;
+  const int life = mIncarnations;
   mDraining = true;
   boost::this_fiber::sleep_for(kDrainTime);
-  if (life != mLives || !mUp) {
+  if (life != mIncarnations || !mUp) {
     return;
   }
   net::HttpRequest request;
   request.mMethod = "DELETE";
   request.mTarget = "/runners/" + mIncarnation;
-  (void)mClient.Call(mPlace.mAgent, request, kBeatTimeout);
-  if (life == mLives) {
+  (void)mClient.Call(mRegistration.mAgent, request, kBeatTimeout);
+  if (life == mIncarnations) {
     Crash();
   }
 }
@@ -215,40 +215,40 @@
     }
     mModel->Advance(MonotonicNow());
     if (mModel->CrashDue(MonotonicNow())) {
-      mRuntime.Spawn([this] { CrashAndRise(); });
+      mRuntime.Spawn([this] { CrashAndRestart(); });
       mUp = false;
     }
   }
 }
 
 /// A task has taken it down: it comes back after some seconds.
-void TaskWorkerService::CrashAndRise()
+void TaskWorkerService::CrashAndRestart()
 {
   Crash();
-  const int life = mLives;
+  const int life = mIncarnations;
   boost::this_fiber::sleep_for(std::chrono::milliseconds(
     std::uniform_int_distribution<int>(kLeastDownMs, kMostDownMs)(mRandom)));
-  if (life == mLives) {
-    Rise();
+  if (life == mIncarnations) {
+    Restart();
   }
 }
 
-void TaskWorkerService::Beat()
+void TaskWorkerService::RunHeartbeats()
 {
   for (;;) {
     if (mUp) {
-      SendBeat();
+      SendHeartbeat();
     }
     boost::this_fiber::sleep_for(kBeatInterval);
   }
 }
 
-void TaskWorkerService::SendBeat()
+void TaskWorkerService::SendHeartbeat()
 {
-  BeatMark mark{ mIncarnation, ++mSequence, mCapacity };
+  HeartbeatEvent mark{ mIncarnation, ++mSequence, mCapacity };
   Json::Value body;
-  body["Service"] = mPlace.mService;
-  body["Addr"] = ToString(mPlace.mListen);
+  body["Service"] = mRegistration.mService;
+  body["Addr"] = ToString(mRegistration.mListen);
   body["Zone"] = "zone";
   body["State"] = mDraining ? "draining" : "ready";
   body["DrainLeftMs"] = 1000;
@@ -256,22 +256,22 @@
   body["Capacity"]["Cpu"] = Json::Int64{ mCapacity.mMillicores };
   body["Capacity"]["MemMb"] = Json::Int64{ mCapacity.mMemoryMb };
   body["Labels"].append("a");
-  body["Labels"].append(mPlace.mRack);
+  body["Labels"].append(mRegistration.mRack);
   net::HttpRequest request;
   request.mMethod = "PUT";
   request.mTarget = "/runners/" + mIncarnation;
   request.mBody = FormatJson(body);
-  mOnBeat(mark);
-  const auto reply = mClient.Call(mPlace.mAgent, request, kBeatTimeout);
+  mHeartbeatSink(mark);
+  const auto reply = mClient.Call(mRegistration.mAgent, request, kBeatTimeout);
   mark.mAnswered = reply.ok() && reply->mStatus < kBadRequest;
   if (mark.mAnswered) {
-    mOnBeat(mark);
+    mHeartbeatSink(mark);
   }
 }
 
-net::HttpResponse TaskWorkerService::Hang()
+net::HttpResponse TaskWorkerService::LeaveUnanswered()
 {
-  const Instant end = MonotonicNow() + kHang;
+  const Instant end = MonotonicNow() + kSilenceTimeout;
   while (mServer != nullptr && MonotonicNow() < end) {
     boost::this_fiber::sleep_for(kTick);
   }
@@ -283,25 +283,25 @@
 net::HttpResponse TaskWorkerService::Handle(const net::HttpRequest& aRequest)
 {
   if (!mUp || mFaults.mMute) {
-    return Hang();
+    return LeaveUnanswered();
   }
   const bool late =
     std::uniform_real_distribution<double>(0, 1)(mRandom) < mFaults.mLateShare;
   if (!late) {
-    return CarryOut(aRequest);
+    return Execute(aRequest);
   }
   mRuntime.Spawn([this, aRequest, by = mFaults.mLateBy] {
     boost::this_fiber::sleep_for(by);
     if (mUp) {
-      mCarriesOutLate = true;
-      CarryOut(aRequest);
-      mCarriesOutLate = false;
+      mExecutesLate = true;
+      Execute(aRequest);
+      mExecutesLate = false;
     }
   });
-  return Hang();
+  return LeaveUnanswered();
 }
 
-net::HttpResponse TaskWorkerService::CarryOut(const net::HttpRequest& aRequest)
+net::HttpResponse TaskWorkerService::Execute(const net::HttpRequest& aRequest)
 {
   const auto expected = aRequest.mHeaders.Find("Expect-Instance");
   if (expected && *expected != mIncarnation) {
@@ -375,7 +375,7 @@
     boost::this_fiber::sleep_for(kTick);
   }
   if (!mUp || model != mModel) {
-    return Hang();
+    return LeaveUnanswered();
   }
   model->Advance(MonotonicNow());
   return Reply(kOk, ViewBody(model->View(MonotonicNow())));
--- a/standins/taskworker/TaskWorkerService.h
+++ b/standins/taskworker/TaskWorkerService.h
@@ -16,7 +16,7 @@
 namespace foxtailbarrow::standin {
 
 /// A heartbeat on its way to the agent, or answered.
-struct BeatMark
+struct HeartbeatEvent
 {
   std::string mIncarnation;
   std::int64_t mSequence = 0;
@@ -30,7 +30,7 @@
 class TaskWorkerService
 {
 public:
-  struct Place
+  struct Registration
   {
     Endpoint mListen; ///< For orders.
     Endpoint mAgent;  ///< For heartbeats.
@@ -40,19 +40,19 @@
   };
 
   /// `aSink` is told of every run, with the incarnation that it is of.
-  using MarkSink =
-    std::function<void(const std::string& aIncarnation, const RunMark&)>;
+  using RunEventSink =
+    std::function<void(const std::string& aIncarnation, const RunEvent&)>;
 
   static absl::StatusOr<std::unique_ptr<TaskWorkerService>> Start(
     net::FiberRuntime& aRuntime,
-    Place aPlace,
+    Registration aRegistration,
     TaskWorkerSettings aSettings,
     unsigned aSeed,
-    MarkSink aSink);
+    RunEventSink aSink);
 
-  void OnBeat(std::function<void(const BeatMark&)> aSink)
+  void SetHeartbeatSink(std::function<void(const HeartbeatEvent&)> aSink)
   {
-    mOnBeat = std::move(aSink);
+    mHeartbeatSink = std::move(aSink);
   }
 
   void SetFaults(const TaskWorkerFaults& aFaults);
@@ -62,7 +62,7 @@
   /// with it and answers nothing, else connections are refused.
   void Crash();
   /// After Crash(), or after it has left: the next incarnation.
-  void Rise();
+  void Restart();
   /// Tells that it drains, serves on for a while, says good-bye, and is gone.
   /// Suspends the calling fiber meanwhile.
   void Leave();
@@ -72,36 +72,37 @@
 
 private:
   TaskWorkerService(net::FiberRuntime& aRuntime,
-                    Place aPlace,
+                    Registration aRegistration,
                     TaskWorkerSettings aSettings,
                     unsigned aSeed,
-                    MarkSink aSink);
+                    RunEventSink aSink);
 
   net::HttpResponse Handle(const net::HttpRequest& aRequest);
-  net::HttpResponse CarryOut(const net::HttpRequest& aRequest);
-  void SendBeat();
+  net::HttpResponse Execute(const net::HttpRequest& aRequest);
+  void SendHeartbeat();
   net::HttpResponse Poll(const Json::Value& aBody);
-  net::HttpResponse Hang();
+  net::HttpResponse LeaveUnanswered();
   absl::Status Listen();
-  void Beat();
+  void RunHeartbeats();
   void Tick();
-  void CrashAndRise();
+  void CrashAndRestart();
 
   net::FiberRuntime& mRuntime;
-  Place mPlace;
+  Registration mRegistration;
   TaskWorkerSettings mSettings;
   Resources mCapacity;
-  std::function<void(const BeatMark&)> mOnBeat = [](const BeatMark&) {};
+  std::function<void(const HeartbeatEvent&)> mHeartbeatSink =
+    [](const HeartbeatEvent&) {};
   std::mt19937 mRandom;
-  MarkSink mSink;
+  RunEventSink mSink;
   TaskWorkerFaults mFaults;
   std::shared_ptr<TaskWorkerModel> mModel;
   std::string mIncarnation;
-  int mLives = 0;
+  int mIncarnations = 0;
   std::int64_t mSequence = 0;
   bool mUp = false;
   bool mDraining = false;
-  bool mCarriesOutLate = false;
+  bool mExecutesLate = false;
   net::HttpClient mClient;
   std::unique_ptr<net::HttpServer> mServer; ///< Null: connections are refused.
   /// Of earlier lives, while their last handlers end.
--- a/standins/worker/TaskRunner.cpp
+++ b/standins/worker/TaskRunner.cpp
@@ -63,7 +63,7 @@
     } else if (run.mLeaseUntil <= aNow) {
       End(run, TaskState::Stopped, TaskEventKind::Lapsed, run.mLeaseUntil);
     } else {
-      Progress(run, aNow);
+      UpdateProgress(run, aNow);
     }
   }
 }
@@ -76,12 +76,12 @@
   const Duration left = *aRun.mProgram.mRun - aRun.mDone;
   const auto slowed = static_cast<std::int64_t>(
     static_cast<double>(left.count()) / aRun.mFraction);
-  return aRun.mAsOf + std::max(Duration{}, Duration(slowed));
+  return aRun.mUpdatedAt + std::max(Duration{}, Duration(slowed));
 }
 
-void TaskRunner::Progress(Run& aRun, Instant aUntil) const
+void TaskRunner::UpdateProgress(Run& aRun, Instant aUntil) const
 {
-  const Duration span = aUntil - aRun.mAsOf;
+  const Duration span = aUntil - aRun.mUpdatedAt;
   if (span <= Duration{}) {
     return;
   }
@@ -90,8 +90,8 @@
   Resources used = aRun.mProgram.mUsed;
   used.mMillicores = static_cast<std::int64_t>(
     static_cast<double>(used.mMillicores) * aRun.mFraction);
-  aRun.mUsage.push_back({ aRun.mAsOf + span / 2, used });
-  aRun.mAsOf = aUntil;
+  aRun.mUsage.push_back({ aRun.mUpdatedAt + span / 2, used });
+  aRun.mUpdatedAt = aUntil;
   // Only the newest sample older than the lag is ever reported.
   while (aRun.mUsage.size() > 1 &&
          aRun.mUsage[1].mMiddle + mSettings.mUsageLag <= aUntil) {
@@ -104,12 +104,12 @@
                      TaskEventKind aKind,
                      Instant aAt)
 {
-  Progress(aRun, aAt);
+  UpdateProgress(aRun, aAt);
   aRun.mStatus.mState = aState;
   if (aState != TaskState::Finished) {
     aRun.mStatus.mReason = std::string(ToString(aKind));
   }
-  mOver.insert(aRun.mStatus.mKey);
+  mEndedKeys.insert(aRun.mStatus.mKey);
   Record(aRun, aKind, aAt);
 }
 
@@ -140,7 +140,7 @@
   if (highest != mHighest.end() && aStart.mKey.mEpoch < highest->second) {
     return NotRun(absl::FailedPreconditionError("stale-epoch"));
   }
-  if (mOver.contains(aStart.mKey)) {
+  if (mEndedKeys.contains(aStart.mKey)) {
     return NotRun(absl::FailedPreconditionError("task-is-over"));
   }
   if (aStart.mProgram != kProgram || !ParseFakeProgram(aStart)) {
@@ -163,7 +163,7 @@
     return status;
   }
   mHighest[key.mJob] = key.mEpoch;
-  mDoubled += RunsElsewhere(key) ? 1 : 0;
+  mDoubled += RunsOtherEpoch(key) ? 1 : 0;
   Run& run = mRuns[key];
   run.mStatus.mKey = key;
   run.mStatus.mCustomer = aStart.mCustomer;
@@ -171,7 +171,7 @@
   run.mStatus.mReserved = aStart.mResources;
   run.mProgram = *ParseFakeProgram(aStart);
   run.mDone = ParseCheckpoint(aStart.mCheckpoint).value_or(Duration{});
-  run.mAsOf = aNow;
+  run.mUpdatedAt = aNow;
   run.mLeaseUntil = aNow + aStart.mLease;
   mOvercommitted += IsOvercommitted() ? 1 : 0;
   Record(run, TaskEventKind::Started, aNow);
@@ -181,7 +181,7 @@
   return absl::OkStatus();
 }
 
-bool TaskRunner::RunsElsewhere(const TaskKey& aKey) const
+bool TaskRunner::RunsOtherEpoch(const TaskKey& aKey) const
 {
   return std::any_of(mRuns.begin(), mRuns.end(), [&aKey](const auto& aEntry) {
     return aEntry.first.mJob == aKey.mJob && aEntry.first != aKey &&
@@ -218,7 +218,7 @@
 {
   Advance(aNow);
   if (Run* const run = FindRunning(aKey)) {
-    Progress(*run, aNow);
+    UpdateProgress(*run, aNow);
     run->mStatus.mCheckpoint = CheckpointText(aKey, run->mDone);
     End(*run, TaskState::Checkpointed, TaskEventKind::Checkpointed, aNow);
   }
@@ -257,7 +257,7 @@
     return absl::OkStatus();
   }
   // A start of this key that is still on its way must not run any more.
-  mOver.insert(aKey);
+  mEndedKeys.insert(aKey);
   return mRuns.contains(aKey) ? absl::OkStatus() : NoSuchTask();
 }
 
--- a/standins/worker/TaskRunner.h
+++ b/standins/worker/TaskRunner.h
@@ -69,7 +69,7 @@
     TaskStatus mStatus;
     FakeProgram mProgram;
     Duration mDone{};
-    Instant mAsOf{}; ///< Of mDone.
+    Instant mUpdatedAt{}; ///< Of mDone.
     Instant mLeaseUntil{};
     double mFraction = 1.0;
     std::deque<Usage> mUsage;
@@ -77,10 +77,10 @@
 
   absl::Status CheckStart(const TaskStart& aStart) const;
   std::optional<Instant> EndOf(const Run& aRun) const;
-  void Progress(Run& aRun, Instant aUntil) const;
+  void UpdateProgress(Run& aRun, Instant aUntil) const;
   void End(Run& aRun, TaskState aState, TaskEventKind aKind, Instant aAt);
   void Record(const Run& aRun, TaskEventKind aKind, Instant aAt);
-  bool RunsElsewhere(const TaskKey& aKey) const;
+  bool RunsOtherEpoch(const TaskKey& aKey) const;
   bool IsOvercommitted() const;
   Run* FindRunning(const TaskKey& aKey);
 
@@ -88,7 +88,7 @@
   bool mFailAll = false;
   std::map<TaskKey, Run> mRuns;
   std::map<JobId, Epoch> mHighest; ///< Kept for ever: fences late starts.
-  std::set<TaskKey> mOver;         ///< Keys that must never run again.
+  std::set<TaskKey> mEndedKeys;    ///< Keys that must never run again.
   std::vector<TaskEvent> mEvents;
   std::size_t mDoubled = 0;
   std::size_t mOvercommitted = 0;
--- a/tests/soak/FaultTimesTest.cpp
+++ b/tests/soak/FaultTimelineTest.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "soak/FaultTimes.h"
+#include "soak/FaultTimeline.h"
 
 namespace foxtailbarrow::soak::test {
 
@@ -26,21 +26,21 @@
   bool mProtected;
 };
 
-class FaultTimesTest : public testing::TestWithParam<FaultTimesCase>
+class FaultTimelineTest : public testing::TestWithParam<FaultTimesCase>
 {};
 
 /// Of the task on worker 1 of 5.
-TEST_P(FaultTimesTest, ExcusesWhatAFaultMayHaveCaused)
+TEST_P(FaultTimelineTest, ExcusesWhatAFaultMayHaveCaused)
 {
-  const FaultTimes times(GetParam().mPlan, kStart, 5);
+  const FaultTimeline times(GetParam().mPlan, kStart, 5);
   EXPECT_EQ(
-    times.Protected("worker1-3", kStart + seconds(GetParam().mOverSince)),
+    times.IsProtected("worker1-3", kStart + seconds(GetParam().mOverSince)),
     GetParam().mProtected);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  FaultTimesTest,
+  FaultTimelineTest,
   testing::Values(FaultTimesCase{ "NoFault", {}, 5, true },
                   FaultTimesCase{ "Paused",
                                   { At(4, FaultKind::PauseAgent, 6, 1) },
--- a/tests/soak/PromiseBookTest.cpp
+++ b/tests/soak/PromiseCheckerTest.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "soak/PromiseBook.h"
+#include "soak/PromiseChecker.h"
 
 namespace foxtailbarrow::soak::test {
 
@@ -12,8 +12,8 @@
 using cell::JobPhase;
 using cell::RunEnd;
 using cell::TaskRef;
-using standin::RunMark;
-using standin::RunMoment;
+using standin::RunEvent;
+using standin::RunEventKind;
 
 const JobId kJob("job");
 const TaskRef kFirst{ kJob, 0, 0, 0 };
@@ -26,7 +26,7 @@
 public:
   explicit Story(std::string aPayload = "work=100")
     : mPayload(std::move(aPayload))
-    , mBook({ 4000, 8000, 0 })
+    , mChecker({ 4000, 8000, 0 })
   {
     cell::JobGraph graph;
     graph.mId = kJob;
@@ -35,15 +35,15 @@
     graph.mSteps[0].mDemand = { 3000, 1000, 0 };
     graph.mSteps[1].mDemand = { 3000, 1000, 0 };
     graph.mSteps[1].mAfter = { 0 };
-    mBook.Submitting(graph);
-    mBook.Submitted(kJob, Told::Accepted);
+    mChecker.OnSubmitting(graph);
+    mChecker.OnSubmitted(kJob, SubmitOutcome::Accepted);
   }
 
   Story& Start(const char* aWorker,
                const TaskRef& aTask = kFirst,
                cell::RunNumber aRun = 1)
   {
-    return Tell(aWorker, RunMoment::Started, aTask, aRun, RunEnd::Done);
+    return Tell(aWorker, RunEventKind::Started, aTask, aRun, RunEnd::Done);
   }
 
   Story& End(const char* aWorker,
@@ -51,17 +51,18 @@
              const TaskRef& aTask = kFirst,
              cell::RunNumber aRun = 1)
   {
-    return Tell(aWorker, RunMoment::Ended, aTask, aRun, aEnd);
+    return Tell(aWorker, RunEventKind::Ended, aTask, aRun, aEnd);
   }
 
   Story& Note(const char* aWorker)
   {
-    return Tell(aWorker, RunMoment::Acknowledged, kFirst, 1, RunEnd::Done);
+    return Tell(aWorker, RunEventKind::Acknowledged, kFirst, 1, RunEnd::Done);
   }
 
   Story& Lapse(const char* aWorker)
   {
-    return Tell(aWorker, RunMoment::LeaseLapsed, {}, 0, RunEnd::LeaseExpired);
+    return Tell(
+      aWorker, RunEventKind::LeaseLapsed, {}, 0, RunEnd::LeaseExpired);
   }
 
   /// The worker goes down under the run.
@@ -69,30 +70,30 @@
   {
     Start(aWorker.c_str(), kFirst, aRun);
     return Tell(
-      aWorker.c_str(), RunMoment::Lost, kFirst, aRun, RunEnd::LeaseExpired);
+      aWorker.c_str(), RunEventKind::Lost, kFirst, aRun, RunEnd::LeaseExpired);
   }
 
   Story& Show(JobPhase aPhase)
   {
-    mBook.Shown(kJob, aPhase);
+    mChecker.OnPhaseShown(kJob, aPhase);
     return *this;
   }
 
-  PromiseBook& Book() { return mBook; }
+  PromiseChecker& Book() { return mChecker; }
 
 private:
   Story& Tell(const char* aWorker,
-              RunMoment aMoment,
+              RunEventKind aMoment,
               const TaskRef& aTask,
               cell::RunNumber aRun,
               RunEnd aEnd)
   {
-    mBook.Mark(aWorker, { aMoment, aTask, aRun, aEnd, mPayload });
+    mChecker.Mark(aWorker, { aMoment, aTask, aRun, aEnd, mPayload });
     return *this;
   }
 
   std::string mPayload;
-  PromiseBook mBook;
+  PromiseChecker mChecker;
 };
 
 struct StoryCase
@@ -102,19 +103,19 @@
   bool mHolds;
 };
 
-class PromiseBookTest : public testing::TestWithParam<StoryCase>
+class PromiseCheckerTest : public testing::TestWithParam<StoryCase>
 {};
 
-TEST_P(PromiseBookTest, KnowsABrokenPromise)
+TEST_P(PromiseCheckerTest, KnowsABrokenPromise)
 {
   Story story;
   GetParam().mTell(story);
-  EXPECT_EQ(story.Book().Broken().empty(), GetParam().mHolds);
+  EXPECT_EQ(story.Book().Violations().empty(), GetParam().mHolds);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  PromiseBookTest,
+  PromiseCheckerTest,
   testing::Values(
     StoryCase{ "InOrder",
                [](Story& aStory) {
@@ -162,7 +163,7 @@
                false },
     StoryCase{ "RefusedAndRun",
                [](Story& aStory) {
-                 aStory.Book().Submitted(kJob, Told::Refused);
+                 aStory.Book().OnSubmitted(kJob, SubmitOutcome::Refused);
                  aStory.Start("x");
                },
                false },
@@ -180,7 +181,7 @@
                true },
     StoryCase{ "FinalThenAnother",
                [](Story& aStory) {
-                 aStory.Book().Cancelling(kJob);
+                 aStory.Book().OnCancelling(kJob);
                  aStory.Show(JobPhase::Cancelled).Show(JobPhase::Running);
                },
                false },
@@ -188,7 +189,7 @@
                [](Story& aStory) { aStory.Show(JobPhase::Failed); },
                false },
     StoryCase{ "AcceptedThenUnknown",
-               [](Story& aStory) { aStory.Book().ShownGone(kJob); },
+               [](Story& aStory) { aStory.Book().OnUnknownJob(kJob); },
                false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
@@ -213,7 +214,7 @@
   if (facts.mShownFailed) {
     story.Show(JobPhase::Failed);
   }
-  EXPECT_EQ(story.Book().Broken().empty(), facts.mHolds);
+  EXPECT_EQ(story.Book().Violations().empty(), facts.mHolds);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -240,7 +241,7 @@
 {
   Story story;
   story.Start("x");
-  story.Book().Cancelling(kJob);
+  story.Book().OnCancelling(kJob);
   story.Book().Cancelled(kJob);
   EXPECT_EQ(story.Book().Missing().size(), 1U);
   story.End("x", RunEnd::Stopped);
--- a/tests/soak/ToldCapacityTest.cpp
+++ b/tests/soak/ReportedCapacityTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "soak/ToldCapacity.h"
+#include "soak/ReportedCapacity.h"
 
 namespace foxtailbarrow::soak::test {
 
@@ -22,12 +22,12 @@
   bool mAllowed;
 };
 
-class ToldCapacityTest : public testing::TestWithParam<ToldCase>
+class ReportedCapacityTest : public testing::TestWithParam<ToldCase>
 {};
 
-TEST_P(ToldCapacityTest, AllowsWhatTheAgentMayHaveBelieved)
+TEST_P(ReportedCapacityTest, AllowsWhatTheAgentMayHaveBelieved)
 {
-  ToldCapacity told(kLarge);
+  ReportedCapacity told(kLarge);
   const Instant at = kBegin + std::chrono::seconds(1);
   told.Sent(1, kSmall);
   if (GetParam().mAnswered) {
@@ -38,16 +38,19 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  ToldCapacityTest,
+  ReportedCapacityTest,
   testing::Values(
     ToldCase{ "Unanswered", false, std::chrono::seconds(9), true },
-    ToldCase{ "OnItsWay", true, ToldCapacity::kOnItsWay, true },
-    ToldCase{ "Late", true, ToldCapacity::kOnItsWay + milliseconds(1), false }),
+    ToldCase{ "OnItsWay", true, ReportedCapacity::kMaxStartDelay, true },
+    ToldCase{ "Late",
+              true,
+              ReportedCapacity::kMaxStartDelay + milliseconds(1),
+              false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-TEST(ToldCapacity, AGrowthMayBeKnownBeforeItsAnswer)
+TEST(ReportedCapacity, AGrowthMayBeKnownBeforeItsAnswer)
 {
-  ToldCapacity told(kSmall);
+  ReportedCapacity told(kSmall);
   EXPECT_FALSE(told.Allows(kUsed, kBegin));
   told.Sent(1, kLarge);
   EXPECT_TRUE(told.Allows(kUsed, kBegin));
--- a/tests/soak/ServingMeterTest.cpp
+++ b/tests/soak/ServingMeterTest.cpp
@@ -30,7 +30,7 @@
   int HeavyImage() const
   {
     int image = 0;
-    while (PressureOf(kServing, image, mNow) < 0.1) {
+    while (BestEffortInterference(kServing, image, mNow) < 0.1) {
       ++image;
     }
     return image;
@@ -55,12 +55,12 @@
 
   /// Weights last until 1020 s.
   Instant mNow{ seconds(1011) };
-  std::vector<RunMark> mOver;
-  TaskWorkerModel mWorker{ { .mPaceTime = milliseconds(100) },
+  std::vector<RunEvent> mOver;
+  TaskWorkerModel mWorker{ { .mThrottleDelay = milliseconds(100) },
                            mNow,
-                           [this](const RunMark& aMark) {
-                             if (aMark.mMoment == RunMoment::OverTarget) {
-                               mOver.push_back(aMark);
+                           [this](const RunEvent& aEvent) {
+                             if (aEvent.mKind == RunEventKind::OverTarget) {
+                               mOver.push_back(aEvent);
                              }
                            } };
 };
@@ -82,7 +82,7 @@
   EXPECT_EQ(mOver.size(), GetParam().mMarks);
   if (!mOver.empty()) {
     EXPECT_LE(mOver[0].mAt - start, milliseconds(100));
-    EXPECT_GT(mWorker.View(mNow).mRunning.back().mFigure, kServingTargetMs);
+    EXPECT_GT(mWorker.View(mNow).mRunning.back().mReportedMs, kServingTargetMs);
   }
 }
 
--- a/tests/soak/TaskWorkerModelTest.cpp
+++ b/tests/soak/TaskWorkerModelTest.cpp
@@ -40,9 +40,9 @@
   }
 
   Instant mNow{ std::chrono::seconds(100) };
-  std::vector<RunMark> mMarks;
-  TaskWorkerModel mWorker{ {}, mNow, [this](const RunMark& aMark) {
-                            mMarks.push_back(aMark);
+  std::vector<RunEvent> mMarks;
+  TaskWorkerModel mWorker{ {}, mNow, [this](const RunEvent& aEvent) {
+                            mMarks.push_back(aEvent);
                           } };
 };
 
@@ -61,7 +61,7 @@
   Start(1, 1, "stands", milliseconds(500));
   mNow += milliseconds(500);
   EXPECT_EQ(LastEnd(), RunEnd::LeaseExpired);
-  EXPECT_EQ(mMarks[1].mMoment, RunMoment::LeaseLapsed);
+  EXPECT_EQ(mMarks[1].mKind, RunEventKind::LeaseLapsed);
 }
 
 TEST_F(TaskWorkerModelTest, LeasesAreCutToTheLongest)
@@ -93,7 +93,7 @@
   EXPECT_EQ(LastEnd(), RunEnd::Failed);
   EXPECT_TRUE(mWorker.Poll({ 1, 1, {}, {} }, mNow));
   EXPECT_TRUE(mWorker.View(mNow).mEnded.empty());
-  EXPECT_EQ(mMarks.back().mMoment, RunMoment::Acknowledged);
+  EXPECT_EQ(mMarks.back().mKind, RunEventKind::Acknowledged);
 }
 
 TEST_F(TaskWorkerModelTest, AStoppedTaskResumesFromItsCheckpoint)
--- a/tests/taskagent/TaskAgentTest.cpp
+++ b/tests/taskagent/TaskAgentTest.cpp
@@ -59,13 +59,13 @@
       { mSettings.mWorker, mSettings.mControl, "worker", "service", "rack" },
       {},
       1,
-      [this](const std::string&, const standin::RunMark& aMark) {
-        mStarts += aMark.mMoment == standin::RunMoment::Started ? 1 : 0;
+      [this](const std::string&, const standin::RunEvent& aEvent) {
+        mStarts += aEvent.mKind == standin::RunEventKind::Started ? 1 : 0;
       });
     ASSERT_TRUE(worker.ok());
     mWorker = *std::move(worker);
-    mWorker->OnBeat([this](const standin::BeatMark& aMark) {
-      mAnswered += aMark.mAnswered ? 1 : 0;
+    mWorker->SetHeartbeatSink([this](const standin::HeartbeatEvent& aEvent) {
+      mAnswered += aEvent.mAnswered ? 1 : 0;
     });
   }
 
@@ -171,7 +171,7 @@
     AwaitBeats();
     const std::string dead = mWorker->Incarnation();
     mWorker->Crash();
-    mWorker->Rise();
+    mWorker->Restart();
     AwaitBeats();
     net::HttpRequest late;
     late.mMethod = "PUT";
--- a/tests/taskagent/ThrottleTest.cpp
+++ b/tests/taskagent/ThrottleTest.cpp
@@ -79,7 +79,10 @@
   {
     return mWorker.mTasks.at(kBestEffort).mThrottle;
   }
-  std::int64_t& ServingFigure() { return mWorker.mTasks.at(kServing).mFigure; }
+  std::int64_t& ServingFigure()
+  {
+    return mWorker.mTasks.at(kServing).mReportedMs;
+  }
 
   ThrottledWorker mWorker;
 };
--- a/tests/trace/AuditTest.cpp
+++ b/tests/trace/AuditTest.cpp
@@ -13,7 +13,7 @@
   bool mIdempotent = false;
   std::vector<Attempt> mAttempts;
   ExecutionCounts mExecutions;
-  std::int64_t mToldWrongly = 0;
+  std::int64_t mRanDespiteNotRun = 0;
   std::int64_t mLost = 0;
   std::int64_t mDoubled = 0;
 
@@ -31,7 +31,7 @@
   const RequestCase& row = GetParam();
   const RequestAudit audit =
     AuditRequests({ { row.mIdempotent, row.mAttempts } }, row.mExecutions);
-  EXPECT_EQ(audit.mToldWrongly, row.mToldWrongly);
+  EXPECT_EQ(audit.mRanDespiteNotRun, row.mRanDespiteNotRun);
   EXPECT_EQ(audit.mLost, row.mLost);
   EXPECT_EQ(audit.mDoubled, row.mDoubled);
 }
@@ -93,7 +93,7 @@
 
 TEST_P(TasksAudited, FindsOverlappingRunsOfAJob)
 {
-  EXPECT_EQ(FindDoubledJobs(GetParam().mRuns), GetParam().mDoubled);
+  EXPECT_EQ(FindOverlappingJobs(GetParam().mRuns), GetParam().mDoubled);
 }
 
 const RunCase kRunCases[] = {
--- a/tests/trace/OutcomeCheckTest.cpp
+++ b/tests/trace/OutcomeCheckTest.cpp
@@ -6,7 +6,7 @@
 namespace foxtailbarrow {
 namespace {
 
-const StatedOutcomes kStated{ 100.0, 0.99, 0.01, 0.95, 3, 1'000 };
+const ExpectedOutcomes kStated{ 100.0, 0.99, 0.01, 0.95, 3, 1'000 };
 
 ReplayTotals GoodTotals()
 {
@@ -16,7 +16,7 @@
   totals.mNotRun = 10;
   totals.mP99 = std::chrono::milliseconds(100);
   totals.mJobs = 100;
-  totals.mJobsAsStated = 95;
+  totals.mJobsAsExpected = 95;
   totals.mEvictions = 3;
   totals.mAudited = true;
   return totals;
@@ -84,14 +84,15 @@
   { "requests unanswered",
     [](ReplayTotals& aTotals) { ++aTotals.mUnanswered; } },
   { "wrong answers", [](ReplayTotals& aTotals) { ++aTotals.mWrongAnswers; } },
-  { "told wrongly", [](ReplayTotals& aTotals) { ++aTotals.mToldWrongly; } },
+  { "told wrongly",
+    [](ReplayTotals& aTotals) { ++aTotals.mRanDespiteNotRun; } },
   { "lost requests", [](ReplayTotals& aTotals) { ++aTotals.mLostRequests; } },
   { "lost jobs", [](ReplayTotals& aTotals) { ++aTotals.mLostJobs; } },
   { "doubled requests",
-    [](ReplayTotals& aTotals) { ++aTotals.mDoubledRequests; } },
-  { "doubled jobs", [](ReplayTotals& aTotals) { ++aTotals.mDoubledJobs; } },
+    [](ReplayTotals& aTotals) { ++aTotals.mRepeatedRequests; } },
+  { "doubled jobs", [](ReplayTotals& aTotals) { ++aTotals.mOverlappingJobs; } },
   { "jobs ended as stated",
-    [](ReplayTotals& aTotals) { --aTotals.mJobsAsStated; } },
+    [](ReplayTotals& aTotals) { --aTotals.mJobsAsExpected; } },
   { "jobs ended as stated",
     [](ReplayTotals& aTotals) { ++aTotals.mJobsRefused; } },
   { "evictions", [](ReplayTotals& aTotals) { ++aTotals.mEvictions; } },
--- a/tests/trace/ReplayBooksTest.cpp
+++ b/tests/trace/ReplayBooksTest.cpp
@@ -3,7 +3,7 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "apps/replay/JobBook.h"
+#include "apps/replay/JobTracker.h"
 #include "apps/replay/ReplaySettings.h"
 #include "apps/replay/StandInAudit.h"
 #include "src/core/message/Json.h"
@@ -19,23 +19,23 @@
   return line;
 }
 
-TEST(JobBook, CountsAsStatedWhatEndedAsItsLineSays)
+TEST(JobTracker, CountsAsStatedWhatEndedAsItsLineSays)
 {
-  JobBook book;
+  JobTracker book;
   book.Accept(Line("a", JobState::Finished), "c.1");
   book.Accept(Line("b", JobState::Parked), "c.2");
   book.Accept(Line("c", JobState::Finished), "c.3");
   book.Accept(Line("d", JobState::Finished), "c.4");
   book.Refuse(Line("e", JobState::Finished));
-  book.See(JobId("a"), JobState::Finished, "", 2);
-  book.See(JobId("b"), JobState::Parked, "", 0);
-  book.See(JobId("c"), JobState::Failed, "", 1);
-  book.SeeNothing(JobId("d"));
+  book.OnState(JobId("a"), JobState::Finished, "", 2);
+  book.OnState(JobId("b"), JobState::Parked, "", 0);
+  book.OnState(JobId("c"), JobState::Failed, "", 1);
+  book.OnUnknown(JobId("d"));
   ReplayTotals totals;
   book.AddTo(totals);
   EXPECT_EQ(totals.mJobs, 4);
   EXPECT_EQ(totals.mJobsRefused, 1);
-  EXPECT_EQ(totals.mJobsAsStated, 2);
+  EXPECT_EQ(totals.mJobsAsExpected, 2);
   EXPECT_EQ(totals.mLostJobs, 1);
   EXPECT_EQ(totals.mEvictions, 3);
   EXPECT_EQ(book.Open().size(), 2U);
@@ -54,7 +54,7 @@
   EXPECT_EQ(runs->front().mJob, "j");
   EXPECT_EQ(runs->front().mUntil, Instant(Duration(20)));
   EXPECT_EQ(runs->back().mUntil, Instant::max());
-  EXPECT_TRUE(FindDoubledJobs(*runs).empty());
+  EXPECT_TRUE(FindOverlappingJobs(*runs).empty());
   EXPECT_FALSE(RunsOf(Json::Value("text")).ok());
 }
 
--- a/tests/trace/RequestReplayerTest.cpp
+++ b/tests/trace/RequestReplayerTest.cpp
@@ -134,7 +134,7 @@
   ASSERT_TRUE(server.ok());
   net::HttpClient client(runtime);
   ReplayContext context{ client, { (*server)->ListeningEndpoint() }, 3, "run" };
-  RequestBook book;
+  RequestTracker book;
   TraceRequest line;
   line.mCustomer = CustomerId("hydro");
   line.mMethod = GetParam().mMethod;
