--- a/soak/LinkProxy.cpp
+++ b/soak/LinkProxy.cpp
@@ -23,10 +23,10 @@
 using Error = boost::system::error_code;
 
 constexpr std::size_t kBufferBytes = 16384;
-constexpr std::chrono::milliseconds kStallPoll(20);
+constexpr std::chrono::milliseconds kStallPollInterval(20);
 constexpr std::chrono::milliseconds kSlowDelay(150);
 
-/// The thread of all links.
+/// Runs the I/O of all links of the process on one thread.
 class LinkThread
 {
 public:
@@ -61,7 +61,7 @@
   return { asio::ip::make_address_v4(aEndpoint.mAddress), aEndpoint.mPort };
 }
 
-/// Closes with a reset instead of an orderly end.
+/// Closes the connection with a TCP reset instead of FIN.
 void Reset(tcp::socket& aSocket)
 {
   Error ignored;
@@ -71,7 +71,7 @@
 
 } // namespace
 
-/// One connection through the link.
+/// One client connection and its connection to the server.
 struct Session : std::enable_shared_from_this<Session>
 {
   using State = std::atomic<LinkState>;
@@ -88,7 +88,7 @@
     mServer.async_connect(
       aServer, [self = shared_from_this()](const Error& aError) {
         if (aError) {
-          self->AddViolation();
+          self->ResetBoth();
           return;
         }
         Error ignored;
@@ -99,15 +99,15 @@
       });
   }
 
-  void AddViolation()
+  void ResetBoth()
   {
     Reset(mClient);
     Reset(mServer);
-    mViolations = true;
+    mClosed = true;
   }
 
-  void Silence() { mSilenced = true; }
-  bool Violations() const { return mViolations; }
+  void StopForwarding() { mIsSilent = true; }
+  bool IsClosed() const { return mClosed; }
 
 private:
   struct Flow
@@ -119,10 +119,10 @@
     std::array<char, kBufferBytes> mBuffer{};
   };
 
-  bool Stalled(const Flow& aFlow) const
+  bool IsStalled(const Flow& aFlow) const
   {
     const LinkState state = mState.load();
-    return mSilenced || state == LinkState::Silent ||
+    return mIsSilent || state == LinkState::Silent ||
            (state == LinkState::OneWay && aFlow.mFromServer);
   }
 
@@ -132,30 +132,31 @@
       asio::buffer(aFlow.mBuffer),
       [self = shared_from_this(), &aFlow](const Error& aError,
                                           std::size_t aBytes) {
-        self->Pass(aFlow, aBytes, static_cast<bool>(aError), false);
+        self->Forward(aFlow, aBytes, static_cast<bool>(aError), false);
       });
   }
 
-  /// Hands on what was read, or the end, once the link lets it through.
-  void Pass(Flow& aFlow, std::size_t aBytes, bool aEnd, bool aWaited)
+  /// Forwards the bytes read, or the end of the stream, as soon as the link's
+  /// state allows it.
+  void Forward(Flow& aFlow, std::size_t aBytes, bool aIsEnd, bool aDelayed)
   {
-    if (mViolations) {
+    if (mClosed) {
       return;
     }
-    const bool slow = mState.load() == LinkState::Slow && !aWaited;
-    if (Stalled(aFlow) || slow) {
-      aFlow.mTimer.expires_after(slow ? kSlowDelay : kStallPoll);
+    const bool slow = mState.load() == LinkState::Slow && !aDelayed;
+    if (IsStalled(aFlow) || slow) {
+      aFlow.mTimer.expires_after(slow ? kSlowDelay : kStallPollInterval);
       aFlow.mTimer.async_wait(
-        [self = shared_from_this(), &aFlow, aBytes, aEnd](const Error&) {
-          self->Pass(aFlow, aBytes, aEnd, true);
+        [self = shared_from_this(), &aFlow, aBytes, aIsEnd](const Error&) {
+          self->Forward(aFlow, aBytes, aIsEnd, true);
         });
       return;
     }
-    if (aEnd) {
-      // What was handed on before must arrive, so that this end is orderly.
+    if (aIsEnd) {
+      // An orderly shutdown, so that bytes forwarded before still arrive.
       Error ignored;
       aFlow.mTo.shutdown(tcp::socket::shutdown_send, ignored);
-      mViolations = std::exchange(mHalfEnded, true);
+      mClosed = std::exchange(mHalfClosed, true);
       return;
     }
     asio::async_write(
@@ -163,7 +164,7 @@
       asio::buffer(aFlow.mBuffer.data(), aBytes),
       [self = shared_from_this(), &aFlow](const Error& aError, std::size_t) {
         if (aError) {
-          self->AddViolation();
+          self->ResetBoth();
         } else {
           self->Read(aFlow);
         }
@@ -175,9 +176,9 @@
   const State& mState;
   Flow mUp{ mClient, mServer, false, asio::steady_timer(LinkIo()) };
   Flow mDown{ mServer, mClient, true, asio::steady_timer(LinkIo()) };
-  bool mSilenced = false;
-  bool mHalfEnded = false; ///< One side has sent its end.
-  bool mViolations = false;
+  bool mIsSilent = false;
+  bool mHalfClosed = false; ///< One side has shut down sending.
+  bool mClosed = false;
 };
 
 struct LinkProxy::Impl : std::enable_shared_from_this<LinkProxy::Impl>
@@ -208,19 +209,19 @@
         if (aError) {
           return;
         }
-        self->Take(std::move(aSocket));
+        self->OnAccepted(std::move(aSocket));
         self->Accept();
       });
   }
 
-  void Take(tcp::socket aSocket)
+  void OnAccepted(tcp::socket aSocket)
   {
     if (mState.load() == LinkState::Resets) {
       Reset(aSocket);
       return;
     }
     mSessions.remove_if(
-      [](const auto& aSession) { return aSession->Violations(); });
+      [](const auto& aSession) { return aSession->IsClosed(); });
     mSessions.push_back(std::make_shared<Session>(std::move(aSocket), mState));
     mSessions.back()->Open(mServer);
   }
@@ -230,9 +231,9 @@
     mState = aState;
     for (const auto& session : mSessions) {
       if (aState == LinkState::Resets) {
-        session->AddViolation();
+        session->ResetBoth();
       } else if (aState == LinkState::OpenSilent) {
-        session->Silence();
+        session->StopForwarding();
       }
     }
   }
--- a/soak/LinkProxy.h
+++ b/soak/LinkProxy.h
@@ -13,15 +13,15 @@
 enum class LinkState : std::uint8_t
 {
   Passes,
-  Slow,       ///< Each piece of data waits 150 ms.
-  Silent,     ///< Nothing passes either way; nothing is closed.
-  OneWay,     ///< What the server sends does not pass.
+  Slow,       ///< Each chunk of data is delayed by 150 ms.
+  Silent,     ///< Nothing is forwarded; connections stay open.
+  OneWay,     ///< Data from the server is not forwarded.
   Resets,     ///< Open and new connections are reset.
-  OpenSilent, ///< Connections that were open are silent for good.
+  OpenSilent, ///< Connections open now stay silent for good.
 };
 
-/// A TCP link over loopback that can be harmed from outside the programs which
-/// use it. All links of a process share one thread.
+/// Forwards TCP connections over loopback and injects network faults without
+/// the programs' help. All links of a process share one thread.
 class LinkProxy
 {
 public:
--- a/src/core/cell/CellSchedulerLearning.cpp
+++ b/src/core/cell/CellSchedulerLearning.cpp
@@ -53,20 +53,20 @@
     const StepSpec& spec = job->second.Spec(running.mTask);
     TaskEntry& task = *job->second.Find(running.mTask);
     if (TaskRun* run = task.FindRun(aWorker.mId, running.mRun)) {
-      TrackStall(*run, spec, running.mReportedMs, aClock.mNow);
+      TrackStall(*run, spec, running.mFigure, aClock.mNow);
       if (spec.mBestEffort) {
-        CountTime(*run, task.mTime, spec, running.mReportedMs, aClock.mNow);
+        CountTime(*run, task.mTime, spec, running.mFigure, aClock.mNow);
         if (run->mStalledSince) {
           aWorker.mUse.mStalledByImage[spec.mImage] += spec.mDemand.mMillicores;
         }
       }
     }
-    const auto figure = static_cast<double>(running.mReportedMs);
+    const auto figure = static_cast<double>(running.mFigure);
     if (spec.mBestEffort) {
       cores[spec.mImage] += figure / kMillicores;
-      aWorker.mUse.mBestEffortUsed += running.mReportedMs;
+      aWorker.mUse.mBestEffortUsed += running.mFigure;
     } else if (spec.mLatencyTarget > Duration::zero() &&
-               running.mPercent == kAtWork && running.mReportedMs > 0) {
+               running.mPercent == kAtWork && running.mFigure > 0) {
       const std::chrono::duration<double, std::milli> target =
         spec.mLatencyTarget;
       ServingSample& sample = latencies[running.mTask.mJob];
--- a/src/core/cell/ThrottleController.cpp
+++ b/src/core/cell/ThrottleController.cpp
@@ -84,10 +84,10 @@
     if (aEntry.mStarted != aRunning.mRun) {
       // An earlier agent may have throttled it.
       bestEffort.mInForce.reset();
-      bestEffort.mWanted = aRunning.mReportedMs > 0 ? kFull : 0;
+      bestEffort.mWanted = aRunning.mFigure > 0 ? kFull : 0;
     }
   }
-  bestEffort.mCores = static_cast<double>(aRunning.mReportedMs) / kMillicores;
+  bestEffort.mCores = static_cast<double>(aRunning.mFigure) / kMillicores;
   bestEffort.mObserved = true;
 }
 
@@ -117,9 +117,9 @@
         image->second.mObserved = true;
       }
       // Its measurement is meaningless while it starts up.
-      if (running.mReportedMs > 0 && running.mPercent == kFull) {
+      if (running.mFigure > 0 && running.mPercent == kFull) {
         double& share = worst[metadata.mImage];
-        share = std::max(share, ShareOfTarget(metadata, running.mReportedMs));
+        share = std::max(share, ShareOfTarget(metadata, running.mFigure));
       }
     }
     if (metadata.mBestEffort) {
--- a/src/core/cell/WorkerChange.cpp
+++ b/src/core/cell/WorkerChange.cpp
@@ -97,7 +97,7 @@
         found != known.end()) {
       found->second->mCheckpoint = task.mCheckpoint;
       found->second->mPercent = task.mPercent;
-      found->second->mReportedMs = task.mReportedMs;
+      found->second->mFigure = task.mFigure;
     } else {
       added.push_back(task);
     }
--- a/src/core/cell/WorkerState.h
+++ b/src/core/cell/WorkerState.h
@@ -43,7 +43,7 @@
   std::int32_t mPercent = 0; ///< Work done; 100 for a standing task at work.
   /// Tail latency in ms of a serving task, else millicores in use, over the
   /// last half second.
-  std::int64_t mReportedMs = 0;
+  std::int64_t mFigure = 0;
   /// When it was first known to run, by the agent's clock; zero = unknown.
   Duration mSince{};
 
--- a/src/core/message/detail/CellWorkerFields.h
+++ b/src/core/message/detail/CellWorkerFields.h
@@ -26,7 +26,7 @@
   aVisitor.Required(aMessage.mTask);
   aVisitor.Required(aMessage.mRun);
   aVisitor.Required(aMessage.mPercent);
-  aVisitor.Required(aMessage.mReportedMs);
+  aVisitor.Required(aMessage.mFigure);
   aVisitor.Optional(aMessage.mCheckpoint);
   aVisitor.Optional(aMessage.mSince);
 }
--- a/standins/taskworker/TaskWorkerModel.cpp
+++ b/standins/taskworker/TaskWorkerModel.cpp
@@ -246,7 +246,7 @@
         ? kFullPercent
         : static_cast<std::int32_t>(kFullPercent * run.mDone /
                                     std::max(run.mProgram.mWork, Duration(1)));
-    running.mReportedMs = run.mProgram.mServingImage ? run.mMeter.ReportedMs()
+    running.mFigure = run.mProgram.mServingImage ? run.mMeter.ReportedMs()
                           : run.mProgram.mBestEffortImage
                             ? kLeftoverMillicores * run.mPercent / kFullPercent
                             : 0;
--- a/standins/taskworker/TaskWorkerService.cpp
+++ b/standins/taskworker/TaskWorkerService.cpp
@@ -88,7 +88,7 @@
     row.append(Json::Int64{ running.mRun });
     row.append(running.mCheckpoint);
     row.append(running.mPercent);
-    row.append(Json::Int64{ running.mReportedMs });
+    row.append(Json::Int64{ running.mFigure });
     body["Running"].append(row);
   }
   for (const cell::EndedTask& ended : aView.mEnded) {
--- a/tests/cell/StalledTaskTest.cpp
+++ b/tests/cell/StalledTaskTest.cpp
@@ -40,7 +40,7 @@
   OrderRequest ReportUsage(std::int64_t aMillicores, Duration aTime)
   {
     RunningTask running = Running(kFirst, mRun);
-    running.mReportedMs = aMillicores;
+    running.mFigure = aMillicores;
     for (Duration passed{}; passed <= aTime;
          passed += mSettings.mObserveInterval) {
       Report("a", State("a-life", { running }));
--- a/tests/cell/ThrottleControllerTest.cpp
+++ b/tests/cell/ThrottleControllerTest.cpp
@@ -21,7 +21,7 @@
   task.mTask = aTask;
   task.mRun = 1;
   task.mPercent = 100;
-  task.mReportedMs = aMeasurement;
+  task.mFigure = aMeasurement;
   return task;
 }
 
--- a/tests/cell/WorkerChangeTest.cpp
+++ b/tests/cell/WorkerChangeTest.cpp
@@ -27,7 +27,7 @@
     });
     for (RunningTask& task : mState.mRunning) {
       task.mPercent = *rc::gen::inRange(0, 3);
-      task.mReportedMs = *rc::gen::inRange(0, 3);
+      task.mFigure = *rc::gen::inRange(0, 3);
       task.mCheckpoint = *rc::gen::element<std::string>("", "a", "b");
     }
     const int starts = *rc::gen::inRange(0, 3);
@@ -203,7 +203,7 @@
   report.mSequence = 1;
   encoder.Fill(state, now, report);
   encoder.OnAccepted(report);
-  state.mRunning[0].mReportedMs = 7;
+  state.mRunning[0].mFigure = 7;
   ReportRequest early;
   early.mSequence = 2;
   encoder.Fill(state, now + ReportEncoder::kFiguresInterval / 2, early);
@@ -213,7 +213,7 @@
   due.mSequence = 3;
   encoder.Fill(state, now + ReportEncoder::kFiguresInterval, due);
   ASSERT_EQ(due.mChange->mRunning.size(), 1U);
-  EXPECT_EQ(due.mChange->mRunning[0].mReportedMs, 7);
+  EXPECT_EQ(due.mChange->mRunning[0].mFigure, 7);
 }
 
 struct TaskText
--- a/tests/load/ColocatedWorker.cpp
+++ b/tests/load/ColocatedWorker.cpp
@@ -195,12 +195,12 @@
   serving.mTask = kServing;
   serving.mRun = 1;
   serving.mPercent = static_cast<std::int32_t>(kFull);
-  serving.mReportedMs = mMeasurement;
+  serving.mFigure = mMeasurement;
   for (const BestEffortTask& task : mTasks) {
     RunningTask& bestEffort = running.emplace_back();
     bestEffort.mTask = task.mTask;
     bestEffort.mRun = 1;
-    bestEffort.mReportedMs = std::lround(kCores * kMillicores * task.mThrottle);
+    bestEffort.mFigure = std::lround(kCores * kMillicores * task.mThrottle);
   }
   double done = aNow;
   const std::vector<ThrottleChange> changes =
--- a/tests/load/ModelWorker.cpp
+++ b/tests/load/ModelWorker.cpp
@@ -147,11 +147,11 @@
   std::normal_distribution<double> noise(0, mPattern.mNoise);
   for (auto& [ref, task] : mTasks) {
     if (task.mStanding) {
-      task.mReportedMs =
+      task.mFigure =
         std::lround(mPattern.mTargetMs * mLatencySum[task.mOrder.mImage] *
                     std::exp(noise(aRandom)));
     } else if (mCovered > 0) {
-      task.mReportedMs = std::lround(task.mUsed / mCovered * kMillicores);
+      task.mFigure = std::lround(task.mUsed / mCovered * kMillicores);
     }
     task.mUsed = 0;
   }
@@ -172,7 +172,7 @@
     RunningTask running;
     running.mTask = ref;
     running.mRun = task.mOrder.mRun;
-    running.mReportedMs = task.mReportedMs;
+    running.mFigure = task.mFigure;
     running.mSince = At(task.mStartedAt).time_since_epoch();
     running.mPercent =
       task.mStanding
--- a/tests/load/ModelWorker.h
+++ b/tests/load/ModelWorker.h
@@ -55,7 +55,7 @@
     double mShare = 1; ///< Throttle, as a share of full speed.
     double mRate = 0;  ///< Cores in use now.
     double mUsed = 0;  ///< Core-seconds since the last measurement.
-    std::int64_t mReportedMs = 0;
+    std::int64_t mFigure = 0;
   };
 
   double LoadOf(const Task& aTask, double aNow) const;
--- a/tests/load/ServingTargetTest.cpp
+++ b/tests/load/ServingTargetTest.cpp
@@ -10,7 +10,7 @@
 
 /// Longest time that a serving task may be over its target because of colocated
 /// tasks, in seconds.
-constexpr double kMaxTimeOverTarget = 4.0;
+constexpr double kLongestOver = 4.0;
 constexpr int kReplays = 1000;
 
 class ServingTargetTest : public testing::TestWithParam<ColocatedWorkerPattern>
@@ -28,7 +28,7 @@
     longest = std::max(longest, outcome.mLongestOverTarget);
     over += outcome.mOver / kReplays;
     work += outcome.mWork / kReplays;
-    reached += outcome.mLongestOverTarget >= kMaxTimeOverTarget ? 1 : 0;
+    reached += outcome.mLongestOverTarget >= kLongestOver ? 1 : 0;
   }
   RecordProperty("longestOver", std::to_string(longest));
   RecordProperty("over", std::to_string(over));
--- a/tests/scheduler/ReportingAgent.cpp
+++ b/tests/scheduler/ReportingAgent.cpp
@@ -60,7 +60,7 @@
     RunningTask task;
     task.mTask = { JobId("0123456789abcdef"), 0, 0, i };
     task.mRun = 1;
-    task.mReportedMs = ++mReportedMs;
+    task.mFigure = ++mFigure;
     state.mRunning.push_back(task);
   }
   return state;
--- a/tests/scheduler/ReportingAgent.h
+++ b/tests/scheduler/ReportingAgent.h
@@ -34,7 +34,7 @@
   cell::ReportEncoder mEncoder;
   cell::Session mSession = 0;
   std::int64_t mSequence = 0;
-  std::int64_t mReportedMs = 0;
+  std::int64_t mFigure = 0;
   std::uint64_t mAcceptedReports = 0;
 };
 
--- a/tests/soak/PromiseCheckerTest.cpp
+++ b/tests/soak/PromiseCheckerTest.cpp
@@ -88,7 +88,7 @@
               cell::RunNumber aRun,
               RunEnd aEnd)
   {
-    mChecker.Mark(aWorker, { aMoment, aTask, aRun, aEnd, mPayload });
+    mChecker.OnRunEvent(aWorker, { aMoment, aTask, aRun, aEnd, mPayload });
     return *this;
   }
 
--- a/tests/soak/ServingMeterTest.cpp
+++ b/tests/soak/ServingMeterTest.cpp
@@ -82,7 +82,7 @@
   EXPECT_EQ(mOver.size(), GetParam().mMarks);
   if (!mOver.empty()) {
     EXPECT_LE(mOver[0].mAt - start, milliseconds(100));
-    EXPECT_GT(mWorker.View(mNow).mRunning.back().mReportedMs, kServingTargetMs);
+    EXPECT_GT(mWorker.View(mNow).mRunning.back().mFigure, kServingTargetMs);
   }
 }
 
--- a/tests/taskagent/ThrottleTest.cpp
+++ b/tests/taskagent/ThrottleTest.cpp
@@ -79,10 +79,7 @@
   {
     return mWorker.mTasks.at(kBestEffort).mThrottle;
   }
-  std::int64_t& ServingFigure()
-  {
-    return mWorker.mTasks.at(kServing).mReportedMs;
-  }
+  std::int64_t& ServingFigure() { return mWorker.mTasks.at(kServing).mFigure; }
 
   ThrottledWorker mWorker;
 };
--- a/tests/taskagent/ThrottledWorker.cpp
+++ b/tests/taskagent/ThrottledWorker.cpp
@@ -85,7 +85,7 @@
     running.mTask = ref;
     running.mRun = task.mRun;
     running.mPercent = 100;
-    running.mReportedMs = task.mReportedMs;
+    running.mFigure = task.mFigure;
   }
   return reply;
 }
--- a/tests/taskagent/ThrottledWorker.h
+++ b/tests/taskagent/ThrottledWorker.h
@@ -16,7 +16,7 @@
   struct Task
   {
     cell::RunNumber mRun = 0;
-    std::int64_t mReportedMs = 0;
+    std::int64_t mFigure = 0;
     std::int32_t mThrottle = 100; ///< Percent of full speed.
   };
 
