--- a/soak/Callers.cpp
+++ b/soak/Callers.cpp
@@ -38,7 +38,7 @@
                                  JobPhase::Failed,
                                  JobPhase::Cancelled };
 
-std::string Body(const cell::JobGraph& aGraph)
+std::string ToRequestBody(const cell::JobGraph& aGraph)
 {
   Json::Value body;
   body["Spec"] = aGraph.mPayload;
@@ -174,14 +174,14 @@
       const SubmitOutcome outcome = Submit(graph);
       mChecker.OnSubmitted(graph.mId, outcome);
       if (outcome != SubmitOutcome::Refused) {
-        Follow(graph.mId, false);
+        PollJob(graph.mId, false);
       }
     });
     boost::this_fiber::sleep_for(kBestEffortInterval);
   }
 }
 
-/// One task, so that a job takes one worker down at a time.
+/// One task, so that a job crashes one worker at a time.
 void Callers::MakeCrashing(cell::JobGraph& aGraph)
 {
   standin::TaskProgram program;
@@ -219,7 +219,7 @@
     }
     graph.mSteps.push_back(step);
   }
-  // The last numbers that are drawn are of jobs that only work.
+  // Only jobs that neither stand nor fail have such a high `kind`.
   if (kind > kPercent - mSettings.mCrashingPercent) {
     MakeCrashing(graph);
   }
@@ -234,23 +234,24 @@
   request.mMethod = aMethod;
   request.mTarget = "/jobs/" + aJob.Value();
   request.mBody = std::move(aBody);
-  const auto door = static_cast<unsigned>(Random(0, mFleet.Schedulers() - 1));
-  return mClient.Call(mFleet.CallerEndpoint(door), request, kCallTimeout);
+  const auto scheduler =
+    static_cast<unsigned>(Random(0, mFleet.Schedulers() - 1));
+  return mClient.Call(mFleet.CallerEndpoint(scheduler), request, kCallTimeout);
 }
 
 SubmitOutcome Callers::Submit(const cell::JobGraph& aGraph)
 {
   SubmitOutcome outcome = SubmitOutcome::Refused;
   for (int i = 0; i < kMaxAttempts; ++i) {
-    const auto answer = Call("POST", aGraph.mId, Body(aGraph));
-    if (answer.ok() && answer->mStatus == kOk) {
+    const auto response = Call("POST", aGraph.mId, ToRequestBody(aGraph));
+    if (response.ok() && response->mStatus == kOk) {
       return SubmitOutcome::Accepted;
     }
     const bool refused =
-      answer.ok()
-        ? answer->mStatus == kTooMany || answer->mStatus == kUnavailable
-        : VerdictOf(answer.status()) == Verdict::NotRun;
-    outcome = refused ? outcome : SubmitOutcome::Nothing;
+      response.ok()
+        ? response->mStatus == kTooMany || response->mStatus == kUnavailable
+        : VerdictOf(response.status()) == Verdict::NotRun;
+    outcome = refused ? outcome : SubmitOutcome::Unknown;
     boost::this_fiber::sleep_for(milliseconds(Random(50, 400)));
   }
   return outcome;
@@ -258,17 +259,17 @@
 
 void Callers::QueryState(const JobId& aJob)
 {
-  const auto answer = Call("GET", aJob, {});
-  if (!answer.ok()) {
+  const auto response = Call("GET", aJob, {});
+  if (!response.ok()) {
     return;
   }
-  if (answer->mStatus == kGone) {
+  if (response->mStatus == kGone) {
     mChecker.OnUnknownJob(aJob);
     return;
   }
-  const auto body = platform::ParseObject(answer->mBody);
+  const auto body = platform::ParseObject(response->mBody);
   std::string state;
-  if (answer->mStatus != kOk || !body.ok() ||
+  if (response->mStatus != kOk || !body.ok() ||
       !platform::ReadText(*body, "State", kPercent, state)) {
     return;
   }
@@ -282,15 +283,15 @@
 bool Callers::Cancel(const JobId& aJob)
 {
   mChecker.OnCancelling(aJob);
-  const auto answer = Call("DELETE", aJob, {});
-  if (answer.ok() && answer->mStatus == kOk) {
-    mChecker.Cancelled(aJob);
+  const auto response = Call("DELETE", aJob, {});
+  if (response.ok() && response->mStatus == kOk) {
+    mChecker.OnCancelled(aJob);
     return true;
   }
   return false;
 }
 
-void Callers::Follow(const JobId& aJob, bool aCancel)
+void Callers::PollJob(const JobId& aJob, bool aCancel)
 {
   bool cancelled = !aCancel;
   while (mQuerying) {
@@ -311,7 +312,7 @@
     if (outcome != SubmitOutcome::Refused) {
       mRuntime.Spawn(
         [this, id = graph.mId, cancel = Random(1, kPercent) <= kCancelPercent] {
-          Follow(id, cancel);
+          PollJob(id, cancel);
         });
     }
     boost::this_fiber::sleep_for(milliseconds(Random(100, 900)));
--- a/soak/Callers.h
+++ b/soak/Callers.h
@@ -13,11 +13,12 @@
 struct CallerSettings
 {
   std::int64_t mCrashingPercent = 0; ///< Of the jobs.
-  bool mServing = false; ///< Serving tasks and leftover jobs beside them.
+  bool mServing = false; ///< Also submit serving and best-effort jobs.
 };
 
-/// Callers that submit jobs, ask for their states and cancel some, each a
-/// fiber. They keep their connections and use any scheduler that is there.
+/// Callers that submit jobs, poll their state and cancel some of them. Each
+/// caller is a fiber; every call goes to a random scheduler over a kept-alive
+/// connection.
 class Callers
 {
 public:
@@ -27,10 +28,10 @@
           unsigned aSeed,
           const CallerSettings& aSettings);
 
-  /// Starts callers; they submit until Stop() and ask for states until End().
+  /// Starts callers, which submit until Stop() and poll states until End().
   void Start(unsigned aCount);
   void Stop() { mSubmitting = false; }
-  /// Leftover jobs go on until then.
+  /// Best-effort jobs are submitted until then, past Stop().
   void StopBestEffort() { mSubmittingBestEffort = false; }
   void End() { mQuerying = false; }
 
@@ -41,7 +42,7 @@
   void SubmitBestEffort();
   cell::JobGraph ServingJob(int aImage);
   cell::JobGraph BestEffortJob();
-  void Follow(const JobId& aJob, bool aCancel);
+  void PollJob(const JobId& aJob, bool aCancel);
   void MakeCrashing(cell::JobGraph& aGraph);
   SubmitOutcome Submit(const cell::JobGraph& aGraph);
   void QueryState(const JobId& aJob);
@@ -55,7 +56,7 @@
   const Fleet& mFleet;
   PromiseChecker& mChecker;
   std::mt19937_64 mRandom;
-  /// Apart, so that the other jobs are the same with and without.
+  /// Separate, so that mServing does not change the other random jobs.
   std::mt19937_64 mServingRandom;
   CallerSettings mSettings;
   net::HttpClient mClient;
--- a/soak/Child.cpp
+++ b/soak/Child.cpp
@@ -40,8 +40,8 @@
   posix_spawnattr_setsigmask(&attributes, &none);
   posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
   std::vector<char*> arguments;
-  for (std::string& word : mCommand) {
-    arguments.push_back(word.data());
+  for (std::string& argument : mCommand) {
+    arguments.push_back(argument.data());
   }
   arguments.push_back(nullptr);
   if (posix_spawn(
--- a/soak/Child.h
+++ b/soak/Child.h
@@ -7,24 +7,24 @@
 
 namespace foxtailbarrow::soak {
 
-/// One program of the system under test, as a process of its own that is
-/// started and ended again and again. Its output is appended to a file.
+/// A program of the system under test as a child process that can be started
+/// and killed repeatedly. Its output is appended to a log file.
 class Child
 {
 public:
   Child(std::vector<std::string> aCommand, std::string aLogFile);
-  ~Child(); ///< Kills it.
+  ~Child(); ///< Kills the process.
 
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
 
-  /// Starts it unless it runs.
+  /// Starts the process unless it is running.
   void Start();
-  /// Sends a signal; nothing when it does not run.
+  /// Sends a signal; no effect when the process is not running.
   void Signal(int aSignal);
-  /// Kills it and waits for its end.
+  /// Kills the process and waits for its exit.
   void Kill();
-  /// False once it has ended, by itself or by a signal.
+  /// False once the process has exited or was killed by a signal.
   bool Running();
 
 private:
--- a/soak/FaultPlan.cpp
+++ b/soak/FaultPlan.cpp
@@ -40,19 +40,20 @@
   { FaultKind::WorkerShrinks, "worker-shrinks" },
 });
 
-/// Kinds of every plan.
-constexpr int kPlanned = 23;
-/// Mean pause between two faults, and how long one lasts.
+/// Kinds that PlanFaults() draws from: all but WorkerShrinks, the last one.
+constexpr int kPlannedKinds = 23;
+/// Mean gap between two faults, and the range of their durations.
 constexpr double kMeanGapMs = 900;
-constexpr std::int64_t kShortestMs = 200;
-constexpr std::int64_t kLongestMs = 4500;
+constexpr std::int64_t kMinDurationMs = 200;
+constexpr std::int64_t kMaxDurationMs = 4500;
 
 std::vector<Fault> Plan(std::mt19937& aRandom,
                         std::uniform_int_distribution<int> aKind,
                         Duration aLength)
 {
   std::exponential_distribution<double> gap(1.0 / kMeanGapMs);
-  std::uniform_int_distribution<std::int64_t> lasts(kShortestMs, kLongestMs);
+  std::uniform_int_distribution<std::int64_t> duration(kMinDurationMs,
+                                                       kMaxDurationMs);
   std::vector<Fault> faults;
   Duration at = milliseconds(500);
   while (at < aLength) {
@@ -61,7 +62,8 @@
     fault.mKind = static_cast<FaultKind>(aKind(aRandom));
     fault.mTarget = aRandom();
     fault.mVariant = aRandom();
-    fault.mFor = std::min<Duration>(milliseconds(lasts(aRandom)), aLength - at);
+    fault.mFor =
+      std::min<Duration>(milliseconds(duration(aRandom)), aLength - at);
     faults.push_back(fault);
     at += milliseconds(static_cast<std::int64_t>(gap(aRandom)));
   }
@@ -79,7 +81,7 @@
 {
   std::mt19937 random(aSeed);
   return Plan(
-    random, std::uniform_int_distribution<int>(0, kPlanned - 1), aLength);
+    random, std::uniform_int_distribution<int>(0, kPlannedKinds - 1), aLength);
 }
 
 std::vector<Fault> PlanShrinking(std::uint32_t aSeed, Duration aLength)
--- a/soak/FaultPlan.h
+++ b/soak/FaultPlan.h
@@ -25,33 +25,36 @@
   StoreLosesAnswers,
   StoreWritesLate,
   StoreForgets,
-  StoreLink,     ///< Between one process and the store.
-  SchedulerLink, ///< To a scheduler, from agents and other schedulers.
-  AgentLink,     ///< To an agent, from the owner.
+  StoreLink,     ///< Link of one process to the store.
+  SchedulerLink, ///< Link of agents and other schedulers to a scheduler.
+  AgentLink,     ///< Link of the owner to an agent.
   WorkerCrashes,
   WorkerLeaves,
   WorkerMute,
   WorkerFailsAll,
   WorkerLate,
   Configuration,
-  WorkerShrinks, ///< Only in plans that say so.
+  WorkerShrinks, ///< Only in plans of PlanShrinking().
 };
 
 std::string_view ToString(FaultKind aKind);
 
-/// One fault: what, where, when and for how long.
+/// A fault to inject at `mAt` after the start of the plan.
 struct Fault
 {
   Duration mAt{};
   FaultKind mKind = FaultKind::KillScheduler;
-  std::uint32_t mTarget = 0;  ///< Taken modulo what there is of the kind.
-  std::uint32_t mVariant = 0; ///< State of a link.
+  std::uint32_t mTarget = 0; ///< Modulo the number of targets of the kind.
+  std::uint32_t mVariant =
+    0; ///< Selects the state of a link or the size of a worker.
   Duration mFor{};
 };
 
-/// Faults in series, by seed; they overlap. The last one ends by `aLength`.
+/// Random faults, determined by the seed. They may overlap and all end by
+/// `aLength`.
 std::vector<Fault> PlanFaults(std::uint32_t aSeed, Duration aLength);
-/// Workers that shrink and grow, by seed, beside the faults of any plan.
+/// Random changes of worker capacity, determined by the seed, to combine with
+/// PlanFaults().
 std::vector<Fault> PlanShrinking(std::uint32_t aSeed, Duration aLength);
 
 } // namespace foxtailbarrow::soak
--- a/soak/FaultTimeline.cpp
+++ b/soak/FaultTimeline.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-/// After a fault, until what it touched is in touch again.
+/// Time after a fault until the affected processes have reconnected.
 constexpr Duration kReconnectTime = std::chrono::seconds(3);
-/// A calm so long lets an agent find the owner and be told what runs.
+/// Fault-free time in which a restarted agent finds the owner and learns from
+/// it what runs.
 constexpr Duration kResyncTime = std::chrono::seconds(6);
-/// A process is back so long after its fault has ended.
+/// Time after the end of a fault until the process runs again.
 constexpr Duration kRestartTime = std::chrono::seconds(1);
 
 bool RestartsAgent(FaultKind aKind)
@@ -39,7 +40,7 @@
   }
 }
 
-/// "worker3-2" is the second life of worker 3.
+/// "worker3-2" is the second incarnation of worker 3.
 unsigned WorkerOf(std::string_view aIncarnation)
 {
   unsigned worker = 0;
@@ -94,7 +95,7 @@
   return last;
 }
 
-/// No fault for kResyncTime on end between the two.
+/// True if the interval has kResyncTime without a fault.
 bool FaultTimeline::HasFaultFreePeriod(Instant aFrom, Instant aTo) const
 {
   Instant faultFreeSince = aFrom;
--- a/soak/FaultTimeline.h
+++ b/soak/FaultTimeline.h
@@ -11,18 +11,20 @@
 
 namespace foxtailbarrow::soak {
 
-/// Tells from the plan of faults when an agent is bound to protect the serving
-/// tasks on its worker: while nothing has touched the two for a while, and once
-/// an agent that was restarted has had calm enough to be told what runs. Pure.
+/// Decides from the fault plan when an agent must protect the serving tasks on
+/// its worker: when no fault has affected either of them for a while and a
+/// restarted agent has had a fault-free period long enough to learn from the
+/// owner what runs. No I/O, no clock.
 class FaultTimeline
 {
 public:
-  /// The plan begins at `aStart`.
+  /// `aStart` is the time at which the plan begins.
   FaultTimeline(const std::vector<Fault>& aPlan,
                 Instant aStart,
                 std::int64_t aWorkers);
 
-  /// True for a task of the incarnation that is over its target since then.
+  /// True when a task on the incarnation that has been over its target since
+  /// `aSince` should have been protected.
   bool IsProtected(std::string_view aIncarnation, Instant aSince) const;
 
 private:
@@ -30,9 +32,9 @@
   {
     Instant mFrom{};
     Instant mTo{};
-    std::optional<unsigned> mWorker; ///< Empty = all, or the cell's owner.
-    bool mAffectsWorker = false;     ///< The worker or its agent.
-    bool mRestartsAgent = false;     ///< The agent.
+    std::optional<unsigned> mWorker; ///< Empty: all workers, or the owner.
+    bool mAffectsWorker = false;     ///< Or its agent.
+    bool mRestartsAgent = false;
   };
 
   bool IsAffected(unsigned aWorker, Instant aFrom, Instant aTo) const;
--- a/soak/Fleet.cpp
+++ b/soak/Fleet.cpp
@@ -19,21 +19,22 @@
 constexpr std::uint16_t kWorkerPort = 7004;
 constexpr std::uint16_t kStorePort = 7010;
 
-/// Last numbers of the addresses; a link stands for a host at its number plus
-/// kLinkOf.
+/// Last octets of the addresses. The link to a host has the host's octet plus
+/// kLinkOffset.
 constexpr unsigned kFirstScheduler = 1;
 constexpr unsigned kFirstAgent = 10;
-constexpr unsigned kLinkOf = 100;
+constexpr unsigned kLinkOffset = 100;
 constexpr unsigned kFirstStoreLink = 60;
 constexpr unsigned kStoreHost = 250;
 
-/// Loopback networks are picked by process, so that soaks do not meet.
+/// The loopback network depends on the process id, so that concurrent soaks do
+/// not collide.
 constexpr unsigned kFirstNetwork = 16;
 constexpr unsigned kNetworks = 200;
 
-/// Tasks of a worker whose clock is as slow as the platform lets it be.
+/// The slowest worker clock that the platform allows.
 constexpr double kSlowClock = 0.98;
-constexpr Duration kPaceTime = std::chrono::milliseconds(100);
+constexpr Duration kThrottleDelay = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -66,7 +67,7 @@
   std::string seeds;
   for (unsigned i = 0; i < mSettings.mSchedulers; ++i) {
     seeds += (i == 0 ? "" : ",") +
-             ToString(EndpointAt(kFirstScheduler + i + kLinkOf, kPeerPort));
+             ToString(EndpointAt(kFirstScheduler + i + kLinkOffset, kPeerPort));
   }
   return seeds;
 }
@@ -102,7 +103,7 @@
   mStore = *std::move(store);
   for (unsigned i = 0; i < mSettings.mWorkers; ++i) {
     standin::TaskWorkerSettings settings;
-    settings.mThrottleDelay = kPaceTime;
+    settings.mThrottleDelay = kThrottleDelay;
     settings.mSeed = mSettings.mSeed + i;
     settings.mClockRate = i == 0 ? kSlowClock : 1.0;
     auto worker = standin::TaskWorkerService::Start(
@@ -147,7 +148,7 @@
   for (unsigned i = 0; i < mSettings.mSchedulers; ++i) {
     const unsigned host = kFirstScheduler + i;
     const Endpoint store = EndpointAt(kFirstStoreLink + host, kStorePort);
-    const Endpoint advertised = EndpointAt(host + kLinkOf, kPeerPort);
+    const Endpoint advertised = EndpointAt(host + kLinkOffset, kPeerPort);
     absl::Status status =
       AddLink(mStoreLinks, store, EndpointAt(kStoreHost, kStorePort));
     if (status.ok()) {
@@ -178,7 +179,7 @@
   for (unsigned i = 0; i < mSettings.mWorkers; ++i) {
     const unsigned host = kFirstAgent + i;
     const Endpoint store = EndpointAt(kFirstStoreLink + host, kStorePort);
-    const Endpoint advertised = EndpointAt(host + kLinkOf, kPeerPort);
+    const Endpoint advertised = EndpointAt(host + kLinkOffset, kPeerPort);
     absl::Status status =
       AddLink(mStoreLinks, store, EndpointAt(kStoreHost, kStorePort));
     if (status.ok()) {
@@ -239,7 +240,7 @@
   Json::Value configuration;
   configuration["Version"] = Json::Int64{ mVersion += kVersionStep };
   for (unsigned i = 0; i < mSettings.mSchedulers; ++i) {
-    route["Host"] = CallerEndpoint(i).mAddress; // A client names its peer.
+    route["Host"] = CallerEndpoint(i).mAddress; // What clients send as Host.
     configuration["Routes"].append(route);
   }
   mStore->Put("op/config", FormatJson(configuration));
--- a/soak/Fleet.h
+++ b/soak/Fleet.h
@@ -24,9 +24,9 @@
   unsigned mWorkers = 5;
 };
 
-/// The system under test: its programs as processes, the stand-ins of the
-/// platform in this one, and a link that can be harmed between any two of them.
-/// All methods run on the runtime's one thread.
+/// The system under test: its programs as child processes, the platform's
+/// stand-ins in this process, and a fault-injecting link between any two of
+/// them. All methods run on the single thread of the runtime.
 class Fleet
 {
 public:
@@ -35,29 +35,29 @@
     FleetSettings aSettings,
     PromiseChecker& aChecker);
 
-  Child& Scheduler(unsigned aIndex) { return *Of(mSchedulers, aIndex); }
-  Child& Agent(unsigned aIndex) { return *Of(mAgents, aIndex); }
+  Child& Scheduler(unsigned aIndex) { return *ItemAt(mSchedulers, aIndex); }
+  Child& Agent(unsigned aIndex) { return *ItemAt(mAgents, aIndex); }
   standin::TaskWorkerService& Worker(unsigned aIndex)
   {
-    return *Of(mWorkers, aIndex);
+    return *ItemAt(mWorkers, aIndex);
   }
   standin::KvService& Store() { return *mStore; }
-  LinkProxy& StoreLink(unsigned aIndex) { return *Of(mStoreLinks, aIndex); }
+  LinkProxy& StoreLink(unsigned aIndex) { return *ItemAt(mStoreLinks, aIndex); }
   LinkProxy& SchedulerLink(unsigned aIndex)
   {
-    return *Of(mSchedulerLinks, aIndex);
+    return *ItemAt(mSchedulerLinks, aIndex);
   }
-  LinkProxy& AgentLink(unsigned aIndex) { return *Of(mAgentLinks, aIndex); }
+  LinkProxy& AgentLink(unsigned aIndex) { return *ItemAt(mAgentLinks, aIndex); }
 
-  /// Every process is started if it does not run.
+  /// Starts every process that is not running.
   void StartAll();
   void KillAll();
   /// Writes the next version of the operator's configuration.
   void Configure();
 
-  /// Where callers reach the scheduler.
+  /// Address of the scheduler for callers.
   Endpoint CallerEndpoint(unsigned aIndex) const;
-  /// Where the agent takes heartbeats.
+  /// Address of the agent for heartbeats of its worker.
   Endpoint AgentControl(unsigned aIndex) const;
   unsigned Schedulers() const { return mSettings.mSchedulers; }
 
@@ -65,7 +65,7 @@
   Fleet(FleetSettings aSettings);
 
   template<typename Item>
-  static Item& Of(std::vector<Item>& aItems, unsigned aIndex)
+  static Item& ItemAt(std::vector<Item>& aItems, unsigned aIndex)
   {
     return aItems[aIndex % aItems.size()];
   }
@@ -81,7 +81,7 @@
   std::string Seeds() const;
 
   FleetSettings mSettings;
-  std::string mNetwork; ///< First three numbers of all addresses.
+  std::string mNetwork; ///< First three octets of all addresses.
   std::int64_t mVersion = 0;
   std::unique_ptr<standin::KvService> mStore;
   std::vector<std::unique_ptr<standin::TaskWorkerService>> mWorkers;
--- a/soak/ForeignWriter.cpp
+++ b/soak/ForeignWriter.cpp
@@ -15,10 +15,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kPause = milliseconds(200);
-constexpr Duration kBeatTimeout = milliseconds(500);
-/// One write of so many makes the configuration unreadable.
-constexpr int kConfigurationEach = 12;
+constexpr Duration kWriteInterval = milliseconds(200);
+constexpr Duration kHeartbeatTimeout = milliseconds(500);
+/// Every n-th write makes the configuration unreadable.
+constexpr int kConfigurationEvery = 12;
 
 const std::array<std::string, 8> kTexts = {
   "",
@@ -46,19 +46,19 @@
 
 void ForeignWriter::Start()
 {
-  mWrites = true;
+  mIsWriting = true;
   mRuntime.Spawn([this] {
-    while (mWrites) {
+    while (mIsWriting) {
       Write();
       SendHeartbeat();
-      boost::this_fiber::sleep_for(kPause);
+      boost::this_fiber::sleep_for(kWriteInterval);
     }
   });
 }
 
 void ForeignWriter::Stop()
 {
-  if (std::exchange(mWrites, false)) {
+  if (std::exchange(mIsWriting, false)) {
     mFleet.Configure();
   }
 }
@@ -72,7 +72,7 @@
 void ForeignWriter::Write()
 {
   const std::string name = "foreign" + std::to_string(++mWritten);
-  if (mWritten % kConfigurationEach == 0) {
+  if (mWritten % kConfigurationEvery == 0) {
     mFleet.Store().Put("op/config", BadText());
     return;
   }
@@ -84,7 +84,7 @@
   mFleet.Store().Put(keys[mRandom() % keys.size()], BadText());
 }
 
-/// Of no incarnation that is there, or of the worker's own.
+/// For an unknown incarnation, or for the worker's own.
 void ForeignWriter::SendHeartbeat()
 {
   const unsigned agent = mRandom();
@@ -94,8 +94,8 @@
   request.mTarget =
     "/runners/" + (own ? mFleet.Worker(agent).Incarnation() : "foreign");
   request.mBody = BadText();
-  // An agent that is down or refuses it is what is wanted.
-  (void)mClient.Call(mFleet.AgentControl(agent), request, kBeatTimeout);
+  // The agent may be down, and is expected to reject the heartbeat.
+  (void)mClient.Call(mFleet.AgentControl(agent), request, kHeartbeatTimeout);
 }
 
 } // namespace foxtailbarrow::soak
--- a/soak/ForeignWriter.h
+++ b/soak/ForeignWriter.h
@@ -7,18 +7,17 @@
 
 namespace foxtailbarrow::soak {
 
-/// Another writer in the store and at the agents: puts texts that cannot be
-/// read where records belong, the operator's configuration among them, and
-/// sends heartbeats that are no worker's. Runs on the runtime's one thread.
+/// A foreign client of the store and the agents: writes unparsable text under
+/// the keys of records and of the operator's configuration, and sends invalid
+/// heartbeats. Runs on the single thread of the runtime.
 class ForeignWriter
 {
 public:
   ForeignWriter(net::FiberRuntime& aRuntime, Fleet& aFleet, unsigned aSeed);
 
-  /// Writes until Stop(), in a fiber of its own.
+  /// Writes in a separate fiber until Stop().
   void Start();
-  /// The configuration can be read again after it. Without Start() before,
-  /// nothing is done.
+  /// Restores a valid configuration. No effect unless started.
   void Stop();
 
 private:
@@ -31,7 +30,7 @@
   net::HttpClient mClient;
   std::mt19937 mRandom;
   int mWritten = 0;
-  bool mWrites = false;
+  bool mIsWriting = false;
 };
 
 } // namespace foxtailbarrow::soak
--- a/soak/Injector.cpp
+++ b/soak/Injector.cpp
@@ -16,11 +16,11 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint32_t kLinkStates = 5;
-/// After a process has ended, until it is started again.
+/// Time from the exit of a process to its restart.
 constexpr Duration kRestartDelay = milliseconds(300);
-constexpr unsigned kMostHosts = 64;
-/// Between two sizes of a worker that shrinks and grows.
-constexpr Duration kFlap = milliseconds(300);
+constexpr unsigned kMaxHosts = 64;
+/// Time between two capacities of a worker that alternates between them.
+constexpr Duration kFlapInterval = milliseconds(300);
 
 KvFaults StoreFaults(FaultKind aKind)
 {
@@ -74,7 +74,7 @@
     std::cout << "fault "
               << std::chrono::duration_cast<milliseconds>(fault.mAt).count()
               << " ms " << ToString(fault.mKind) << " target "
-              << fault.mTarget % kMostHosts << " variant "
+              << fault.mTarget % kMaxHosts << " variant "
               << fault.mVariant % kLinkStates << " for "
               << std::chrono::duration_cast<milliseconds>(fault.mFor).count()
               << " ms" << std::endl;
@@ -86,7 +86,7 @@
 {
   mAllEnded = true;
   mFleet.Store().SetFaults({});
-  for (unsigned host = 0; host < kMostHosts; ++host) {
+  for (unsigned host = 0; host < kMaxHosts; ++host) {
     mFleet.Scheduler(host).Signal(SIGCONT);
     mFleet.Agent(host).Signal(SIGCONT);
     mFleet.StoreLink(host).Set(LinkState::Passes);
@@ -204,13 +204,14 @@
   }
   boost::this_fiber::sleep_for(aFault.mFor);
   worker.SetFaults({});
-  // A crash that comes with the last fault may come after EndAllFaults().
+  // The worker of the last fault may go down only after EndAllFaults().
   if (!worker.Up()) {
     worker.Restart();
   }
 }
 
-/// To nothing, a quarter or a half; or to and fro, faster than it is told.
+/// Shrinks the worker to nothing, a quarter or a half, or alternates between a
+/// half and full capacity faster than heartbeats report it.
 void Injector::InjectShrinking(const Fault& aFault)
 {
   constexpr std::uint32_t kSizes = 4;
@@ -228,7 +229,7 @@
   for (bool small = true; MonotonicNow() < end; small = !small) {
     worker.Resize(flaps && !small ? full : less);
     boost::this_fiber::sleep_for(
-      std::min<Duration>(kFlap, end - MonotonicNow()));
+      std::min<Duration>(kFlapInterval, end - MonotonicNow()));
   }
   worker.Resize(full);
 }
--- a/soak/Injector.h
+++ b/soak/Injector.h
@@ -5,16 +5,16 @@
 
 namespace foxtailbarrow::soak {
 
-/// Brings about the faults of a plan. Runs on the runtime's one thread.
+/// Injects the faults of a plan. Runs on the single thread of the runtime.
 class Injector
 {
 public:
   Injector(net::FiberRuntime& aRuntime, Fleet& aFleet);
 
-  /// Returns after the last fault has begun; each ends in a fiber of its own.
+  /// Returns after the last fault has begun; each ends in its own fiber.
   void InjectAll(const std::vector<Fault>& aFaults);
 
-  /// Takes all faults back and starts every process that does not run.
+  /// Ends all faults and starts every process that is not running.
   void EndAllFaults();
 
 private:
--- a/soak/Main.cpp
+++ b/soak/Main.cpp
@@ -16,16 +16,16 @@
 namespace {
 
 constexpr unsigned kCallers = 6;
-/// Before the first fault, so that there is something to lose.
+/// Time before the first fault, so that jobs are running when it begins.
 constexpr Duration kWarmUp = std::chrono::milliseconds(2500);
-/// After the last fault, until every promise about what must come has to be
-/// kept: longer than leases, a takeover and the longest job together.
+/// Time after the last fault by which everything that must happen has happened:
+/// longer than leases, a takeover and the longest job together.
 constexpr Duration kRecovery = std::chrono::seconds(25);
-/// After the last fault, while serving tasks are still pressed.
-constexpr Duration kCalmServing = std::chrono::seconds(15);
-constexpr Duration kPoll = std::chrono::milliseconds(500);
-/// Beyond these the addresses of links and workers would meet.
-constexpr std::int64_t kMostWorkers = 30;
+/// Time after the last fault in which best-effort jobs are still submitted.
+constexpr Duration kFaultFreeServing = std::chrono::seconds(15);
+constexpr Duration kPollInterval = std::chrono::milliseconds(500);
+/// With more workers, the addresses of links and workers would collide.
+constexpr std::int64_t kMaxWorkers = 30;
 
 struct SoakSettings
 {
@@ -35,28 +35,28 @@
   std::int64_t mWorkers = 5;
   std::int64_t mCrashingPercent = 0; ///< Of the jobs.
   std::int64_t mShrinking = 0;       ///< 1 = workers shrink and grow.
-  std::int64_t mForeign = 0;         ///< 1 = another writer is there.
-  std::int64_t mServing = 0;         ///< 1 = serving beside leftover tasks.
+  std::int64_t mForeign = 0;         ///< 1 = a foreign writer runs.
+  std::int64_t mServing = 0;         ///< 1 = serving and best-effort tasks.
 };
 
-/// What a run leaves undone when the recovery is over.
+/// Waits until nothing is missing; returns what is at the end of the recovery.
 std::vector<std::string> AwaitAll(const PromiseChecker& aChecker)
 {
   const Instant end = MonotonicNow() + kRecovery;
   std::vector<std::string> missing = aChecker.Missing();
   while (!missing.empty() && MonotonicNow() < end) {
-    boost::this_fiber::sleep_for(kPoll);
+    boost::this_fiber::sleep_for(kPollInterval);
     missing = aChecker.Missing();
   }
   return missing;
 }
 
-bool Judge(const SoakSettings& aSettings,
-           const PromiseChecker& aChecker,
-           const std::vector<std::string>& aMissing)
+bool ReportResult(const SoakSettings& aSettings,
+                  const PromiseChecker& aChecker,
+                  const std::vector<std::string>& aMissing)
 {
-  for (const std::string& broken : aChecker.Violations()) {
-    std::cout << "broken: " << broken << '\n';
+  for (const std::string& violation : aChecker.Violations()) {
+    std::cout << "broken: " << violation << '\n';
   }
   for (const std::string& missing : aMissing) {
     std::cout << "missing: " << missing << '\n';
@@ -64,16 +64,17 @@
   if (aChecker.Accepted() == 0) {
     std::cout << "missing: no job was accepted\n";
   }
-  const bool held = aChecker.Violations().empty() && aMissing.empty() &&
-                    aChecker.Accepted() > 0;
-  std::cout << "seed " << aSettings.mSeed << ": " << (held ? "held" : "FAILED")
-            << ", " << aChecker.Accepted() << " jobs accepted, "
-            << aChecker.Starts() << " starts, " << aChecker.OverTargets()
-            << " times over a target for too long" << std::endl;
-  return held;
+  const bool passed = aChecker.Violations().empty() && aMissing.empty() &&
+                      aChecker.Accepted() > 0;
+  std::cout << "seed " << aSettings.mSeed << ": "
+            << (passed ? "held" : "FAILED") << ", " << aChecker.Accepted()
+            << " jobs accepted, " << aChecker.Starts() << " starts, "
+            << aChecker.OverTargets() << " times over a target for too long"
+            << std::endl;
+  return passed;
 }
 
-std::vector<Fault> PlanOf(const SoakSettings& aSettings)
+std::vector<Fault> MakePlan(const SoakSettings& aSettings)
 {
   const unsigned seed = aSettings.mFleet.mSeed;
   std::vector<Fault> faults = PlanFaults(seed, aSettings.mLength);
@@ -87,15 +88,15 @@
 
 bool Soak(net::FiberRuntime& aRuntime, const SoakSettings& aSettings)
 {
-  PromiseChecker book(standin::TaskWorkerSettings().mCapacity);
-  auto fleet = Fleet::Start(aRuntime, aSettings.mFleet, book);
+  PromiseChecker checker(standin::TaskWorkerSettings().mCapacity);
+  auto fleet = Fleet::Start(aRuntime, aSettings.mFleet, checker);
   if (!fleet.ok()) {
     std::cout << "not started: " << fleet.status() << std::endl;
     return false;
   }
   Callers callers(aRuntime,
                   **fleet,
-                  book,
+                  checker,
                   aSettings.mFleet.mSeed,
                   { .mCrashingPercent = aSettings.mCrashingPercent,
                     .mServing = aSettings.mServing != 0 });
@@ -106,23 +107,23 @@
   }
   callers.Start(kCallers);
   boost::this_fiber::sleep_for(kWarmUp);
-  const std::vector<Fault> plan = PlanOf(aSettings);
-  book.SetFaultTimes({ plan, MonotonicNow(), aSettings.mWorkers });
+  const std::vector<Fault> plan = MakePlan(aSettings);
+  checker.SetFaultTimeline({ plan, MonotonicNow(), aSettings.mWorkers });
   injector.InjectAll(plan);
   injector.EndAllFaults();
   foreign.Stop();
   callers.Stop();
   if (aSettings.mServing != 0) {
-    boost::this_fiber::sleep_for(kCalmServing);
+    boost::this_fiber::sleep_for(kFaultFreeServing);
   }
   callers.StopBestEffort();
-  const std::vector<std::string> missing = AwaitAll(book);
+  const std::vector<std::string> missing = AwaitAll(checker);
   callers.End();
   (*fleet)->KillAll();
-  const bool held = Judge(aSettings, book, missing);
-  // Fibers of callers and stand-ins still wait for calls: nothing of this
-  // process is needed any more.
-  std::_Exit(held ? EXIT_SUCCESS : EXIT_FAILURE);
+  const bool passed = ReportResult(aSettings, checker, missing);
+  // Exits without unwinding, as fibers of callers and stand-ins still wait for
+  // calls.
+  std::_Exit(passed ? EXIT_SUCCESS : EXIT_FAILURE);
 }
 
 } // namespace
@@ -134,34 +135,38 @@
   using namespace foxtailbarrow;
   soak::SoakSettings values;
   Settings settings("foxtailbarrow-soak",
-                    "Runs a whole system under random faults, by seed");
+                    "Runs a whole system under seeded random faults");
   settings.AddText("--programs", values.mFleet.mPrograms, "Folder of programs")
     .Required();
-  settings.AddText("--logs", values.mFleet.mLogs, "Folder for their output")
+  settings
+    .AddText("--logs", values.mFleet.mLogs, "Folder for the programs' logs")
     .Required();
-  settings.AddCount("--seed", values.mSeed, { 1, 1'000'000'000 }, "Of all");
+  settings.AddCount(
+    "--seed", values.mSeed, { 1, 1'000'000'000 }, "Seed of the random numbers");
   settings.AddMilliseconds("--length-ms",
                            values.mLength,
                            { std::chrono::seconds(1), std::chrono::hours(24) },
-                           "Time with faults");
+                           "Duration of the fault injection");
   settings.AddCount("--workers",
                     values.mWorkers,
-                    { 1, soak::kMostWorkers },
-                    "And as many agents");
+                    { 1, soak::kMaxWorkers },
+                    "Workers, each with an agent");
   settings.AddCount("--crashing-percent",
                     values.mCrashingPercent,
                     { 0, 50 },
-                    "Jobs whose task takes its worker down");
-  settings.AddCount(
-    "--shrinking", values.mShrinking, { 0, 1 }, "1: workers shrink and grow");
+                    "Jobs whose task crashes its worker");
+  settings.AddCount("--shrinking",
+                    values.mShrinking,
+                    { 0, 1 },
+                    "1: workers change their capacity");
   settings.AddCount("--foreign",
                     values.mForeign,
                     { 0, 1 },
-                    "1: another writer in the store and at the agents");
+                    "1: a foreign writer in the store and at the agents");
   settings.AddCount("--serving",
                     values.mServing,
                     { 0, 1 },
-                    "1: serving tasks and leftover work that presses them");
+                    "1: serving tasks and best-effort tasks that interfere");
   if (const auto code = settings.Parse(argc, argv)) {
     return *code;
   }
--- a/soak/PromiseChecker.cpp
+++ b/soak/PromiseChecker.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-/// A task under which so many workers have crashed may be given up.
-constexpr int kCrashesToGiveUp = 2;
-/// The third start of a task after so many have crashed under it breaks a
-/// promise.
+/// A task may be failed once it was running on this many crashed workers.
+constexpr int kCrashesToFail = 2;
+/// After this many crashes a crashing task may be started two more times; the
+/// kForbiddenStart-th start is a violation.
 constexpr int kMaxCrashes = 3;
 constexpr int kForbiddenStart = 3;
 
@@ -39,9 +39,9 @@
 void PromiseChecker::OnSubmitted(const JobId& aJob, SubmitOutcome aOutcome)
 {
   JobFacts& job = mJobs.at(aJob);
-  job.mTold = aOutcome;
+  job.mOutcome = aOutcome;
   if (aOutcome == SubmitOutcome::Refused && !job.mTasks.empty()) {
-    AddViolation("refused as not run, but it ran: " + aJob.Value());
+    AddViolation("refused as not run, but ran: " + aJob.Value());
   }
 }
 
@@ -53,18 +53,18 @@
     AddViolation("shown as " + phase + " after " +
                  std::string(ToString(*job.mLastPhase)) + ": " + aJob.Value());
   }
-  if (aPhase == JobPhase::Completed && !AllDone(job)) {
+  if (aPhase == JobPhase::Completed && !AreAllStepsDone(job)) {
     AddViolation("shown as completed before its last task: " + aJob.Value());
   }
-  if (aPhase == JobPhase::Cancelled && !job.mCancelAsked) {
+  if (aPhase == JobPhase::Cancelled && !job.mCancelRequested) {
     AddViolation("shown as cancelled without a request: " + aJob.Value());
   }
   if (aPhase == JobPhase::Failed &&
       std::ranges::none_of(job.mTasks, [](const auto& aTask) {
         return aTask.second.mFailed > 0 ||
-               aTask.second.mCrashed >= kCrashesToGiveUp;
+               aTask.second.mCrashed >= kCrashesToFail;
       })) {
-    AddViolation("shown as failed without cause: " + aJob.Value());
+    AddViolation("shown as failed without a failure: " + aJob.Value());
   }
   job.mLastPhase = aPhase;
 }
@@ -72,7 +72,7 @@
 void PromiseChecker::OnUnknownJob(const JobId& aJob)
 {
   if (const JobFacts& job = mJobs.at(aJob);
-      job.mTold == SubmitOutcome::Accepted && !job.mCancelAsked) {
+      job.mOutcome == SubmitOutcome::Accepted && !job.mCancelRequested) {
     AddViolation("accepted, then unknown: " + aJob.Value());
   }
 }
@@ -81,21 +81,21 @@
                                 const RunEvent& aEvent)
 {
   if (aEvent.mKind == RunEventKind::LeaseLapsed) {
-    LeaseLapsed(aIncarnation);
+    OnLeaseLapsed(aIncarnation);
     return;
   }
   const auto found = mJobs.find(aEvent.mTask.mJob);
   if (found == mJobs.end()) {
-    AddViolation("nobody asked for " + ToString(aEvent.mTask));
+    AddViolation("run of an unknown job: " + ToString(aEvent.mTask));
     return;
   }
   JobFacts& job = found->second;
   if (aEvent.mKind == RunEventKind::Started) {
-    Started(aIncarnation, aEvent, job);
+    OnStarted(aIncarnation, aEvent, job);
     return;
   }
   if (aEvent.mKind == RunEventKind::OverTarget) {
-    OverTarget(aIncarnation, aEvent);
+    OnOverTarget(aIncarnation, aEvent);
     return;
   }
   TaskFacts& task = job.mTasks[aEvent.mTask];
@@ -116,19 +116,19 @@
   }
 }
 
-void PromiseChecker::OverTarget(const std::string& aIncarnation,
-                                const RunEvent& aEvent)
+void PromiseChecker::OnOverTarget(const std::string& aIncarnation,
+                                  const RunEvent& aEvent)
 {
   ++mOverTarget;
   if (!mFaultTimeline ||
       mFaultTimeline->IsProtected(aIncarnation, aEvent.mAt)) {
-    AddViolation("over its target by what runs beside it: " +
+    AddViolation("over its latency target by colocated tasks: " +
                  ToString(aEvent.mTask));
   }
 }
 
-/// Ends that were not noted before do not count any more.
-void PromiseChecker::LeaseLapsed(const std::string& aIncarnation)
+/// Ends that were not acknowledged before the lapse no longer count.
+void PromiseChecker::OnLeaseLapsed(const std::string& aIncarnation)
 {
   for (auto& [id, job] : mJobs) {
     for (auto& [ref, task] : job.mTasks) {
@@ -148,28 +148,27 @@
     return;
   }
   if (done->second) {
-    AddViolation("started again after an end that counts: " +
-                 ToString(aEvent.mTask));
+    AddViolation("started again after a valid end: " + ToString(aEvent.mTask));
   }
   aTask.mAcknowledged = true;
 }
 
-void PromiseChecker::Started(const std::string& aIncarnation,
-                             const RunEvent& aEvent,
-                             JobFacts& aJob)
+void PromiseChecker::OnStarted(const std::string& aIncarnation,
+                               const RunEvent& aEvent,
+                               JobFacts& aJob)
 {
   ++mStarts;
   const std::string name =
     ToString(aEvent.mTask) + " run " + std::to_string(aEvent.mRun);
   TaskFacts& task = aJob.mTasks[aEvent.mTask];
   if (aEvent.mPayload != aJob.mGraph.mPayload) {
-    AddViolation("another payload: " + name);
+    AddViolation("wrong payload: " + name);
   }
-  if (aJob.mTold == SubmitOutcome::Refused) {
-    AddViolation("refused as not run, but it runs: " + name);
+  if (aJob.mOutcome == SubmitOutcome::Refused) {
+    AddViolation("refused as not run, but runs: " + name);
   }
   for (const auto& [incarnation, run] : task.mLive) {
-    AddViolation(absl::StrCat("two runs at a time: ",
+    AddViolation(absl::StrCat("two concurrent runs: ",
                               name,
                               " on ",
                               aIncarnation,
@@ -179,12 +178,12 @@
                               incarnation));
   }
   if (task.mAcknowledged || aJob.mLastPhase == JobPhase::Completed) {
-    AddViolation("started again after its end was noted: " + name);
+    AddViolation("started again after its end was acknowledged: " + name);
   }
   if (task.mCrashed >= kMaxCrashes &&
       standin::ParseTaskProgram(aJob.mGraph.mPayload).mCrashes &&
       ++task.mStartsAfterCrashes >= kForbiddenStart) {
-    AddViolation("started again and again under crashes: " + name);
+    AddViolation("started too often after crashes: " + name);
   }
   for (auto& [run, followed] : task.mDoneRuns) {
     followed = true;
@@ -199,8 +198,8 @@
 void PromiseChecker::CheckOrder(const JobFacts& aJob, const TaskRef& aTask)
 {
   for (const std::int32_t before : aJob.mGraph.mSteps[aTask.mStep].mAfter) {
-    if (!StepDone(aJob, before)) {
-      AddViolation("before the step that it waits for: " + ToString(aTask));
+    if (!IsStepDone(aJob, before)) {
+      AddViolation("started before the step it depends on: " + ToString(aTask));
     }
   }
 }
@@ -210,19 +209,19 @@
 {
   ReportedCapacity& reported = ReportedCapacityOf(aEvent.mIncarnation);
   if (aEvent.mAnswered) {
-    reported.Answered(aEvent.mSequence, aNow);
+    reported.OnAnswered(aEvent.mSequence, aNow);
   } else {
-    reported.Sent(aEvent.mSequence, aEvent.mCapacity);
+    reported.OnSent(aEvent.mSequence, aEvent.mCapacity);
   }
 }
 
 ReportedCapacity& PromiseChecker::ReportedCapacityOf(
   const std::string& aIncarnation)
 {
-  return mTold.try_emplace(aIncarnation, mCapacity).first->second;
+  return mReportedCapacities.try_emplace(aIncarnation, mCapacity).first->second;
 }
 
-/// An order that the worker itself held up is no more the agent's.
+/// The agent does not answer for a start that the worker itself delayed.
 void PromiseChecker::CheckCapacity(const std::string& aIncarnation,
                                    const RunEvent& aEvent)
 {
@@ -232,7 +231,7 @@
   }
 }
 
-bool PromiseChecker::StepDone(const JobFacts& aJob, std::int32_t aStep) const
+bool PromiseChecker::IsStepDone(const JobFacts& aJob, std::int32_t aStep) const
 {
   const auto done = std::ranges::count_if(aJob.mTasks, [&](const auto& aTask) {
     return aTask.first.mStep == aStep && aTask.second.mDone;
@@ -240,11 +239,11 @@
   return done == aJob.mGraph.mSteps[aStep].mReplicas;
 }
 
-bool PromiseChecker::AllDone(const JobFacts& aJob) const
+bool PromiseChecker::AreAllStepsDone(const JobFacts& aJob) const
 {
   const auto steps = static_cast<std::int32_t>(aJob.mGraph.mSteps.size());
   for (std::int32_t step = 0; step < steps; ++step) {
-    if (!StepDone(aJob, step)) {
+    if (!IsStepDone(aJob, step)) {
       return false;
     }
   }
@@ -256,18 +255,20 @@
   const auto live = std::ranges::count_if(
     aJob.mTasks, [](const auto& aTask) { return !aTask.second.mLive.empty(); });
   if (aJob.mCancelled) {
-    return live > 0 ? "still runs although cancelled" : "";
+    return live > 0 ? "still runs after its cancellation" : "";
   }
-  if (aJob.mTold != SubmitOutcome::Accepted || aJob.mCancelAsked) {
+  if (aJob.mOutcome != SubmitOutcome::Accepted || aJob.mCancelRequested) {
     return "";
   }
   const auto program = standin::ParseTaskProgram(aJob.mGraph.mPayload);
   if (program.mRunsUntilStopped) {
-    return live == aJob.mGraph.mSteps[0].mReplicas ? "" : "is not all at work";
+    return live == aJob.mGraph.mSteps[0].mReplicas
+             ? ""
+             : "does not run all its replicas";
   }
   const JobPhase wanted =
     program.mFails || program.mCrashes ? JobPhase::Failed : JobPhase::Completed;
-  // A worker that fails all may have used up the attempts of a sound job.
+  // Workers that fail all tasks may use up the attempts of a job that works.
   const bool ended = aJob.mLastPhase && (*aJob.mLastPhase == wanted ||
                                          *aJob.mLastPhase == JobPhase::Failed);
   return ended ? "" : "has not ended";
@@ -288,7 +289,7 @@
 {
   return static_cast<std::size_t>(
     std::ranges::count_if(mJobs, [](const auto& aJob) {
-      return aJob.second.mTold == SubmitOutcome::Accepted;
+      return aJob.second.mOutcome == SubmitOutcome::Accepted;
     }));
 }
 
--- a/soak/PromiseChecker.h
+++ b/soak/PromiseChecker.h
@@ -16,52 +16,57 @@
 
 namespace foxtailbarrow::soak {
 
-/// What a caller was told of a submission, all its tries together.
+/// Result of a submission over all attempts, as its caller sees it.
 enum class SubmitOutcome : std::uint8_t
 {
-  Nothing, ///< Some try may have been taken.
+  Unknown, ///< Some attempt may have been accepted.
   Accepted,
-  Refused, ///< Every try was refused, or never left.
+  Refused, ///< Every attempt was refused or not sent.
 };
 
-/// Checks what callers and workers saw against what the system promises. Pure:
-/// everything is told to it.
+/// Checks the events observed by callers and workers against the guarantees of
+/// the system. No I/O, no clock.
 class PromiseChecker
 {
 public:
   explicit PromiseChecker(Resources aWorkerCapacity);
 
-  // What callers see.
+  // Events observed by callers.
 
   void OnSubmitting(const cell::JobGraph& aGraph);
   void OnSubmitted(const JobId& aJob, SubmitOutcome aOutcome);
-  void OnCancelling(const JobId& aJob) { mJobs.at(aJob).mCancelAsked = true; }
-  void Cancelled(const JobId& aJob) { mJobs.at(aJob).mCancelled = true; }
+  void OnCancelling(const JobId& aJob)
+  {
+    mJobs.at(aJob).mCancelRequested = true;
+  }
+  void OnCancelled(const JobId& aJob) { mJobs.at(aJob).mCancelled = true; }
   void OnPhaseShown(const JobId& aJob, cell::JobPhase aPhase);
-  /// A caller was told that there is no such job.
+  /// A scheduler answered that the job does not exist.
   void OnUnknownJob(const JobId& aJob);
 
-  // What workers see.
+  // Events observed by workers.
 
   void OnRunEvent(const std::string& aIncarnation,
                   const standin::RunEvent& aEvent);
 
-  /// Which faults excuse a serving task that is over its target; none without.
-  void SetFaultTimes(FaultTimeline aTimes)
+  /// The faults that excuse a serving task over its target. Without a timeline
+  /// nothing is excused.
+  void SetFaultTimeline(FaultTimeline aTimeline)
   {
-    mFaultTimeline = std::move(aTimes);
+    mFaultTimeline = std::move(aTimeline);
   }
 
   void OnHeartbeat(const standin::HeartbeatEvent& aEvent, Instant aNow);
 
-  // At the end.
+  // Results.
 
-  /// What is still to come, in a calm system: empty when all is as it must be.
+  /// What must still happen once the faults have ended; empty when every job is
+  /// in its required state.
   std::vector<std::string> Missing() const;
   const std::vector<std::string>& Violations() const { return mViolations; }
   std::size_t Accepted() const;
   std::size_t Starts() const { return mStarts; }
-  /// Times that a serving task was over its target for too long, excused ones
+  /// How often a serving task was over its target for too long, excused cases
   /// included.
   std::size_t OverTargets() const { return mOverTarget; }
 
@@ -69,51 +74,51 @@
   struct TaskFacts
   {
     std::map<std::string, cell::RunNumber> mLive; ///< By incarnation.
-    /// Runs that ended done and that no lapse of their worker's lease has made
-    /// void: whether another run started since.
+    /// Runs that ended done and whose worker's lease has not lapsed since; the
+    /// value tells whether another run has started since.
     std::map<std::pair<std::string, cell::RunNumber>, bool> mDoneRuns;
     bool mDone = false;         ///< A run ended done.
-    bool mAcknowledged = false; ///< And this was acknowledged.
+    bool mAcknowledged = false; ///< The end was acknowledged.
     int mFailed = 0;
-    int mCrashed = 0;            ///< Workers that went down under its runs.
-    int mStartsAfterCrashes = 0; ///< Since the third of them.
+    int mCrashed = 0;            ///< Runs lost with their worker.
+    int mStartsAfterCrashes = 0; ///< After kMaxCrashes crashes.
   };
 
   struct JobFacts
   {
     cell::JobGraph mGraph;
-    SubmitOutcome mTold = SubmitOutcome::Nothing;
-    bool mCancelAsked = false;
+    SubmitOutcome mOutcome = SubmitOutcome::Unknown;
+    bool mCancelRequested = false;
     bool mCancelled = false;
     std::optional<cell::JobPhase> mLastPhase;
     std::map<cell::TaskRef, TaskFacts> mTasks;
   };
 
-  void LeaseLapsed(const std::string& aIncarnation);
+  void OnLeaseLapsed(const std::string& aIncarnation);
   void OnAcknowledged(const std::string& aIncarnation,
                       const standin::RunEvent& aEvent,
                       TaskFacts& aTask);
-  void Started(const std::string& aIncarnation,
-               const standin::RunEvent& aEvent,
-               JobFacts& aJob);
-  void OverTarget(const std::string& aIncarnation,
-                  const standin::RunEvent& aEvent);
+  void OnStarted(const std::string& aIncarnation,
+                 const standin::RunEvent& aEvent,
+                 JobFacts& aJob);
+  void OnOverTarget(const std::string& aIncarnation,
+                    const standin::RunEvent& aEvent);
   void CheckOrder(const JobFacts& aJob, const cell::TaskRef& aTask);
   void CheckCapacity(const std::string& aIncarnation,
                      const standin::RunEvent& aEvent);
   ReportedCapacity& ReportedCapacityOf(const std::string& aIncarnation);
-  bool StepDone(const JobFacts& aJob, std::int32_t aStep) const;
-  bool AllDone(const JobFacts& aJob) const;
+  bool IsStepDone(const JobFacts& aJob, std::int32_t aStep) const;
+  bool AreAllStepsDone(const JobFacts& aJob) const;
   std::string MissingOf(const JobFacts& aJob) const;
-  void AddViolation(std::string aWhat)
+  void AddViolation(std::string aMessage)
   {
-    mViolations.push_back(std::move(aWhat));
+    mViolations.push_back(std::move(aMessage));
   }
 
   Resources mCapacity;
   std::map<JobId, JobFacts> mJobs;
   std::map<std::string, Resources> mUsed; ///< By incarnation.
-  std::map<std::string, ReportedCapacity> mTold;
+  std::map<std::string, ReportedCapacity> mReportedCapacities;
   std::vector<std::string> mViolations;
   std::size_t mStarts = 0;
   std::size_t mOverTarget = 0;
--- a/soak/ReportedCapacity.cpp
+++ b/soak/ReportedCapacity.cpp
@@ -4,36 +4,36 @@
 
 namespace foxtailbarrow::soak {
 
-ReportedCapacity::ReportedCapacity(Resources aFirst)
+ReportedCapacity::ReportedCapacity(Resources aInitial)
 {
-  mHeartbeats.push_back({ 0, aFirst, Instant::min() });
+  mHeartbeats.push_back({ 0, aInitial, Instant::min() });
 }
 
-void ReportedCapacity::Sent(std::int64_t aNumber, const Resources& aCapacity)
+void ReportedCapacity::OnSent(std::int64_t aNumber, const Resources& aCapacity)
 {
   mHeartbeats.push_back({ aNumber, aCapacity });
 }
 
-void ReportedCapacity::Answered(std::int64_t aNumber, Instant aNow)
+void ReportedCapacity::OnAnswered(std::int64_t aNumber, Instant aNow)
 {
-  for (Heartbeat& beat : mHeartbeats) {
-    if (beat.mNumber == aNumber) {
-      beat.mAnsweredAt = aNow;
+  for (Heartbeat& heartbeat : mHeartbeats) {
+    if (heartbeat.mNumber == aNumber) {
+      heartbeat.mAnsweredAt = aNow;
     }
   }
 }
 
 bool ReportedCapacity::Allows(const Resources& aUsed, Instant aNow)
 {
-  const auto settled = std::find_if(
-    mHeartbeats.rbegin(), mHeartbeats.rend(), [&](const Heartbeat& aBeat) {
-      return aBeat.mAnsweredAt < aNow - kMaxStartDelay;
+  const auto inEffect = std::find_if(
+    mHeartbeats.rbegin(), mHeartbeats.rend(), [&](const Heartbeat& aHeartbeat) {
+      return aHeartbeat.mAnsweredAt < aNow - kMaxStartDelay;
     });
-  if (settled != mHeartbeats.rend()) {
-    mHeartbeats.erase(mHeartbeats.begin(), std::prev(settled.base()));
+  if (inEffect != mHeartbeats.rend()) {
+    mHeartbeats.erase(mHeartbeats.begin(), std::prev(inEffect.base()));
   }
-  return std::ranges::any_of(mHeartbeats, [&](const Heartbeat& aBeat) {
-    return aUsed.FitsIn(aBeat.mCapacity);
+  return std::ranges::any_of(mHeartbeats, [&](const Heartbeat& aHeartbeat) {
+    return aUsed.FitsIn(aHeartbeat.mCapacity);
   });
 }
 
--- a/soak/ReportedCapacity.h
+++ b/soak/ReportedCapacity.h
@@ -8,24 +8,23 @@
 
 namespace foxtailbarrow::soak {
 
-/// What the agent of one worker may believe of its capacity, by the heartbeats
-/// that were sent to it. Pure.
+/// The capacities that the agent of a worker may currently assume, by the
+/// heartbeats that were sent to it. No I/O, no clock.
 class ReportedCapacity
 {
 public:
-  /// A start reaches its worker so long after the agent's last look at its
-  /// room: the longest that an agent waits for a start, and as much for a busy
-  /// machine.
+  /// Longest time from the agent's last check of the capacity to the start on
+  /// the worker: the timeout of a start, and the same again for a busy machine.
   static constexpr Duration kMaxStartDelay = std::chrono::milliseconds(500);
 
-  explicit ReportedCapacity(Resources aFirst);
+  explicit ReportedCapacity(Resources aInitial);
 
-  void Sent(std::int64_t aNumber, const Resources& aCapacity);
-  /// The heartbeat was answered, and was the newest.
-  void Answered(std::int64_t aNumber, Instant aNow);
+  void OnSent(std::int64_t aNumber, const Resources& aCapacity);
+  /// The agent accepted the heartbeat as the newest.
+  void OnAnswered(std::int64_t aNumber, Instant aNow);
 
-  /// True when a start that comes now, with which so much is in use, fits some
-  /// capacity that the agent may have believed in as it sent it.
+  /// True when a start that arrives at `aNow` and raises the use to `aUsed`
+  /// fits a capacity that the agent may have assumed when it sent the start.
   bool Allows(const Resources& aUsed, Instant aNow);
 
 private:
--- a/tests/soak/PromiseCheckerTest.cpp
+++ b/tests/soak/PromiseCheckerTest.cpp
@@ -19,12 +19,12 @@
 const TaskRef kFirst{ kJob, 0, 0, 0 };
 const TaskRef kSecond{ kJob, 0, 1, 0 };
 
-/// A book that knows an accepted job of two steps with a task each, and the
-/// marks of workers "x" and "y" of 4000 millicores.
-class Story
+/// Feeds a checker with the run events of workers "x" and "y" of 4000
+/// millicores for an accepted job of two steps with one task each.
+class Scenario
 {
 public:
-  explicit Story(std::string aPayload = "work=100")
+  explicit Scenario(std::string aPayload = "work=100")
     : mPayload(std::move(aPayload))
     , mChecker({ 4000, 8000, 0 })
   {
@@ -39,56 +39,56 @@
     mChecker.OnSubmitted(kJob, SubmitOutcome::Accepted);
   }
 
-  Story& Start(const char* aWorker,
-               const TaskRef& aTask = kFirst,
-               cell::RunNumber aRun = 1)
+  Scenario& Start(const char* aWorker,
+                  const TaskRef& aTask = kFirst,
+                  cell::RunNumber aRun = 1)
   {
-    return Tell(aWorker, RunEventKind::Started, aTask, aRun, RunEnd::Done);
+    return Send(aWorker, RunEventKind::Started, aTask, aRun, RunEnd::Done);
   }
 
-  Story& End(const char* aWorker,
-             RunEnd aEnd = RunEnd::Done,
-             const TaskRef& aTask = kFirst,
-             cell::RunNumber aRun = 1)
+  Scenario& End(const char* aWorker,
+                RunEnd aEnd = RunEnd::Done,
+                const TaskRef& aTask = kFirst,
+                cell::RunNumber aRun = 1)
   {
-    return Tell(aWorker, RunEventKind::Ended, aTask, aRun, aEnd);
+    return Send(aWorker, RunEventKind::Ended, aTask, aRun, aEnd);
   }
 
-  Story& Note(const char* aWorker)
+  Scenario& Acknowledge(const char* aWorker)
   {
-    return Tell(aWorker, RunEventKind::Acknowledged, kFirst, 1, RunEnd::Done);
+    return Send(aWorker, RunEventKind::Acknowledged, kFirst, 1, RunEnd::Done);
   }
 
-  Story& Lapse(const char* aWorker)
+  Scenario& Lapse(const char* aWorker)
   {
-    return Tell(
+    return Send(
       aWorker, RunEventKind::LeaseLapsed, {}, 0, RunEnd::LeaseExpired);
   }
 
-  /// The worker goes down under the run.
-  Story& StartAndLose(const std::string& aWorker, cell::RunNumber aRun)
+  /// Starts a run and crashes its worker.
+  Scenario& StartAndLose(const std::string& aWorker, cell::RunNumber aRun)
   {
     Start(aWorker.c_str(), kFirst, aRun);
-    return Tell(
+    return Send(
       aWorker.c_str(), RunEventKind::Lost, kFirst, aRun, RunEnd::LeaseExpired);
   }
 
-  Story& Show(JobPhase aPhase)
+  Scenario& Show(JobPhase aPhase)
   {
     mChecker.OnPhaseShown(kJob, aPhase);
     return *this;
   }
 
-  PromiseChecker& Book() { return mChecker; }
+  PromiseChecker& Checker() { return mChecker; }
 
 private:
-  Story& Tell(const char* aWorker,
-              RunEventKind aMoment,
-              const TaskRef& aTask,
-              cell::RunNumber aRun,
-              RunEnd aEnd)
+  Scenario& Send(const char* aWorker,
+                 RunEventKind aKind,
+                 const TaskRef& aTask,
+                 cell::RunNumber aRun,
+                 RunEnd aEnd)
   {
-    mChecker.OnRunEvent(aWorker, { aMoment, aTask, aRun, aEnd, mPayload });
+    mChecker.OnRunEvent(aWorker, { aKind, aTask, aRun, aEnd, mPayload });
     return *this;
   }
 
@@ -96,156 +96,162 @@
   PromiseChecker mChecker;
 };
 
-struct StoryCase
+struct ScenarioCase
 {
   const char* mName;
-  std::function<void(Story&)> mTell;
-  bool mHolds;
+  std::function<void(Scenario&)> mRun;
+  bool mIsKept;
 };
 
-class PromiseCheckerTest : public testing::TestWithParam<StoryCase>
+class PromiseCheckerTest : public testing::TestWithParam<ScenarioCase>
 {};
 
-TEST_P(PromiseCheckerTest, KnowsABrokenPromise)
+TEST_P(PromiseCheckerTest, DetectsABrokenPromise)
 {
-  Story story;
-  GetParam().mTell(story);
-  EXPECT_EQ(story.Book().Violations().empty(), GetParam().mHolds);
+  Scenario scenario;
+  GetParam().mRun(story);
+  EXPECT_EQ(scenario.Checker().Violations().empty(), GetParam().mIsKept);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
   PromiseCheckerTest,
   testing::Values(
-    StoryCase{ "InOrder",
-               [](Story& aStory) {
-                 aStory.Start("x").End("x").Note("x").Start("y", kSecond);
-               },
-               true },
-    StoryCase{ "TwoAtATime",
-               [](Story& aStory) { aStory.Start("x").Start("y", kFirst, 2); },
-               false },
-    StoryCase{ "AgainAfterAStop",
-               [](Story& aStory) {
-                 aStory.Start("x").End("x", RunEnd::Stopped);
-                 aStory.Start("y", kFirst, 2);
-               },
-               true },
-    StoryCase{ "AgainAfterANotedEnd",
-               [](Story& aStory) {
-                 aStory.Start("x").End("x").Note("x").Start("y", kFirst, 2);
-               },
-               false },
-    StoryCase{ "NotedAfterTheNextStart",
-               [](Story& aStory) {
-                 aStory.Start("x").End("x").Start("y", kFirst, 2).Note("x");
-               },
-               false },
-    StoryCase{ "NotedAfterTheLeaseLapsed",
-               [](Story& aStory) {
-                 aStory.Start("x").End("x").Lapse("x");
-                 aStory.Start("y", kFirst, 2).Note("x");
-               },
-               true },
-    StoryCase{ "BeforeTheStepBefore",
-               [](Story& aStory) { aStory.Start("x", kSecond); },
-               false },
-    StoryCase{ "OverTheCapacity",
-               [](Story& aStory) {
-                 aStory.Start("x").End("x").Start("y", kFirst, 2);
-                 aStory.Start("y", kSecond);
-               },
-               false },
-    StoryCase{ "NobodyAsked",
-               [](Story& aStory) {
-                 aStory.Start("x", TaskRef{ JobId("other"), 0, 0, 0 });
-               },
-               false },
-    StoryCase{ "RefusedAndRun",
-               [](Story& aStory) {
-                 aStory.Book().OnSubmitted(kJob, SubmitOutcome::Refused);
-                 aStory.Start("x");
-               },
-               false },
-    StoryCase{ "CompletedTooEarly",
-               [](Story& aStory) {
-                 aStory.Start("x").End("x").Show(JobPhase::Completed);
-               },
-               false },
-    StoryCase{ "CompletedAfterAll",
-               [](Story& aStory) {
-                 aStory.Start("x").End("x").Start("x", kSecond);
-                 aStory.End("x", RunEnd::Done, kSecond);
-                 aStory.Show(JobPhase::Running).Show(JobPhase::Completed);
-               },
-               true },
-    StoryCase{ "FinalThenAnother",
-               [](Story& aStory) {
-                 aStory.Book().OnCancelling(kJob);
-                 aStory.Show(JobPhase::Cancelled).Show(JobPhase::Running);
-               },
-               false },
-    StoryCase{ "FailedWithoutAFailure",
-               [](Story& aStory) { aStory.Show(JobPhase::Failed); },
-               false },
-    StoryCase{ "AcceptedThenUnknown",
-               [](Story& aStory) { aStory.Book().OnUnknownJob(kJob); },
-               false }),
+    ScenarioCase{ "InOrder",
+                  [](Scenario& aScenario) {
+                    aScenario.Start("x").End("x").Acknowledge("x").Start(
+                      "y", kSecond);
+                  },
+                  true },
+    ScenarioCase{
+      "ConcurrentRuns",
+      [](Scenario& aScenario) { aScenario.Start("x").Start("y", kFirst, 2); },
+      false },
+    ScenarioCase{ "RestartAfterAStop",
+                  [](Scenario& aScenario) {
+                    aScenario.Start("x").End("x", RunEnd::Stopped);
+                    aScenario.Start("y", kFirst, 2);
+                  },
+                  true },
+    ScenarioCase{ "RestartAfterAnAcknowledgedEnd",
+                  [](Scenario& aScenario) {
+                    aScenario.Start("x").End("x").Acknowledge("x").Start(
+                      "y", kFirst, 2);
+                  },
+                  false },
+    ScenarioCase{
+      "AcknowledgedAfterTheNextStart",
+      [](Scenario& aScenario) {
+        aScenario.Start("x").End("x").Start("y", kFirst, 2).Acknowledge("x");
+      },
+      false },
+    ScenarioCase{ "AcknowledgedAfterTheLeaseLapsed",
+                  [](Scenario& aScenario) {
+                    aScenario.Start("x").End("x").Lapse("x");
+                    aScenario.Start("y", kFirst, 2).Acknowledge("x");
+                  },
+                  true },
+    ScenarioCase{ "BeforeItsDependency",
+                  [](Scenario& aScenario) { aScenario.Start("x", kSecond); },
+                  false },
+    ScenarioCase{ "OverTheCapacity",
+                  [](Scenario& aScenario) {
+                    aScenario.Start("x").End("x").Start("y", kFirst, 2);
+                    aScenario.Start("y", kSecond);
+                  },
+                  false },
+    ScenarioCase{ "UnknownJob",
+                  [](Scenario& aScenario) {
+                    aScenario.Start("x", TaskRef{ JobId("other"), 0, 0, 0 });
+                  },
+                  false },
+    ScenarioCase{ "RefusedAndRun",
+                  [](Scenario& aScenario) {
+                    aScenario.Checker().OnSubmitted(kJob,
+                                                    SubmitOutcome::Refused);
+                    aScenario.Start("x");
+                  },
+                  false },
+    ScenarioCase{ "CompletedTooEarly",
+                  [](Scenario& aScenario) {
+                    aScenario.Start("x").End("x").Show(JobPhase::Completed);
+                  },
+                  false },
+    ScenarioCase{ "CompletedAfterAll",
+                  [](Scenario& aScenario) {
+                    aScenario.Start("x").End("x").Start("x", kSecond);
+                    aScenario.End("x", RunEnd::Done, kSecond);
+                    aScenario.Show(JobPhase::Running).Show(JobPhase::Completed);
+                  },
+                  true },
+    ScenarioCase{ "FinalThenAnother",
+                  [](Scenario& aScenario) {
+                    aScenario.Checker().OnCancelling(kJob);
+                    aScenario.Show(JobPhase::Cancelled).Show(JobPhase::Running);
+                  },
+                  false },
+    ScenarioCase{ "FailedWithoutAFailure",
+                  [](Scenario& aScenario) { aScenario.Show(JobPhase::Failed); },
+                  false },
+    ScenarioCase{
+      "AcceptedThenUnknown",
+      [](Scenario& aScenario) { aScenario.Checker().OnUnknownJob(kJob); },
+      false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
-struct CrashStory
+struct CrashCase
 {
   const char* mPayload;
   int mCrashes;
   bool mShownFailed;
-  bool mHolds;
+  bool mIsKept;
 };
 
-class PromiseBookCrashTest : public testing::TestWithParam<CrashStory>
+class PromiseCheckerCrashTest : public testing::TestWithParam<CrashCase>
 {};
 
-TEST_P(PromiseBookCrashTest, BoundsStartsUnderCrashes)
+TEST_P(PromiseCheckerCrashTest, BoundsStartsUnderCrashes)
 {
-  const CrashStory& facts = GetParam();
-  Story story(facts.mPayload);
-  for (int run = 1; run <= facts.mCrashes; ++run) {
-    story.StartAndLose("life" + std::to_string(run), run);
+  const CrashScenario& crashCase = GetParam();
+  Scenario scenario(crashCase.mPayload);
+  for (int run = 1; run <= crashCase.mCrashes; ++run) {
+    scenario.StartAndLose("incarnation" + std::to_string(run), run);
   }
-  if (facts.mShownFailed) {
-    story.Show(JobPhase::Failed);
+  if (crashCase.mShownFailed) {
+    scenario.Show(JobPhase::Failed);
   }
-  EXPECT_EQ(story.Book().Violations().empty(), facts.mHolds);
+  EXPECT_EQ(scenario.Checker().Violations().empty(), crashCase.mIsKept);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  PromiseBookCrashTest,
-  testing::Values(CrashStory{ "crashes=10", 3, true, true },
-                  CrashStory{ "crashes=10", 1, true, false },
-                  CrashStory{ "crashes=10", 5, false, true },
-                  CrashStory{ "crashes=10", 6, false, false },
-                  CrashStory{ "work=100", 6, false, true },
-                  CrashStory{ "work=100", 2, true, true },
-                  CrashStory{ "work=100", 1, true, false }));
-
-TEST(PromiseBookEnd, AnAcceptedJobHasToEnd)
+  PromiseCheckerCrashTest,
+  testing::Values(CrashCase{ "crashes=10", 3, true, true },
+                  CrashCase{ "crashes=10", 1, true, false },
+                  CrashCase{ "crashes=10", 5, false, true },
+                  CrashCase{ "crashes=10", 6, false, false },
+                  CrashCase{ "work=100", 6, false, true },
+                  CrashCase{ "work=100", 2, true, true },
+                  CrashCase{ "work=100", 1, true, false }));
+
+TEST(PromiseCheckerMissingTest, AnAcceptedJobHasToEnd)
 {
-  Story story;
-  EXPECT_EQ(story.Book().Missing().size(), 1U);
-  story.Start("x").End("x").Start("x", kSecond);
-  story.End("x", RunEnd::Done, kSecond).Show(JobPhase::Completed);
-  EXPECT_TRUE(story.Book().Missing().empty());
+  Scenario scenario;
+  EXPECT_EQ(scenario.Checker().Missing().size(), 1U);
+  scenario.Start("x").End("x").Start("x", kSecond);
+  scenario.End("x", RunEnd::Done, kSecond).Show(JobPhase::Completed);
+  EXPECT_TRUE(scenario.Checker().Missing().empty());
 }
 
-TEST(PromiseBookEnd, ACancelledJobHasToStop)
+TEST(PromiseCheckerMissingTest, ACancelledJobHasToStop)
 {
-  Story story;
-  story.Start("x");
-  story.Book().OnCancelling(kJob);
-  story.Book().Cancelled(kJob);
-  EXPECT_EQ(story.Book().Missing().size(), 1U);
-  story.End("x", RunEnd::Stopped);
-  EXPECT_TRUE(story.Book().Missing().empty());
+  Scenario scenario;
+  scenario.Start("x");
+  scenario.Checker().OnCancelling(kJob);
+  scenario.Checker().OnCancelled(kJob);
+  EXPECT_EQ(scenario.Checker().Missing().size(), 1U);
+  scenario.End("x", RunEnd::Stopped);
+  EXPECT_TRUE(scenario.Checker().Missing().empty());
 }
 
 } // namespace
--- a/tests/soak/ReportedCapacityTest.cpp
+++ b/tests/soak/ReportedCapacityTest.cpp
@@ -13,8 +13,8 @@
 const Resources kSmall{ 1000, 1000, 0 };
 const Resources kUsed{ 3000, 1000, 0 };
 
-/// A worker that shrank told it 1 s after the beginning.
-struct ToldCase
+/// The worker reports a smaller capacity 1 s after the beginning.
+struct CapacityCase
 {
   const char* mName;
   bool mAnswered;
@@ -22,38 +22,42 @@
   bool mAllowed;
 };
 
-class ReportedCapacityTest : public testing::TestWithParam<ToldCase>
+class ReportedCapacityTest : public testing::TestWithParam<CapacityCase>
 {};
 
-TEST_P(ReportedCapacityTest, AllowsWhatTheAgentMayHaveBelieved)
+TEST_P(ReportedCapacityTest, AllowsWhatTheAgentMayHaveAssumed)
 {
-  ReportedCapacity told(kLarge);
+  ReportedCapacity reported(kLarge);
   const Instant at = kBegin + std::chrono::seconds(1);
-  told.Sent(1, kSmall);
+  reported.OnSent(1, kSmall);
   if (GetParam().mAnswered) {
-    told.Answered(1, at);
+    reported.OnAnswered(1, at);
   }
-  EXPECT_EQ(told.Allows(kUsed, at + GetParam().mAfter), GetParam().mAllowed);
+  EXPECT_EQ(reported.Allows(kUsed, at + GetParam().mAfter),
+            GetParam().mAllowed);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
   ReportedCapacityTest,
   testing::Values(
-    ToldCase{ "Unanswered", false, std::chrono::seconds(9), true },
-    ToldCase{ "OnItsWay", true, ReportedCapacity::kMaxStartDelay, true },
-    ToldCase{ "Late",
-              true,
-              ReportedCapacity::kMaxStartDelay + milliseconds(1),
-              false }),
+    CapacityCase{ "Unanswered", false, std::chrono::seconds(9), true },
+    CapacityCase{ "StartUnderWay",
+                  true,
+                  ReportedCapacity::kMaxStartDelay,
+                  true },
+    CapacityCase{ "Late",
+                  true,
+                  ReportedCapacity::kMaxStartDelay + milliseconds(1),
+                  false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 TEST(ReportedCapacity, AGrowthMayBeKnownBeforeItsAnswer)
 {
-  ReportedCapacity told(kSmall);
-  EXPECT_FALSE(told.Allows(kUsed, kBegin));
-  told.Sent(1, kLarge);
-  EXPECT_TRUE(told.Allows(kUsed, kBegin));
+  ReportedCapacity reported(kSmall);
+  EXPECT_FALSE(reported.Allows(kUsed, kBegin));
+  reported.OnSent(1, kLarge);
+  EXPECT_TRUE(reported.Allows(kUsed, kBegin));
 }
 
 } // namespace
