--- a/standins/backend/BackendFaults.cpp
+++ b/standins/backend/BackendFaults.cpp
@@ -9,7 +9,7 @@
       !aValue.get("cutEvery", 0).isUInt() ||
       !aValue.get("draining", false).isBool()) {
     return absl::InvalidArgumentError(
-      R"(needs {"slowUs":n,"failEvery":n,"cutEvery":n,"draining":bool})");
+      R"(expected {"slowUs":n,"failEvery":n,"cutEvery":n,"draining":bool})");
   }
   BackendFaults faults;
   faults.mSlow = Duration(aValue.get("slowUs", 0).asUInt());
--- a/standins/backend/BackendFaults.h
+++ b/standins/backend/BackendFaults.h
@@ -9,17 +9,18 @@
 
 namespace foxtailbarrow::standin {
 
-/// Faults that a test switches on by `POST /standin/faults`.
+/// Faults that a test enables with `POST /standin/faults`.
 struct BackendFaults
 {
   Duration mSlow{};             ///< Added to every service time.
-  std::uint32_t mFailEvery = 0; ///< Every n-th request is answered 500.
-  std::uint32_t mCutEvery = 0;  ///< Every n-th runs and is left unanswered.
-  bool mDraining = false;       ///< /healthz answers 503.
+  std::uint32_t mFailEvery = 0; ///< Every n-th request gets a 500 response.
+  std::uint32_t mCutEvery =
+    0;                    ///< Every n-th request runs but gets no response.
+  bool mDraining = false; ///< /healthz responds with 503.
 };
 
-/// `{"slowUs":n,"failEvery":n,"cutEvery":n,"draining":bool}`; what is left out
-/// is off.
+/// Parses `{"slowUs":n,"failEvery":n,"cutEvery":n,"draining":bool}`. Faults of
+/// missing members are off.
 absl::StatusOr<BackendFaults> BackendFaultsFromJson(const Json::Value& aValue);
 
 } // namespace foxtailbarrow::standin
--- a/standins/backend/BackendService.cpp
+++ b/standins/backend/BackendService.cpp
@@ -20,8 +20,8 @@
 constexpr unsigned kInternalError = 500;
 constexpr unsigned kUnavailable = 503;
 
-/// HttpServer closes the connection without an answer.
-constexpr unsigned kNoAnswer = 0;
+/// HttpServer closes the connection without a response.
+constexpr unsigned kNoResponse = 0;
 
 std::string Header(const net::HttpRequest& aRequest, std::string_view aName)
 {
@@ -64,9 +64,9 @@
     return SetFaults(aRequest);
   }
   if (aRequest.mTarget == "/healthz") {
-    const bool isLeaving = mDraining || Faults().mDraining;
-    return net::JsonResponse(isLeaving ? kUnavailable : 200,
-                             isLeaving ? "draining" : "ok");
+    const bool isDraining = mDraining || Faults().mDraining;
+    return net::JsonResponse(isDraining ? kUnavailable : 200,
+                             isDraining ? "draining" : "ok");
   }
   return Serve(aRequest);
 }
@@ -89,10 +89,10 @@
   }
   ReleaseSlot();
   if (IsEvery(count, faults.mCutEvery)) {
-    return net::JsonResponse(kNoAnswer, {});
+    return net::JsonResponse(kNoResponse, {});
   }
   if (IsEvery(count, faults.mFailEvery)) {
-    return net::JsonResponse(kInternalError, "fault switched on");
+    return net::JsonResponse(kInternalError, "fault enabled");
   }
   return net::JsonResponse(200, Echo(aRequest));
 }
--- a/standins/backend/BackendService.h
+++ b/standins/backend/BackendService.h
@@ -17,15 +17,16 @@
 struct BackendSettings
 {
   std::int32_t mSlots = 8;
-  Duration mService{}; ///< Time of each request, where it names none.
-  bool mRecord = true; ///< Count executions by request id.
+  Duration mService{}; ///< Service time of requests that name none.
+  bool mRecord = true; ///< Counts executions by request id.
 };
 
-/// A backend server that echoes: runs `mSlots` requests at a time, later ones
-/// wait. The service time is that of the settings or, in microseconds, of the
-/// request's header Standin-Service-Us. For tests: GET /standin/executions (the
-/// totals), GET /standin/executions/ids (`{"runs":{"<id>":n}}`) and POST
-/// /standin/faults. Handle() may be called by several fibers and threads.
+/// A backend server that echoes requests. Runs up to `mSlots` requests
+/// concurrently; further ones wait. A request's header Standin-Service-Us
+/// overrides the service time of the settings. For tests: GET
+/// /standin/executions (the totals), GET /standin/executions/ids
+/// (`{"runs":{"<id>":n}}`) and POST /standin/faults. Handle() may be called by
+/// several fibers and threads.
 class BackendService
 {
 public:
@@ -33,7 +34,7 @@
 
   net::HttpResponse Handle(const net::HttpRequest& aRequest);
 
-  /// /healthz answers 503 from now on.
+  /// From now on /healthz responds with 503.
   void Drain() { mDraining = true; }
 
 private:
@@ -49,7 +50,7 @@
   ExecutionCounter mExecutions;
   std::atomic<bool> mDraining{ false };
   std::atomic<std::uint64_t> mServed{ 0 };
-  std::atomic<std::int32_t> mPeak{ 0 }; ///< Requests here at a time, at most.
+  std::atomic<std::int32_t> mPeak{ 0 }; ///< Maximum of mInProgress.
   std::atomic<std::int32_t> mInProgress{ 0 };
   boost::fibers::mutex mSlotMutex; ///< Guards mUsedSlots.
   boost::fibers::condition_variable mSlotFree;
--- a/standins/backend/ExecutionCounter.cpp
+++ b/standins/backend/ExecutionCounter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxIdsShown = 20;
+constexpr std::size_t kMaxListedIds = 20;
 
 } // namespace
 
@@ -30,7 +30,7 @@
         continue;
       }
       ++counts.mDoubled;
-      if (counts.mDoubledIds.size() < kMaxIdsShown) {
+      if (counts.mDoubledIds.size() < kMaxListedIds) {
         counts.mDoubledIds.push_back(id);
       }
     }
--- a/standins/backend/ExecutionCounter.h
+++ b/standins/backend/ExecutionCounter.h
@@ -12,11 +12,11 @@
 
 namespace foxtailbarrow::standin {
 
-/// What ran, as totals.
+/// Totals over all executions.
 struct ExecutionCounts
 {
   std::uint64_t mTotal = 0;
-  std::uint64_t mDistinct = 0;          ///< Request ids.
+  std::uint64_t mDistinct = 0;          ///< Distinct request ids.
   std::uint64_t mDoubled = 0;           ///< Ids that ran more than once.
   std::vector<std::string> mDoubledIds; ///< The first few of them.
 };
@@ -28,7 +28,7 @@
   void Add(std::string_view aRequestId);
   ExecutionCounts Counts() const;
 
-  /// Runs of every id.
+  /// Number of runs by request id.
   std::map<std::string, std::uint32_t> Runs() const;
 
 private:
--- a/standins/backend/Main.cpp
+++ b/standins/backend/Main.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration kPoll = std::chrono::milliseconds(10);
+constexpr Duration kPollInterval = std::chrono::milliseconds(10);
 
 struct ProgramSettings
 {
@@ -33,26 +33,29 @@
   const SettingRange<Duration> anyTime{ Duration{}, std::chrono::minutes(10) };
   settings.AddListen("--listen", aValues.mListen, "Address to serve on");
   settings.AddCount(
-    "--slots", aValues.mService.mSlots, { 1, 10'000 }, "Requests at a time");
-  settings.AddCount(
-    "--connections", aValues.mConnections, { 1, 10'000 }, "Refused beyond");
+    "--slots", aValues.mService.mSlots, { 1, 10'000 }, "Concurrent requests");
+  settings.AddCount("--connections",
+                    aValues.mConnections,
+                    { 1, 10'000 },
+                    "Connections accepted at most");
   settings.AddCount("--threads", aValues.mThreads, { 1, 64 }, "Threads");
   settings.AddMilliseconds(
-    "--service-ms", aValues.mService.mService, anyTime, "Time of a request");
-  settings.AddMilliseconds("--drain-notice-ms",
-                           aValues.mDrainNotice,
-                           anyTime,
-                           "How long /healthz answers 503 before it closes");
+    "--service-ms", aValues.mService.mService, anyTime, "Default service time");
+  settings.AddMilliseconds(
+    "--drain-notice-ms",
+    aValues.mDrainNotice,
+    anyTime,
+    "Time for which /healthz responds with 503 before the port closes");
   settings.AddSwitch(
     "--no-record", aValues.mNoRecord, "Do not count executions by request id");
   return settings.Parse(argc, argv);
 }
 
-void WaitWhileBusy(const net::HttpServer& aServer, Duration aTimeout)
+void WaitForRequests(const net::HttpServer& aServer, Duration aTimeout)
 {
   const Instant end = MonotonicNow() + aTimeout;
   while (aServer.RequestsInProgress() > 0 && MonotonicNow() < end) {
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
@@ -85,6 +88,6 @@
   service.Drain();
   std::this_thread::sleep_for(values.mDrainNotice);
   (*server)->Drain();
-  WaitWhileBusy(**server, values.mDrainTimeout);
+  WaitForRequests(**server, values.mDrainTimeout);
   return 0;
 }
--- a/standins/kv/KvFaults.h
+++ b/standins/kv/KvFaults.h
@@ -9,18 +9,18 @@
 enum class KvOutage : std::uint8_t
 {
   None,
-  Silent,  ///< Nothing is done, nothing is answered.
-  Refuses, ///< Nothing is done, 503 is answered.
+  Silent,  ///< Calls have no effect and get no response.
+  Refuses, ///< Calls have no effect and get a 503 response.
 };
 
-/// What is wrong with a store of the users' platform.
+/// Injected faults of the key-value store of the users' platform.
 struct KvFaults
 {
   KvOutage mOutage = KvOutage::None;
-  bool mLeasesPause = false; ///< During an outage; else they run out.
-  Duration mDelay{};         ///< Of every answer.
-  double mLoseShare = 0;     ///< Of the writes: done, not answered.
-  double mLateShare = 0;     ///< Of the writes: not answered, done later.
+  bool mLeasesPause = false; ///< Leases do not expire during an outage.
+  Duration mDelay{};         ///< Added to every response.
+  double mLoseShare = 0;     ///< Share of writes applied without a response.
+  double mLateShare = 0;     ///< Share of writes applied late, no response.
   Duration mLateBy = std::chrono::milliseconds(1500);
 };
 
--- a/standins/kv/KvService.cpp
+++ b/standins/kv/KvService.cpp
@@ -25,8 +25,8 @@
 constexpr std::size_t kPageItems = 500;
 constexpr std::int64_t kAnyNumber = std::numeric_limits<std::int64_t>::max();
 constexpr std::size_t kMaxText = std::size_t{ 2 } * 1024 * 1024;
-constexpr Duration kPoll = std::chrono::milliseconds(5);
-/// An unanswered connection is closed after this, as nobody waits longer.
+constexpr Duration kPollInterval = std::chrono::milliseconds(5);
+/// A silent connection is closed after this; all clients time out earlier.
 constexpr Duration kSilenceTimeout = std::chrono::seconds(4);
 
 net::HttpResponse Reply(unsigned aStatus, const Json::Value& aBody = {})
@@ -212,10 +212,10 @@
 {
   Expire();
   const std::string_view target = aRequest.mTarget;
-  const std::size_t mark = std::min(target.find('?'), target.size());
-  const std::string_view path = target.substr(0, mark);
+  const std::size_t queryStart = std::min(target.find('?'), target.size());
+  const std::string_view path = target.substr(0, queryStart);
   const std::string_view query =
-    target.substr(std::min(mark + 1, target.size()));
+    target.substr(std::min(queryStart + 1, target.size()));
   const auto after = [path](std::string_view aPrefix) {
     return path.substr(aPrefix.size());
   };
@@ -238,7 +238,7 @@
     return RenewLease(after("/kv-keep/"));
   }
   if (path.starts_with("/kv-lease-end/")) {
-    return EndLease(after("/kv-lease-end/"));
+    return RevokeLease(after("/kv-lease-end/"));
   }
   return Reply(kNotFound);
 }
@@ -306,7 +306,7 @@
       body["CurrentRev"] = Json::Int64{ mTable.LatestRevision() };
       return Reply(kOk, body);
     }
-    boost::this_fiber::sleep_for(kPoll);
+    boost::this_fiber::sleep_for(kPollInterval);
     if (mFaults.mOutage != KvOutage::None) {
       return Reply(net::kCloseWithoutAnswer);
     }
@@ -366,7 +366,7 @@
   return ttl.ok() ? Reply(kOk, reply) : Reply(kNotFound);
 }
 
-net::HttpResponse KvService::EndLease(std::string_view aLease)
+net::HttpResponse KvService::RevokeLease(std::string_view aLease)
 {
   return Reply(mTable.RevokeLease(Number(aLease)).ok() ? kOk : kNotFound,
                Json::objectValue);
--- a/standins/kv/KvService.h
+++ b/standins/kv/KvService.h
@@ -15,19 +15,19 @@
 
 namespace foxtailbarrow::standin {
 
-/// The key-value store of the users' platform, in memory, over its HTTP calls.
-/// The runtime must have one thread, on which the faults are set, too.
+/// In-memory stand-in of the key-value store of the users' platform, with its
+/// HTTP API. All methods must be called on the single thread of the runtime.
 class KvService
 {
 public:
   static absl::StatusOr<std::unique_ptr<KvService>>
   Start(net::FiberRuntime& aRuntime, const Endpoint& aListen, unsigned aSeed);
 
-  /// `aFaults` replaces what was wrong before.
+  /// Replaces all faults.
   void SetFaults(const KvFaults& aFaults);
-  /// Watches from an earlier revision than the present one are refused.
+  /// Rejects later watches from revisions before the current one.
   void CompactHistory() { mCompactedRevision = mTable.LatestRevision(); }
-  /// Writes as an operator does.
+  /// Writes without a lease or a condition, like an operator.
   void Put(const std::string& aKey, const std::string& aValue);
 
   Endpoint ListeningEndpoint() const { return mServer->ListeningEndpoint(); }
@@ -44,7 +44,7 @@
   net::HttpResponse Transaction(const std::string& aBody);
   net::HttpResponse GrantLease(const std::string& aBody);
   net::HttpResponse RenewLease(std::string_view aLease);
-  net::HttpResponse EndLease(std::string_view aLease);
+  net::HttpResponse RevokeLease(std::string_view aLease);
   bool Chance(double aShare);
   Instant LeaseClock();
   void Expire();
@@ -54,7 +54,7 @@
   KvFaults mFaults;
   std::mt19937 mRandom;
   Revision mCompactedRevision = 0;
-  Duration mPaused{}; ///< Time for which leases did not run, in all.
+  Duration mPaused{}; ///< Total time for which leases were paused.
   Instant mPausedSince{};
   std::uint64_t mCalls = 0;
   std::unique_ptr<net::HttpServer> mServer;
--- a/standins/store/FaultControls.cpp
+++ b/standins/store/FaultControls.cpp
@@ -13,7 +13,7 @@
 constexpr char kWrites[] = "writesPerSecond";
 constexpr char kReads[] = "readsPerSecond";
 
-/// Far above any use; keeps a delay in range.
+/// Far above any useful value; keeps a delay representable.
 constexpr std::uint64_t kMaxNumber = 1'000'000'000;
 
 bool SetNumber(std::uint64_t& aTarget, const Json::Value& aValue)
@@ -62,7 +62,7 @@
 {
   for (const std::string& name : aChange.getMemberNames()) {
     if (!SetFault(aFaults, name, aChange[name])) {
-      return absl::InvalidArgumentError("bad " + name);
+      return absl::InvalidArgumentError("unknown or invalid fault " + name);
     }
   }
   return aFaults;
--- a/standins/store/FaultControls.h
+++ b/standins/store/FaultControls.h
@@ -15,15 +15,15 @@
 inline constexpr std::string_view kFaultsTarget = "/standin/faults";
 inline constexpr std::string_view kCountersTarget = "/standin/counters";
 
-/// `aFaults` changed by a JSON object with any of the members outage, delayMs,
-/// loseReplies, writesPerSecond and readsPerSecond. InvalidArgument for any
-/// other member, a wrong type or a negative number.
+/// Returns `aFaults` updated with a JSON object that has any of the members
+/// outage, delayMs, loseReplies, writesPerSecond and readsPerSecond.
+/// InvalidArgument for any other member, a wrong type or a negative number.
 absl::StatusOr<StoreFaults> ChangeFaults(StoreFaults aFaults,
                                          const Json::Value& aChange);
 
 Json::Value EncodeFaults(const StoreFaults& aFaults);
 
-/// Calls by kind, their sum, and the requests that could not be read.
+/// Number of calls by kind, their total, and the number of malformed requests.
 Json::Value EncodeCounters(const StoreCallCounts& aCounts,
                            std::uint64_t aMalformed);
 
--- a/standins/store/Gateway.cpp
+++ b/standins/store/Gateway.cpp
@@ -17,10 +17,10 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kMethodNotAllowed = 405;
 
-/// A value of a megabyte in base64, with room for a transaction around it.
+/// A value of one mebibyte in base64, and the transaction around it.
 constexpr std::size_t kMaxRequestBytes = 4 * kKibibyte * kKibibyte;
 
-/// How often an idle watch looks whether its client is still there.
+/// How often an idle watch checks whether its client has disconnected.
 constexpr Duration kWatchCheck = std::chrono::milliseconds(100);
 
 net::HttpResponse Refuse(unsigned aStatus, const char* aReason)
@@ -58,7 +58,7 @@
 absl::StatusOr<std::unique_ptr<Gateway>> Gateway::Start(
   net::FiberRuntime& aRuntime,
   MemoryStore& aStore,
-  const Endpoint& aAt)
+  const Endpoint& aListen)
 {
   std::unique_ptr<Gateway> gateway(new Gateway(aStore));
   Gateway* const self = gateway.get();
@@ -66,7 +66,7 @@
   limits.mMaxBodyBytes = kMaxRequestBytes;
   auto server = net::HttpServer::Start(
     aRuntime,
-    aAt,
+    aListen,
     [self](net::HttpRequest& aRequest) { return self->Handle(aRequest); },
     limits,
     [self](net::HttpRequest& aRequest, net::HttpStreamWriter& aWriter) {
--- a/standins/store/Gateway.h
+++ b/standins/store/Gateway.h
@@ -15,17 +15,20 @@
 
 namespace foxtailbarrow {
 
-/// Serves a MemoryStore by etcd v3's JSON gateway, together with the switches
-/// for its faults (POST /standin/faults) and its counters (GET
-/// /standin/counters), which answer in an outage too. A malformed request is
-/// answered 400 and changes nothing. For tests and demonstrations alone: one
-/// process, nothing kept.
+/// Serves a MemoryStore with the API of etcd v3's JSON gateway. Also serves
+/// POST /standin/faults, which injects faults, and GET /standin/counters; both
+/// work during an outage. A malformed request gets a 400 response and changes
+/// nothing. For tests and demonstrations only: a single process without
+/// persistence.
 class Gateway
 {
 public:
-  /// Both references outlive the gateway; port 0 lets the system choose.
-  static absl::StatusOr<std::unique_ptr<Gateway>>
-  Start(net::FiberRuntime& aRuntime, MemoryStore& aStore, const Endpoint& aAt);
+  /// `aRuntime` and `aStore` must outlive the gateway. Port 0 selects a free
+  /// port.
+  static absl::StatusOr<std::unique_ptr<Gateway>> Start(
+    net::FiberRuntime& aRuntime,
+    MemoryStore& aStore,
+    const Endpoint& aListen);
 
   ~Gateway();
 
--- a/standins/store/GatewayReplies.cpp
+++ b/standins/store/GatewayReplies.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr unsigned kNoAnswer = 0;
+constexpr unsigned kNoResponse = 0;
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kInternalError = 500;
@@ -78,7 +78,7 @@
       return kServiceUnavailable;
     case absl::StatusCode::kUnavailable:
     case absl::StatusCode::kDeadlineExceeded:
-      return kNoAnswer;
+      return kNoResponse;
     default:
       return kInternalError;
   }
@@ -172,9 +172,9 @@
 net::HttpResponse ErrorResponse(const absl::Status& aError)
 {
   const unsigned status = HttpStatusOf(aError);
-  if (status == kNoAnswer) {
+  if (status == kNoResponse) {
     net::HttpResponse none;
-    none.mStatus = kNoAnswer;
+    none.mStatus = kNoResponse;
     return none;
   }
   return JsonResponse(status, EncodeError(aError));
--- a/standins/store/GatewayReplies.h
+++ b/standins/store/GatewayReplies.h
@@ -17,7 +17,7 @@
 Json::Value EncodePage(const KeyValuePage& aPage);
 Json::Value EncodeTxnReply(const StoreTransactionResult& aResult);
 Json::Value EncodeGrantReply(StoreLease aLease, Duration aTtl);
-/// A time to live of zero says that the lease has lapsed.
+/// A time to live of zero means that the lease has expired.
 Json::Value EncodeKeepAliveReply(StoreLease aLease, Duration aTtl);
 Json::Value EncodeEmptyReply();
 
@@ -29,9 +29,9 @@
 
 net::HttpResponse JsonResponse(unsigned aStatus, const Json::Value& aBody);
 
-/// The response for a call that was refused. A call whose reply is to be lost,
-/// and every call in an outage, gets a response of status 0: the server closes
-/// the connection without an answer.
+/// The response to a rejected call. Calls whose reply is to be lost, and all
+/// calls during an outage, get status 0: the server closes the connection
+/// without a response.
 net::HttpResponse ErrorResponse(const absl::Status& aError);
 
 } // namespace foxtailbarrow::etcd
--- a/standins/store/GatewayRequests.cpp
+++ b/standins/store/GatewayRequests.cpp
@@ -15,16 +15,16 @@
 
 constexpr std::int64_t kMaxTtlSeconds = 9'000'000'000;
 
-absl::Status Bad(const char* aField)
+absl::Status InvalidField(const char* aField)
 {
-  return absl::InvalidArgumentError(std::string("bad ") + aField);
+  return absl::InvalidArgumentError(std::string("invalid field ") + aField);
 }
 
 absl::StatusOr<std::string> KeyOf(const Json::Value& aRequest)
 {
   std::optional<std::string> key = DecodeBytes(aRequest["key"]);
   if (!key || key->empty()) {
-    return Bad("key");
+    return InvalidField("key");
   }
   return *std::move(key);
 }
@@ -37,7 +37,7 @@
 {
   const auto number = DecodeInteger(aRequest[aName]);
   if (!number || *number < aMin || *number > aMax) {
-    return Bad(aName);
+    return InvalidField(aName);
   }
   return *number;
 }
@@ -50,7 +50,7 @@
   }
   auto end = DecodeBytes(aRequest["range_end"]);
   if (!end) {
-    return Bad("range_end");
+    return InvalidField("range_end");
   }
   if (end->empty()) {
     return KeyRange::Single(*key);
@@ -65,7 +65,7 @@
 {
   if (!aCompare.isObject() || aCompare["target"] != "MOD" ||
       !(aCompare["result"].isNull() || aCompare["result"] == "EQUAL")) {
-    return Bad("compare");
+    return InvalidField("compare");
   }
   auto key = KeyOf(aCompare);
   if (!key.ok()) {
@@ -86,7 +86,7 @@
   }
   auto value = DecodeBytes(aPut["value"]);
   if (!value) {
-    return Bad("value");
+    return InvalidField("value");
   }
   const auto lease = IntegerOf(aPut, "lease");
   if (!lease.ok()) {
@@ -102,7 +102,7 @@
     return key.status();
   }
   if (!aDelete["range_end"].isNull()) {
-    return Bad("range_end");
+    return InvalidField("range_end");
   }
   return StoreWrite{ *std::move(key), std::nullopt, 0 };
 }
@@ -110,16 +110,16 @@
 absl::StatusOr<StoreWrite> DecodeOperation(const Json::Value& aOperation)
 {
   if (!aOperation.isObject() || aOperation.size() != 1) {
-    return Bad("operation");
+    return InvalidField("operation");
   }
   if (const Json::Value& put = aOperation["request_put"]; put.isObject()) {
     return DecodePut(put);
   }
   const Json::Value& erase = aOperation["request_delete_range"];
-  return erase.isObject() ? DecodeDelete(erase) : Bad("operation");
+  return erase.isObject() ? DecodeDelete(erase) : InvalidField("operation");
 }
 
-/// Decodes each item of a list that may be missing.
+/// Decodes each item of an optional list.
 template<typename T>
 absl::Status DecodeList(const Json::Value& aList,
                         const char* aName,
@@ -127,7 +127,7 @@
                         std::vector<T>& aItems)
 {
   if (!aList.isNull() && !aList.isArray()) {
-    return Bad(aName);
+    return InvalidField(aName);
   }
   for (const Json::Value& value : aList) {
     auto item = aDecode(value);
@@ -164,7 +164,7 @@
 absl::StatusOr<StoreTransaction> DecodeTxnRequest(const Json::Value& aRequest)
 {
   if (const Json::Value& failure = aRequest["failure"]; !failure.empty()) {
-    return Bad("failure");
+    return InvalidField("failure");
   }
   StoreTransaction transaction;
   absl::Status status = DecodeList(
@@ -206,7 +206,7 @@
 {
   const Json::Value& create = aRequest["create_request"];
   if (!create.isObject()) {
-    return Bad("create_request");
+    return InvalidField("create_request");
   }
   auto range = DecodeKeyRange(create);
   if (!range.ok()) {
--- a/standins/store/GatewayRequests.h
+++ b/standins/store/GatewayRequests.h
@@ -9,9 +9,8 @@
 #include "foxtailbarrow/Store.h"
 #include "src/platform/store/KeyRange.h"
 
-/// The server's side of etcd v3's JSON gateway: our types from requests. Only
-/// the parts that a Store uses are understood; every error is InvalidArgument
-/// and names the field.
+/// Decodes requests of etcd v3's JSON gateway, limited to what a Store uses.
+/// Every error is InvalidArgument and names the field.
 namespace foxtailbarrow::etcd {
 
 struct RangeRequest
@@ -25,22 +24,22 @@
 struct WatchRequest
 {
   KeyRange mRange;
-  Revision mStart = 0; ///< First revision to report; 0 = from now on.
+  Revision mStart = 0; ///< First revision to report; 0 = the next one.
 };
 
 absl::StatusOr<RangeRequest> DecodeRangeRequest(const Json::Value& aRequest);
 
-/// Compares must be on MOD and EQUAL, operations puts and deletions of single
-/// keys, the list of operations for a failed compare empty.
+/// Compares must test MOD for EQUAL, operations must be puts and deletions of
+/// single keys, and the failure list must be empty.
 absl::StatusOr<StoreTransaction> DecodeTxnRequest(const Json::Value& aRequest);
 
-/// A put as a transaction without a compare.
+/// Decodes a put into a transaction without a compare.
 absl::StatusOr<StoreTransaction> DecodePutRequest(const Json::Value& aRequest);
 
-/// The time to live that a grant asks for.
+/// The requested time to live of a lease.
 absl::StatusOr<Duration> DecodeGrantRequest(const Json::Value& aRequest);
 
-/// The lease that a keep-alive or a revocation names.
+/// The lease of a keep-alive or a revocation.
 absl::StatusOr<StoreLease> DecodeLeaseRequest(const Json::Value& aRequest);
 
 absl::StatusOr<WatchRequest> DecodeWatchRequest(const Json::Value& aRequest);
--- a/standins/taskworker/ServingMeter.cpp
+++ b/standins/taskworker/ServingMeter.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr double kCalmShare = 0.47; ///< Of the target, in mid swing.
+constexpr double kBaselineShare = 0.47; ///< Of the target, at zero swing.
 constexpr double kSwing = 0.5;
 constexpr double kSwingPeriod = 12; ///< Seconds.
-constexpr double kHeavy = 0.7;
-constexpr double kLight = 0.04;
-constexpr unsigned kHeavyOneIn = 3;
-constexpr double kWeightsLast = 10; ///< Seconds.
+constexpr double kHeavyInterference = 0.7;
+constexpr double kLightInterference = 0.04;
+constexpr unsigned kHeavyEvery = 3;
+constexpr double kRedrawInterval = 10; ///< Seconds.
 constexpr double kNoise = 0.1;
-constexpr Duration kFigureSpan = std::chrono::milliseconds(500);
+constexpr Duration kReportInterval = std::chrono::milliseconds(500);
 
 double SecondsOf(Duration aDuration)
 {
@@ -27,9 +27,10 @@
 
 double BaselineLatency(int aServingImage, Instant aNow)
 {
-  const double turns =
+  const double periods =
     SecondsOf(aNow.time_since_epoch()) / kSwingPeriod + 0.37 * aServingImage;
-  return std::log(kCalmShare) + kSwing * std::sin(2 * std::numbers::pi * turns);
+  return std::log(kBaselineShare) +
+         kSwing * std::sin(2 * std::numbers::pi * periods);
 }
 
 double BestEffortInterference(int aServingImage,
@@ -37,12 +38,12 @@
                               Instant aNow)
 {
   const auto epoch =
-    static_cast<unsigned>(SecondsOf(aNow.time_since_epoch()) / kWeightsLast);
+    static_cast<unsigned>(SecondsOf(aNow.time_since_epoch()) / kRedrawInterval);
   std::minstd_rand weights(
     1 + epoch * 64 +
     static_cast<unsigned>(aServingImage * 8 + aBestEffortImage));
   weights.discard(4);
-  return weights() % kHeavyOneIn == 0 ? kHeavy : kLight;
+  return weights() % kHeavyEvery == 0 ? kHeavyInterference : kLightInterference;
 }
 
 void ServingMeter::Update(double aBaseline,
@@ -50,12 +51,12 @@
                           Instant aNow,
                           std::mt19937& aRandom)
 {
-  const Duration passed =
+  const Duration elapsed =
     mUpdatedAt ? Duration(aNow - *mUpdatedAt) : Duration();
   mUpdatedAt = aNow;
-  mSum += (aBaseline + aInterference) * SecondsOf(passed);
-  mCovered += passed;
-  if (mCovered >= kFigureSpan) {
+  mSum += (aBaseline + aInterference) * SecondsOf(elapsed);
+  mCovered += elapsed;
+  if (mCovered >= kReportInterval) {
     const double noise = std::normal_distribution<double>(0, kNoise)(aRandom);
     mReportedMs = std::lround(static_cast<double>(kServingTargetMs) *
                               std::exp(mSum / SecondsOf(mCovered) + noise));
@@ -65,7 +66,7 @@
   if (aBaseline > 0 || aBaseline + aInterference <= 0) {
     mOverSince.reset();
   } else if (!mOverSince) {
-    mOverSince = aNow - passed;
+    mOverSince = aNow - elapsed;
   }
 }
 
--- a/standins/taskworker/ServingMeter.h
+++ b/standins/taskworker/ServingMeter.h
@@ -8,38 +8,39 @@
 
 namespace foxtailbarrow::standin {
 
-/// Logarithm of a serving image's tail latency over its target with nothing
-/// beside it: it swings.
+/// Natural logarithm of a serving image's tail latency, relative to its target,
+/// without colocated tasks. Oscillates over time.
 double BaselineLatency(int aServingImage, Instant aNow);
 
-/// By how much a leftover task of the image raises that logarithm at full pace.
-/// Hidden from the system under test; changes every some seconds.
+/// Amount by which an unthrottled best-effort task of the image raises that
+/// logarithm. Unknown to the system under test and redrawn every few seconds.
 double BestEffortInterference(int aServingImage,
                               int aBestEffortImage,
                               Instant aNow);
 
-/// What one serving task tells of itself, and what is true of it. Pure.
+/// The latency that a serving task reports, with noise, and whether it really
+/// is over its target. No I/O, no clock.
 class ServingMeter
 {
 public:
-  /// Until `aNow` its latency was by `aBaseline` and `aInterference`
-  /// (logarithms) over the target.
+  /// From the last update until `aNow` the logarithm of the latency, relative
+  /// to the target, was `aBaseline` + `aInterference`.
   void Update(double aBaseline,
               double aInterference,
               Instant aNow,
               std::mt19937& aRandom);
 
-  /// The tail latency that it tells, in ms: rough, of the last half second; 0
-  /// before the first one.
+  /// Reported tail latency in ms: noisy, over the last half second; 0 before
+  /// the first report.
   std::int64_t ReportedMs() const { return mReportedMs; }
-  /// Since when it is over its target by what runs beside it; empty = it is
-  /// not.
+  /// Since when interference alone has kept it over its target; empty when it
+  /// is not.
   std::optional<Instant> OverSince() const { return mOverSince; }
 
 private:
   std::optional<Instant> mUpdatedAt;
   Duration mCovered{};
-  double mSum = 0; ///< Of the logarithms, weighted by seconds.
+  double mSum = 0; ///< Integral of the logarithm over seconds.
   std::int64_t mReportedMs = 0;
   std::optional<Instant> mOverSince;
 };
--- a/standins/taskworker/TaskProgram.h
+++ b/standins/taskworker/TaskProgram.h
@@ -8,19 +8,22 @@
 
 namespace foxtailbarrow::standin {
 
-/// What a task pretends to do, as its job's payload says: "work=300" runs for
-/// 300 ms, "fails=300" fails after 300 ms, "stands" runs until it is stopped,
-/// "crashes=10" takes its worker down after 10 ms. Beside these, "serves=1"
-/// stands and is of the serving image 1, and "fills=300:2" works for 300 ms, is
-/// of the leftover image 2 and disturbs serving tasks.
+/// What a task simulates, given by the payload of its job:
+///   "work=300"    completes after 300 ms of work
+///   "fails=300"   fails after 300 ms of work
+///   "stands"      runs until stopped
+///   "crashes=10"  crashes its worker after 10 ms
+///   "serves=1"    serving task of image 1, runs until stopped
+///   "fills=300:2" best-effort task of image 2, completes after 300 ms of work
+///                 and interferes with serving tasks
 struct TaskProgram
 {
   Duration mWork{};
   bool mFails = false;
   bool mRunsUntilStopped = false;
   bool mCrashes = false;
-  std::optional<int> mServingImage{};    ///< Image.
-  std::optional<int> mBestEffortImage{}; ///< Image.
+  std::optional<int> mServingImage{};
+  std::optional<int> mBestEffortImage{};
 };
 
 TaskProgram ParseTaskProgram(std::string_view aPayload);
--- a/standins/taskworker/TaskWorkerFaults.h
+++ b/standins/taskworker/TaskWorkerFaults.h
@@ -4,12 +4,12 @@
 
 namespace foxtailbarrow::standin {
 
-/// What is wrong with a worker of the users' platform.
+/// Injected faults of a worker of the users' platform.
 struct TaskWorkerFaults
 {
-  bool mMute = false;    ///< Nothing is done, nothing is answered.
+  bool mMute = false;    ///< Calls have no effect and get no response.
   bool mFailAll = false; ///< Every task fails.
-  double mLateShare = 0; ///< Of the orders: not answered, carried out later.
+  double mLateShare = 0; ///< Share of calls executed late, without a response.
   Duration mLateBy = std::chrono::milliseconds(2500);
 };
 
--- a/standins/taskworker/TaskWorkerModel.cpp
+++ b/standins/taskworker/TaskWorkerModel.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Clocks do not begin at zero.
+/// Non-zero, as worker clocks have an arbitrary origin.
 constexpr cell::WorkerTimeMs kFirstClock = 100'000;
 constexpr std::int32_t kFullPercent = 100;
-/// In use by a leftover task at full pace.
-constexpr std::int64_t kLeftoverMillicores = 2000;
+/// Reported use of an unthrottled best-effort task.
+constexpr std::int64_t kBestEffortMillicores = 2000;
 
 std::chrono::milliseconds ToMs(Duration aDuration)
 {
@@ -35,19 +35,19 @@
 
 cell::WorkerTimeMs TaskWorkerModel::Clock(Instant aNow) const
 {
-  const auto lived = static_cast<double>(ToMs(aNow - mCreatedAt).count());
+  const auto uptime = static_cast<double>(ToMs(aNow - mCreatedAt).count());
   return kFirstClock +
-         static_cast<cell::WorkerTimeMs>(lived * mSettings.mClockRate);
+         static_cast<cell::WorkerTimeMs>(uptime * mSettings.mClockRate);
 }
 
 void TaskWorkerModel::UpdateProgress(Run& aRun, Instant aNow) const
 {
   aRun.mDone += (aNow - aRun.mUpdatedAt) * aRun.mPercent / kFullPercent;
   aRun.mUpdatedAt = aNow;
-  for (auto pace = aRun.mPendingThrottles.begin();
-       pace != aRun.mPendingThrottles.end() && pace->first <= aNow;
-       pace = aRun.mPendingThrottles.erase(pace)) {
-    aRun.mPercent = pace->second;
+  for (auto throttle = aRun.mPendingThrottles.begin();
+       throttle != aRun.mPendingThrottles.end() && throttle->first <= aNow;
+       throttle = aRun.mPendingThrottles.erase(throttle)) {
+    aRun.mPercent = throttle->second;
   }
   if (const std::int64_t saves = aRun.mDone / mSettings.mSaveEvery;
       saves > aRun.mSaves) {
@@ -59,7 +59,7 @@
 void TaskWorkerModel::End(const cell::TaskRef& aTask, RunEnd aEnd)
 {
   const auto run = mRuns.find(aTask);
-  mEnded.push_back({ ++mEnds,
+  mEnded.push_back({ ++mEndCount,
                      aTask,
                      run->second.mNumber,
                      aEnd,
@@ -77,15 +77,15 @@
     return;
   }
   const int image = *aRun.mProgram.mServingImage;
-  double pressure = 0;
+  double interference = 0;
   for (const auto& [task, other] : mRuns) {
     if (other.mProgram.mBestEffortImage) {
-      pressure +=
+      interference +=
         BestEffortInterference(image, *other.mProgram.mBestEffortImage, aNow) *
         other.mPercent / kFullPercent;
     }
   }
-  aRun.mMeter.Update(BaselineLatency(image, aNow), pressure, aNow, mRandom);
+  aRun.mMeter.Update(BaselineLatency(image, aNow), interference, aNow, mRandom);
   const auto since = aRun.mMeter.OverSince();
   if (since && aRun.mReportedOverSince != since &&
       aNow - *since >= kMaxTimeOverTarget) {
@@ -147,12 +147,12 @@
     return StartOutcome::NoLease;
   }
   ExtendLease(aCall.mLeaseEnd, aNow);
-  const auto there = mRuns.find(aCall.mTask);
-  if (there != mRuns.end() && there->second.mNumber == aCall.mRun) {
+  const auto found = mRuns.find(aCall.mTask);
+  if (found != mRuns.end() && found->second.mNumber == aCall.mRun) {
     return StartOutcome::Started;
   }
-  if (const auto over = mHighestEnded.find(aCall.mTask);
-      over != mHighestEnded.end() && aCall.mRun <= over->second) {
+  if (const auto ended = mHighestEnded.find(aCall.mTask);
+      ended != mHighestEnded.end() && aCall.mRun <= ended->second) {
     return StartOutcome::StaleRun;
   }
   Run run;
@@ -181,10 +181,10 @@
   if (!AcceptFence(aCall.mFence)) {
     return false;
   }
-  const auto there = mRuns.find(aCall.mTask);
-  if (there != mRuns.end() && there->second.mNumber == aCall.mRun) {
-    there->second.mStopAt =
-      std::min(there->second.mStopAt, aNow + mSettings.mStopTime);
+  const auto found = mRuns.find(aCall.mTask);
+  if (found != mRuns.end() && found->second.mNumber == aCall.mRun) {
+    found->second.mStopAt =
+      std::min(found->second.mStopAt, aNow + mSettings.mStopTime);
   } else {
     mHighestEnded[aCall.mTask] =
       std::max(mHighestEnded[aCall.mTask], aCall.mRun);
@@ -198,11 +198,11 @@
   if (!AcceptFence(aCall.mFence)) {
     return false;
   }
-  if (const auto there = mRuns.find(aCall.mTask);
-      there != mRuns.end() && there->second.mNumber == aCall.mRun) {
-    there->second.mPendingThrottles[aNow + mSettings.mThrottleDelay] =
+  if (const auto found = mRuns.find(aCall.mTask);
+      found != mRuns.end() && found->second.mNumber == aCall.mRun) {
+    found->second.mPendingThrottles[aNow + mSettings.mThrottleDelay] =
       aCall.mPercent;
-    UpdateProgress(there->second, aNow);
+    UpdateProgress(found->second, aNow);
   }
   return true;
 }
@@ -247,9 +247,9 @@
         : static_cast<std::int32_t>(kFullPercent * run.mDone /
                                     std::max(run.mProgram.mWork, Duration(1)));
     running.mFigure = run.mProgram.mServingImage ? run.mMeter.ReportedMs()
-                          : run.mProgram.mBestEffortImage
-                            ? kLeftoverMillicores * run.mPercent / kFullPercent
-                            : 0;
+                      : run.mProgram.mBestEffortImage
+                        ? kBestEffortMillicores * run.mPercent / kFullPercent
+                        : 0;
     reply.mRunning.push_back(std::move(running));
   }
   return reply;
--- a/standins/taskworker/TaskWorkerModel.h
+++ b/standins/taskworker/TaskWorkerModel.h
@@ -20,23 +20,23 @@
   Duration mMaxLease = std::chrono::milliseconds(6000);
   Duration mStopTime = std::chrono::milliseconds(150);
   Duration mSaveEvery = std::chrono::milliseconds(200);
-  Duration mThrottleDelay{}; ///< Until a pace works.
-  unsigned mSeed = 1;        ///< Of the roughness of figures.
-  double mClockRate = 1.0;   ///< Of the worker's clock against true time.
+  Duration mThrottleDelay{}; ///< Until a throttle takes effect.
+  unsigned mSeed = 1;        ///< Of the noise in measurements.
+  double mClockRate = 1.0;   ///< Worker clock relative to real time.
 };
 
-/// The longest time that a serving task may be over its target on end by what
-/// runs beside it.
+/// The longest continuous time for which interference may keep a serving task
+/// over its target.
 inline constexpr Duration kMaxTimeOverTarget = std::chrono::milliseconds(4000);
 
 enum class RunEventKind : std::uint8_t
 {
   Started,
   Ended,
-  Lost,         ///< With its worker.
-  Acknowledged, ///< Its end was taken note of.
-  LeaseLapsed,  ///< The worker's; of no run.
-  OverTarget,   ///< For kMaxTimeOverTarget, by what runs beside it.
+  Lost,         ///< The worker crashed.
+  Acknowledged, ///< The agent acknowledged the end.
+  LeaseLapsed,  ///< The worker's lease; refers to no run.
+  OverTarget,   ///< By interference, for kMaxTimeOverTarget.
 };
 
 struct RunEvent
@@ -45,15 +45,15 @@
   cell::TaskRef mTask;
   cell::RunNumber mRun = 0;
   cell::RunEnd mEnd = cell::RunEnd::Done;
-  std::string mPayload; ///< Of a start.
-  /// Of a start; since when, of a task over its target.
+  std::string mPayload; ///< Of Started.
+  /// Time of Started; for OverTarget, since when.
   Instant mAt{};
-  bool mLate = false; ///< A start that was held up in the worker.
+  bool mLate = false; ///< Started late by an injected fault.
 };
 
-/// One life of a worker that pretends to run its tasks: leases, fences, run
-/// numbers, checkpoints and ends as the users' platform promises them. Pure:
-/// the time is passed in, and every call first brings everything up to it.
+/// One incarnation of a worker that simulates its tasks, with the leases,
+/// fences, run numbers, checkpoints and ends that the users' platform
+/// guarantees. The time is passed in; each call first advances the model to it.
 class TaskWorkerModel
 {
 public:
@@ -69,16 +69,16 @@
   cell::WorkerTimeMs Clock(Instant aNow) const;
 
   cell::StartOutcome Start(const cell::StartCall& aCall, Instant aNow);
-  /// False for a fence that is too low; nothing was done then.
+  /// False, without any effect, for a fence that is too low.
   bool Stop(const cell::StopCall& aCall, Instant aNow);
   bool Throttle(const cell::ThrottleCall& aCall, Instant aNow);
   bool Poll(const cell::PollCall& aCall, Instant aNow);
   cell::PollReply View(Instant aNow) const;
-  std::int64_t NewestEnd() const { return mEnds; }
+  std::int64_t NewestEnd() const { return mEndCount; }
 
-  /// A task that takes its worker down has run for long enough.
+  /// True when a task that crashes its worker has run long enough to do so.
   bool CrashDue(Instant aNow) const;
-  /// It crashes: what runs is lost.
+  /// Crashes the worker: all runs are lost.
   void Crash();
 
 private:
@@ -90,10 +90,9 @@
     Instant mStartedAt{};
     Instant mUpdatedAt{};
     std::int32_t mPercent = 100;
-    std::map<Instant, std::int32_t>
-      mPendingThrottles; ///< That do not work yet.
+    std::map<Instant, std::int32_t> mPendingThrottles; ///< Not yet in effect.
     ServingMeter mMeter;
-    std::optional<Instant> mReportedOverSince; ///< The stretch that was marked.
+    std::optional<Instant> mReportedOverSince; ///< Already reported.
     std::string mSaved;
     std::int64_t mSaves = 0;
     Instant mStopAt = Instant::max();
@@ -112,12 +111,12 @@
   bool mFailAll = false;
   cell::Fence mFence = 0;
   cell::WorkerTimeMs mLeaseEnd = 0;
-  bool mLapsed = true; ///< No lease is in force.
+  bool mLapsed = true; ///< No lease is in effect.
   std::map<cell::TaskRef, Run> mRuns;
   std::map<cell::TaskRef, cell::RunNumber>
-    mHighestEnded; ///< Highest that ended.
+    mHighestEnded; ///< Highest run number.
   std::vector<cell::EndedTask> mEnded;
-  std::int64_t mEnds = 0;
+  std::int64_t mEndCount = 0;
 };
 
 } // namespace foxtailbarrow::standin
--- a/standins/taskworker/TaskWorkerService.cpp
+++ b/standins/taskworker/TaskWorkerService.cpp
@@ -25,14 +25,14 @@
 constexpr std::int64_t kAnyNumber = std::numeric_limits<std::int64_t>::max();
 constexpr std::size_t kMaxText = 8192;
 constexpr Duration kTick = std::chrono::milliseconds(5);
-constexpr Duration kBeatInterval = std::chrono::milliseconds(500);
-constexpr Duration kBeatTimeout = std::chrono::milliseconds(900);
+constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(500);
+constexpr Duration kHeartbeatTimeout = std::chrono::milliseconds(900);
 constexpr Duration kDrainTime = std::chrono::milliseconds(2500);
 constexpr Duration kListenRetry = std::chrono::milliseconds(50);
-/// How long a worker stays away that a task has taken down.
-constexpr int kLeastDownMs = 800;
-constexpr int kMostDownMs = 4500;
-/// An unanswered connection is closed after this, as nobody waits longer.
+/// Downtime of a worker that was crashed by a task.
+constexpr int kMinDownMs = 800;
+constexpr int kMaxDownMs = 4500;
+/// A silent connection is closed after this; all clients time out earlier.
 constexpr Duration kSilenceTimeout = std::chrono::seconds(3);
 
 net::HttpResponse Reply(unsigned aStatus, const Json::Value& aBody)
@@ -191,17 +191,17 @@
 
 void TaskWorkerService::Leave()
 {
-  const int life = mIncarnations;
+  const int incarnation = mIncarnations;
   mDraining = true;
   boost::this_fiber::sleep_for(kDrainTime);
-  if (life != mIncarnations || !mUp) {
+  if (incarnation != mIncarnations || !mUp) {
     return;
   }
   net::HttpRequest request;
   request.mMethod = "DELETE";
   request.mTarget = "/runners/" + mIncarnation;
-  (void)mClient.Call(mRegistration.mAgent, request, kBeatTimeout);
-  if (life == mIncarnations) {
+  (void)mClient.Call(mRegistration.mAgent, request, kHeartbeatTimeout);
+  if (incarnation == mIncarnations) {
     Crash();
   }
 }
@@ -221,14 +221,14 @@
   }
 }
 
-/// A task has taken it down: it comes back after some seconds.
+/// Crashes the worker on behalf of a task and restarts it after the downtime.
 void TaskWorkerService::CrashAndRestart()
 {
   Crash();
-  const int life = mIncarnations;
+  const int incarnation = mIncarnations;
   boost::this_fiber::sleep_for(std::chrono::milliseconds(
-    std::uniform_int_distribution<int>(kLeastDownMs, kMostDownMs)(mRandom)));
-  if (life == mIncarnations) {
+    std::uniform_int_distribution<int>(kMinDownMs, kMaxDownMs)(mRandom)));
+  if (incarnation == mIncarnations) {
     Restart();
   }
 }
@@ -239,13 +239,13 @@
     if (mUp) {
       SendHeartbeat();
     }
-    boost::this_fiber::sleep_for(kBeatInterval);
+    boost::this_fiber::sleep_for(kHeartbeatInterval);
   }
 }
 
 void TaskWorkerService::SendHeartbeat()
 {
-  HeartbeatEvent mark{ mIncarnation, ++mSequence, mCapacity };
+  HeartbeatEvent heartbeat{ mIncarnation, ++mSequence, mCapacity };
   Json::Value body;
   body["Service"] = mRegistration.mService;
   body["Addr"] = ToString(mRegistration.mListen);
@@ -261,11 +261,12 @@
   request.mMethod = "PUT";
   request.mTarget = "/runners/" + mIncarnation;
   request.mBody = FormatJson(body);
-  mHeartbeatSink(mark);
-  const auto reply = mClient.Call(mRegistration.mAgent, request, kBeatTimeout);
-  mark.mAnswered = reply.ok() && reply->mStatus < kBadRequest;
-  if (mark.mAnswered) {
-    mHeartbeatSink(mark);
+  mHeartbeatSink(heartbeat);
+  const auto reply =
+    mClient.Call(mRegistration.mAgent, request, kHeartbeatTimeout);
+  heartbeat.mAnswered = reply.ok() && reply->mStatus < kBadRequest;
+  if (heartbeat.mAnswered) {
+    mHeartbeatSink(heartbeat);
   }
 }
 
@@ -285,9 +286,9 @@
   if (!mUp || mFaults.mMute) {
     return LeaveUnanswered();
   }
-  const bool late =
+  const bool executeLate =
     std::uniform_real_distribution<double>(0, 1)(mRandom) < mFaults.mLateShare;
-  if (!late) {
+  if (!executeLate) {
     return Execute(aRequest);
   }
   mRuntime.Spawn([this, aRequest, by = mFaults.mLateBy] {
@@ -369,8 +370,8 @@
   }
   const Instant end =
     MonotonicNow() + std::chrono::milliseconds(NumberOf(aBody, "WaitMs"));
-  const std::int64_t seen = model->NewestEnd();
-  while (MonotonicNow() < end && model->NewestEnd() == seen &&
+  const std::int64_t newest = model->NewestEnd();
+  while (MonotonicNow() < end && model->NewestEnd() == newest &&
          model->View(MonotonicNow()).mEnded.empty() && mUp) {
     boost::this_fiber::sleep_for(kTick);
   }
--- a/standins/taskworker/TaskWorkerService.h
+++ b/standins/taskworker/TaskWorkerService.h
@@ -15,7 +15,7 @@
 
 namespace foxtailbarrow::standin {
 
-/// A heartbeat on its way to the agent, or answered.
+/// A heartbeat that was sent to the agent or accepted by it.
 struct HeartbeatEvent
 {
   std::string mIncarnation;
@@ -24,22 +24,22 @@
   bool mAnswered = false;
 };
 
-/// A worker of the users' platform over its HTTP calls: takes orders, tells its
-/// agent about itself, crashes, leaves and comes back as another incarnation.
-/// The runtime must have one thread, on which all methods are called.
+/// Stand-in of a worker of the users' platform with its HTTP API: executes the
+/// agent's commands, sends it heartbeats, crashes, leaves and restarts as a new
+/// incarnation. All methods must be called on the single thread of the runtime.
 class TaskWorkerService
 {
 public:
   struct Registration
   {
-    Endpoint mListen; ///< For orders.
+    Endpoint mListen; ///< For commands.
     Endpoint mAgent;  ///< For heartbeats.
     std::string mName;
     std::string mService;
     std::string mRack;
   };
 
-  /// `aSink` is told of every run, with the incarnation that it is of.
+  /// Receives every run event with the incarnation of the worker.
   using RunEventSink =
     std::function<void(const std::string& aIncarnation, const RunEvent&)>;
 
@@ -56,15 +56,16 @@
   }
 
   void SetFaults(const TaskWorkerFaults& aFaults);
-  /// The next heartbeats tell it. What runs goes on.
+  /// Later heartbeats report the capacity. Running tasks continue.
   void Resize(const Resources& aCapacity) { mCapacity = aCapacity; }
-  /// Gone from now on; what runs is lost. Every second life its machine goes
-  /// with it and answers nothing, else connections are refused.
+  /// Crashes the worker; all runs are lost. Even-numbered incarnations refuse
+  /// connections afterwards, odd-numbered ones accept them without a response,
+  /// like a lost machine.
   void Crash();
-  /// After Crash(), or after it has left: the next incarnation.
+  /// Starts the next incarnation after Crash() or Leave().
   void Restart();
-  /// Tells that it drains, serves on for a while, says good-bye, and is gone.
-  /// Suspends the calling fiber meanwhile.
+  /// Reports that it is draining, keeps running for a while, deregisters and
+  /// stops. Suspends the calling fiber meanwhile.
   void Leave();
 
   bool Up() const { return mUp; }
@@ -104,8 +105,9 @@
   bool mDraining = false;
   bool mExecutesLate = false;
   net::HttpClient mClient;
-  std::unique_ptr<net::HttpServer> mServer; ///< Null: connections are refused.
-  /// Of earlier lives, while their last handlers end.
+  std::unique_ptr<net::HttpServer>
+    mServer; ///< Null while connections are refused.
+  /// Server of an earlier incarnation, until its last handlers have ended.
   std::unique_ptr<net::HttpServer> mClosedServer;
 };
 
--- a/standins/worker/FakeProgram.h
+++ b/standins/worker/FakeProgram.h
@@ -9,25 +9,25 @@
 
 namespace foxtailbarrow::standin {
 
-/// What the fake program "sleep" does, from a task's arguments:
+/// Behaviour of the fake program "sleep", given by a task's arguments:
 /// `{"runMs":1000,"fail":false,"usedMillicores":500,"usedMemoryMb":100}`.
-/// Every member may be left out.
+/// All members are optional.
 struct FakeProgram
 {
-  /// Work to do, in time at full speed; nullopt = runs until stopped, which is
-  /// the default of standing tasks.
+  /// Run time at full speed; nullopt = runs until stopped, the default of
+  /// standing tasks.
   std::optional<Duration> mRun;
   bool mFail = false; ///< Ends without success.
-  Resources mUsed;    ///< At full speed; by default what is reserved.
+  Resources mUsed;    ///< At full speed; by default the reservation.
 };
 
-/// nullopt for arguments that are no JSON object of this form.
+/// nullopt unless the arguments are empty or a JSON object of this form.
 std::optional<FakeProgram> ParseFakeProgram(const TaskStart& aStart);
 
-/// Reference of a checkpoint that holds the work done so far.
+/// Reference of a checkpoint, which encodes the work done so far.
 std::string CheckpointText(const TaskKey& aKey, Duration aDone);
 
-/// Work held by a checkpoint; nullopt for a reference not made here.
+/// Work of a checkpoint; nullopt unless made by CheckpointText().
 std::optional<Duration> ParseCheckpoint(const std::string& aText);
 
 } // namespace foxtailbarrow::standin
--- a/standins/worker/TaskEvent.h
+++ b/standins/worker/TaskEvent.h
@@ -15,17 +15,17 @@
   Failed,
   Checkpointed,
   Stopped, ///< On request.
-  Lapsed,  ///< Its lease ran out.
+  Lapsed,  ///< Its lease expired.
 };
 
-/// Something that happened to a task. Kept for ever, for tests.
+/// An event of a task. Never discarded, so that tests can read all of them.
 struct TaskEvent
 {
   TaskEventKind mKind = TaskEventKind::Started;
   TaskKey mKey;
-  /// Monotonic time. One clock for all processes of a machine.
+  /// Monotonic time, comparable between the processes of a machine.
   Instant mAt{};
-  Duration mDone{}; ///< Work done by then, earlier runs of the job included.
+  Duration mDone{}; ///< Total work by then, with earlier runs of the job.
 };
 
 std::string_view ToString(TaskEventKind aKind);
--- a/standins/worker/TaskRunner.cpp
+++ b/standins/worker/TaskRunner.cpp
@@ -73,10 +73,10 @@
   if (!aRun.mProgram.mRun) {
     return std::nullopt;
   }
-  const Duration left = *aRun.mProgram.mRun - aRun.mDone;
-  const auto slowed = static_cast<std::int64_t>(
-    static_cast<double>(left.count()) / aRun.mFraction);
-  return aRun.mUpdatedAt + std::max(Duration{}, Duration(slowed));
+  const Duration work = *aRun.mProgram.mRun - aRun.mDone;
+  const auto remaining = static_cast<std::int64_t>(
+    static_cast<double>(work.count()) / aRun.mFraction);
+  return aRun.mUpdatedAt + std::max(Duration{}, Duration(remaining));
 }
 
 void TaskRunner::UpdateProgress(Run& aRun, Instant aUntil) const
@@ -92,7 +92,7 @@
     static_cast<double>(used.mMillicores) * aRun.mFraction);
   aRun.mUsage.push_back({ aRun.mUpdatedAt + span / 2, used });
   aRun.mUpdatedAt = aUntil;
-  // Only the newest sample older than the lag is ever reported.
+  // Only the newest sample older than the lag is reported.
   while (aRun.mUsage.size() > 1 &&
          aRun.mUsage[1].mMiddle + mSettings.mUsageLag <= aUntil) {
     aRun.mUsage.pop_front();
@@ -144,10 +144,11 @@
     return NotRun(absl::FailedPreconditionError("task-is-over"));
   }
   if (aStart.mProgram != kProgram || !ParseFakeProgram(aStart)) {
-    return NotRun(absl::InvalidArgumentError("unknown program or arguments"));
+    return NotRun(
+      absl::InvalidArgumentError("unknown program or invalid arguments"));
   }
   if (!aStart.mCheckpoint.empty() && !ParseCheckpoint(aStart.mCheckpoint)) {
-    return NotRun(absl::InvalidArgumentError("unknown checkpoint"));
+    return NotRun(absl::InvalidArgumentError("invalid checkpoint"));
   }
   return absl::OkStatus();
 }
@@ -256,7 +257,7 @@
     End(*run, TaskState::Stopped, TaskEventKind::Stopped, aNow);
     return absl::OkStatus();
   }
-  // A start of this key that is still on its way must not run any more.
+  // A delayed start of this key must not run any more.
   mEndedKeys.insert(aKey);
   return mRuns.contains(aKey) ? absl::OkStatus() : NoSuchTask();
 }
--- a/standins/worker/TaskRunner.h
+++ b/standins/worker/TaskRunner.h
@@ -25,18 +25,18 @@
   Duration mUsageLag = std::chrono::seconds(2);
 };
 
-/// A worker that only pretends to run its tasks: the promises of
-/// foxtailbarrow::Worker, over timers. The time is passed in; a call first
-/// brings everything up to it. Not safe for use by several threads.
+/// A worker that simulates its tasks with timers and keeps the guarantees of
+/// foxtailbarrow::Worker. The time is passed in; each call first advances all
+/// tasks to it. Not thread-safe.
 class TaskRunner
 {
 public:
   explicit TaskRunner(TaskRunnerSettings aSettings);
 
-  /// Every task started from now on fails at once.
+  /// Makes every task that starts from now on fail immediately.
   void FailAll(bool aFailAll) { mFailAll = aFailAll; }
 
-  /// Ends what has run its time, stops what has outlived its lease.
+  /// Ends tasks whose work is done and stops tasks whose lease has expired.
   void Advance(Instant aNow);
 
   WorkerView View(Instant aNow);
@@ -51,10 +51,10 @@
 
   const std::vector<TaskEvent>& Events() const { return mEvents; }
 
-  /// Times that a job started while another epoch of it ran here.
+  /// How often a job started while another epoch of it was running here.
   std::size_t Doubled() const { return mDoubled; }
 
-  /// Times that a start brought the running tasks beyond the capacity.
+  /// How often a start made the running tasks exceed the capacity.
   std::size_t Overcommitted() const { return mOvercommitted; }
 
 private:
@@ -87,8 +87,8 @@
   const TaskRunnerSettings mSettings;
   bool mFailAll = false;
   std::map<TaskKey, Run> mRuns;
-  std::map<JobId, Epoch> mHighest; ///< Kept for ever: fences late starts.
-  std::set<TaskKey> mEndedKeys;    ///< Keys that must never run again.
+  std::map<JobId, Epoch> mHighest; ///< Never erased: fences late starts.
+  std::set<TaskKey> mEndedKeys;    ///< Keys that must not run again.
   std::vector<TaskEvent> mEvents;
   std::size_t mDoubled = 0;
   std::size_t mOvercommitted = 0;
--- a/standins/worker/WorkerFaults.cpp
+++ b/standins/worker/WorkerFaults.cpp
@@ -8,7 +8,7 @@
       !aValue.get("delayMs", 0).isUInt() ||
       !aValue.get("loseReplies", 0).isUInt()) {
     return absl::InvalidArgumentError(
-      R"(needs {"failAll":bool,"delayMs":n,"loseReplies":n})");
+      R"(expected {"failAll":bool,"delayMs":n,"loseReplies":n})");
   }
   WorkerFaults faults;
   faults.mFailAll = aValue.get("failAll", false).asBool();
--- a/standins/worker/WorkerFaults.h
+++ b/standins/worker/WorkerFaults.h
@@ -9,15 +9,16 @@
 
 namespace foxtailbarrow::standin {
 
-/// Faults that a test switches on by `POST /standin/faults`.
+/// Faults that a test enables with `POST /standin/faults`.
 struct WorkerFaults
 {
-  bool mFailAll = false;         ///< Every task fails as it starts.
-  Duration mDelay{};             ///< Of every reply.
-  std::int64_t mLoseReplies = 0; ///< Next calls that take effect unanswered.
+  bool mFailAll = false;         ///< Every task fails when it starts.
+  Duration mDelay{};             ///< Added to every reply.
+  std::int64_t mLoseReplies = 0; ///< Next calls with effect but no reply.
 };
 
-/// `{"failAll":bool,"delayMs":n,"loseReplies":n}`; what is left out is off.
+/// Parses `{"failAll":bool,"delayMs":n,"loseReplies":n}`. Faults of missing
+/// members are off.
 absl::StatusOr<WorkerFaults> WorkerFaultsFromJson(const Json::Value& aValue);
 
 } // namespace foxtailbarrow::standin
--- a/standins/worker/WorkerService.cpp
+++ b/standins/worker/WorkerService.cpp
@@ -16,8 +16,8 @@
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kNotFound = 404;
 
-/// HttpServer closes the connection without an answer.
-constexpr unsigned kNoAnswer = 0;
+/// HttpServer closes the connection without a response.
+constexpr unsigned kNoResponse = 0;
 
 absl::StatusOr<Json::Value> Done(const absl::Status& aStatus)
 {
@@ -122,7 +122,7 @@
     if (mFaults.mLoseReplies > 0) {
       --mFaults.mLoseReplies;
       response = {};
-      response.mStatus = kNoAnswer;
+      response.mStatus = kNoResponse;
     }
   }
   if (delay > Duration{}) {
--- a/standins/worker/WorkerService.h
+++ b/standins/worker/WorkerService.h
@@ -14,16 +14,16 @@
 
 /// Serves a TaskRunner: the worker's JSON-RPC methods at /rpc, and for tests
 /// GET /standin/events, GET /standin/counts and POST /standin/faults.
-/// Handle() may be called from several fibers and threads at once.
+/// Handle() may be called concurrently by several fibers and threads.
 class WorkerService
 {
 public:
   explicit WorkerService(TaskRunnerSettings aSettings);
 
-  /// For HttpServer. Suspends the fiber while replies are to be delayed.
+  /// Handler for HttpServer. Suspends the fiber while a reply is delayed.
   net::HttpResponse Handle(const net::HttpRequest& aRequest);
 
-  /// Brings the tasks up to now.
+  /// Advances the tasks to the current time.
   void Tick();
 
 private:
--- a/tests/soak/PromiseCheckerTest.cpp
+++ b/tests/soak/PromiseCheckerTest.cpp
@@ -215,7 +215,7 @@
   const CrashScenario& crashCase = GetParam();
   Scenario scenario(crashCase.mPayload);
   for (int run = 1; run <= crashCase.mCrashes; ++run) {
-    scenario.StartAndLose("incarnation" + std::to_string(run), run);
+    scenario.StartAndLose("life" + std::to_string(run), run);
   }
   if (crashCase.mShownFailed) {
     scenario.Show(JobPhase::Failed);
--- a/tests/soak/ServingMeterTest.cpp
+++ b/tests/soak/ServingMeterTest.cpp
@@ -13,20 +13,21 @@
 using std::chrono::seconds;
 
 constexpr int kServing = 1;
-constexpr int kLeftoverTasks = 4;
+constexpr int kBestEffortTasks = 4;
 const cell::TaskRef kServingTask{ JobId("serving"), 0, 0, 0 };
 
-struct PressedCase
+struct InterferenceCase
 {
   const char* mName;
-  std::int32_t mPercent; ///< Throttle of the leftover tasks, after 1 s.
-  std::size_t mMarks;    ///< Of a target missed for too long, in 7 s.
+  std::int32_t mPercent;   ///< Throttle of the best-effort tasks, after 1 s.
+  std::size_t mOverTarget; ///< OverTarget events within 7 s.
 };
 
-class PressedServingTaskTest : public testing::TestWithParam<PressedCase>
+class ServingTaskInterferenceTest
+  : public testing::TestWithParam<InterferenceCase>
 {
 protected:
-  /// A leftover image that presses the serving one hard now.
+  /// A best-effort image with heavy interference at mNow.
   int HeavyImage() const
   {
     int image = 0;
@@ -43,17 +44,17 @@
     mWorker.Start(call, mNow);
   }
 
-  void Pass(Duration aTime)
+  void Advance(Duration aTime)
   {
-    cell::PollCall look;
+    cell::PollCall poll;
     for (const Instant end = mNow + aTime; mNow < end;) {
       mNow += milliseconds(20);
-      look.mLeaseEnd = mWorker.Clock(mNow) + 6000;
-      mWorker.Poll(look, mNow);
+      poll.mLeaseEnd = mWorker.Clock(mNow) + 6000;
+      mWorker.Poll(poll, mNow);
     }
   }
 
-  /// Weights last until 1020 s.
+  /// The interference stays the same until 1020 s.
   Instant mNow{ seconds(1011) };
   std::vector<RunEvent> mOver;
   TaskWorkerModel mWorker{ { .mThrottleDelay = milliseconds(100) },
@@ -65,34 +66,34 @@
                            } };
 };
 
-TEST_P(PressedServingTaskTest, IsMarkedWhenWhatRunsBesideItWorksOn)
+TEST_P(ServingTaskInterferenceTest,
+       IsReportedOverTargetUnlessTheColocatedTasksAreStopped)
 {
   const Instant start = mNow;
   Start(kServingTask, "serves=" + std::to_string(kServing));
-  const std::string fills = "fills=60000:" + std::to_string(HeavyImage());
-  for (int index = 0; index < kLeftoverTasks; ++index) {
-    Start({ JobId("leftover"), 0, 0, index }, fills);
+  const std::string bestEffort = "fills=60000:" + std::to_string(HeavyImage());
+  for (int index = 0; index < kBestEffortTasks; ++index) {
+    Start({ JobId("leftover"), 0, 0, index }, bestEffort);
   }
-  Pass(seconds(1));
-  for (int index = 0; index < kLeftoverTasks; ++index) {
+  Advance(seconds(1));
+  for (int index = 0; index < kBestEffortTasks; ++index) {
     mWorker.Throttle(
       { { JobId("leftover"), 0, 0, index }, 1, GetParam().mPercent, 0 }, mNow);
   }
-  Pass(seconds(6));
-  EXPECT_EQ(mOver.size(), GetParam().mMarks);
+  Advance(seconds(6));
+  EXPECT_EQ(mOver.size(), GetParam().mOverTarget);
   if (!mOver.empty()) {
     EXPECT_LE(mOver[0].mAt - start, milliseconds(100));
     EXPECT_GT(mWorker.View(mNow).mRunning.back().mFigure, kServingTargetMs);
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Table,
-                         PressedServingTaskTest,
-                         testing::Values(PressedCase{ "FullPace", 100, 1 },
-                                         PressedCase{ "Stopped", 0, 0 }),
-                         [](const auto& aInfo) {
-                           return std::string(aInfo.param.mName);
-                         });
+INSTANTIATE_TEST_SUITE_P(
+  Table,
+  ServingTaskInterferenceTest,
+  testing::Values(InterferenceCase{ "NotThrottled", 100, 1 },
+                  InterferenceCase{ "Stopped", 0, 0 }),
+  [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 } // namespace
 
--- a/tests/soak/SilentConnectionTest.cpp
+++ b/tests/soak/SilentConnectionTest.cpp
@@ -15,9 +15,9 @@
 constexpr int kConnections = 6;
 constexpr Duration kTimeout = milliseconds(300);
 
-/// Open connections go silent for good, without a reset, while new ones work.
-/// A client that took its idle connections one by one would lose the time-out
-/// of a call as often as it had any.
+/// Open connections go silent without a reset while new ones work. A client
+/// that tried its idle connections one after the other would lose one call
+/// timeout per connection.
 TEST(SilentConnectionTest, CostsOneTimeoutHoweverManyConnectionsAreIdle)
 {
   net::FiberRuntime runtime(1);
--- a/tests/soak/TaskWorkerModelTest.cpp
+++ b/tests/soak/TaskWorkerModelTest.cpp
@@ -40,9 +40,9 @@
   }
 
   Instant mNow{ std::chrono::seconds(100) };
-  std::vector<RunEvent> mMarks;
+  std::vector<RunEvent> mEvents;
   TaskWorkerModel mWorker{ {}, mNow, [this](const RunEvent& aEvent) {
-                            mMarks.push_back(aEvent);
+                            mEvents.push_back(aEvent);
                           } };
 };
 
@@ -56,15 +56,15 @@
   EXPECT_EQ(LastEnd(), RunEnd::Done);
 }
 
-TEST_F(TaskWorkerModelTest, AllEndsWithTheLease)
+TEST_F(TaskWorkerModelTest, AllTasksEndWithTheLease)
 {
   Start(1, 1, "stands", milliseconds(500));
   mNow += milliseconds(500);
   EXPECT_EQ(LastEnd(), RunEnd::LeaseExpired);
-  EXPECT_EQ(mMarks[1].mKind, RunEventKind::LeaseLapsed);
+  EXPECT_EQ(mEvents[1].mKind, RunEventKind::LeaseLapsed);
 }
 
-TEST_F(TaskWorkerModelTest, LeasesAreCutToTheLongest)
+TEST_F(TaskWorkerModelTest, LeasesAreCappedAtTheMaximum)
 {
   Start(1, 1, "stands", milliseconds(60'000));
   mNow += TaskWorkerSettings().mMaxLease;
@@ -79,7 +79,7 @@
   EXPECT_FALSE(mWorker.Poll({ 6, 0, {}, {} }, mNow));
 }
 
-TEST_F(TaskWorkerModelTest, ARunThatWasStoppedBeforeItCameIsRejected)
+TEST_F(TaskWorkerModelTest, ARunThatWasStoppedBeforeItsStartIsRejected)
 {
   EXPECT_TRUE(mWorker.Stop({ kTask, 3, 1 }, mNow));
   EXPECT_EQ(Start(3), StartOutcome::StaleRun);
@@ -93,7 +93,7 @@
   EXPECT_EQ(LastEnd(), RunEnd::Failed);
   EXPECT_TRUE(mWorker.Poll({ 1, 1, {}, {} }, mNow));
   EXPECT_TRUE(mWorker.View(mNow).mEnded.empty());
-  EXPECT_EQ(mMarks.back().mKind, RunEventKind::Acknowledged);
+  EXPECT_EQ(mEvents.back().mKind, RunEventKind::Acknowledged);
 }
 
 TEST_F(TaskWorkerModelTest, AStoppedTaskResumesFromItsCheckpoint)
