--- a/apps/replay/CallerMessage.cpp
+++ b/apps/replay/CallerMessage.cpp
@@ -18,10 +18,10 @@
   "GET", "HEAD", "PUT", "DELETE", "OPTIONS",
 };
 
-/// Tells the backend stand-in how long the request takes.
+/// Service time for the backend stand-in.
 constexpr std::string_view kServiceHeader = "Standin-Service-Us";
 
-/// Unlike that of any other attempt, since it starts with the id.
+/// Unique per attempt, as it starts with the request id.
 std::string MakeBody(const std::string& aRequestId, std::int64_t aBytes)
 {
   const auto size = static_cast<std::size_t>(aBytes);
@@ -67,8 +67,8 @@
   return request;
 }
 
-bool AnswersTo(const net::HttpRequest& aRequest,
-               const net::HttpResponse& aResponse)
+bool EchoesRequest(const net::HttpRequest& aRequest,
+                   const net::HttpResponse& aResponse)
 {
   const absl::StatusOr<Json::Value> echo = ParseJson(aResponse.mBody);
   if (!echo.ok() || !echo->isObject()) {
--- a/apps/replay/CallerMessage.h
+++ b/apps/replay/CallerMessage.h
@@ -7,26 +7,26 @@
 #include "src/core/trace/TraceEvents.h"
 #include "src/net/HttpMessage.h"
 
-/// What a caller of the trace sends, and whether an answer belongs to it.
+/// Builds the requests of a trace and checks their responses.
 namespace foxtailbarrow::replay {
 
-/// One attempt at a request.
+/// An attempt to send a request.
 struct CallerAttempt
 {
-  std::string mRequestId;      ///< Unique to this attempt.
-  std::string mIdempotencyKey; ///< The same in every attempt.
-  Duration mRemaining{};       ///< Until the deadline.
+  std::string mRequestId;      ///< Unique per attempt.
+  std::string mIdempotencyKey; ///< The same for all attempts.
+  Duration mRemaining{};       ///< Time until the deadline.
 };
 
 net::HttpRequest MakeRequest(const TraceRequest& aLine,
                              const CallerAttempt& aAttempt);
 
-/// True when the backend stand-in's answer echoes this very request: its id,
-/// method, target and the hash of its whole body.
-bool AnswersTo(const net::HttpRequest& aRequest,
-               const net::HttpResponse& aResponse);
+/// True when the response of the backend stand-in echoes the request: its id,
+/// method, target and the hash of its body.
+bool EchoesRequest(const net::HttpRequest& aRequest,
+                   const net::HttpResponse& aResponse);
 
-/// By the caller's mark or by the method's definition in HTTP.
+/// True when marked so by the caller or when HTTP defines the method so.
 bool IsIdempotent(const TraceRequest& aLine);
 
 } // namespace foxtailbarrow::replay
--- a/apps/replay/GenerateCommand.cpp
+++ b/apps/replay/GenerateCommand.cpp
@@ -49,7 +49,7 @@
   const std::optional<DeploymentShape> shape =
     FindDeploymentShape(aSettings.mDeployment);
   if (!shape) {
-    return absl::InvalidArgumentError("no such deployment");
+    return absl::InvalidArgumentError("unknown deployment");
   }
   const Trace trace = GenerateTrace(*shape, aSettings.mSeed);
   absl::Status written = WriteFile(aSettings.mOut, FormatTrace(trace));
--- a/apps/replay/GenerateCommand.h
+++ b/apps/replay/GenerateCommand.h
@@ -6,7 +6,7 @@
 
 namespace foxtailbarrow::replay {
 
-/// Writes the trace and, where asked, the contracts that it needs.
+/// Writes the trace and, if requested, the contracts that it needs.
 absl::Status Generate(const GenerateSettings& aSettings);
 
 } // namespace foxtailbarrow::replay
--- a/apps/replay/JobReplayer.cpp
+++ b/apps/replay/JobReplayer.cpp
@@ -12,7 +12,7 @@
 
 constexpr char kJobsTarget[] = "/foxtailbarrow/v1/jobs";
 constexpr Duration kCallTimeout = std::chrono::seconds(5);
-constexpr Duration kPause = std::chrono::milliseconds(500);
+constexpr Duration kRetryInterval = std::chrono::milliseconds(500);
 constexpr int kMaxCalls = 20;
 constexpr unsigned kAccepted = 202;
 constexpr unsigned kNotFound = 404;
@@ -31,7 +31,7 @@
   return absl::StrCat(kJobsTarget, "/", aId);
 }
 
-/// The entry chooses the id.
+/// Without an id, as the entry assigns it.
 std::string SubmissionBody(const TraceJob& aLine)
 {
   Json::Value body = ToJson(ToJobSpec(aLine));
@@ -48,22 +48,22 @@
   request.mHeaders.Set(kIdempotencyKeyHeader,
                        absl::StrCat(mContext.mRun, "-", aLine.mId.Value()));
   request.mBody = SubmissionBody(aLine);
-  const absl::StatusOr<net::HttpResponse> response = CallUntilAnswered(request);
+  const absl::StatusOr<net::HttpResponse> response = CallWithRetries(request);
   if (response.ok() && response->mStatus == kAccepted) {
     const absl::StatusOr<Json::Value> body = ParseJson(response->mBody);
     if (body.ok() && (*body)["id"].isString()) {
-      mTracker.Accept(aLine, (*body)["id"].asString());
+      mTracker.OnAccepted(aLine, (*body)["id"].asString());
       return;
     }
   }
-  mTracker.Refuse(aLine);
+  mTracker.OnRefused(aLine);
 }
 
 void JobReplayer::Cancel(const TraceCancel& aLine)
 {
   if (const std::string id = mTracker.IdOf(aLine.mJob); !id.empty()) {
-    // What came of it shows in the job's state.
-    (void)CallUntilAnswered(Request("DELETE", TargetOf(id)));
+    // The job's state shows the result.
+    (void)CallWithRetries(Request("DELETE", TargetOf(id)));
   }
 }
 
@@ -78,18 +78,18 @@
 {
   PollOpenJobs();
   while (!mTracker.Open().empty() && MonotonicNow() < aUntil) {
-    boost::this_fiber::sleep_for(kPause);
+    boost::this_fiber::sleep_for(kRetryInterval);
     PollOpenJobs();
   }
 }
 
-absl::StatusOr<net::HttpResponse> JobReplayer::CallUntilAnswered(
+absl::StatusOr<net::HttpResponse> JobReplayer::CallWithRetries(
   const net::HttpRequest& aRequest)
 {
   absl::StatusOr<net::HttpResponse> response;
   for (int call = 0; call < kMaxCalls; ++call) {
     if (call > 0) {
-      boost::this_fiber::sleep_for(kPause);
+      boost::this_fiber::sleep_for(kRetryInterval);
     }
     response =
       mContext.mClient.Call(mContext.NextEntry(), aRequest, kCallTimeout);
--- a/apps/replay/JobReplayer.h
+++ b/apps/replay/JobReplayer.h
@@ -10,9 +10,10 @@
 
 namespace foxtailbarrow::replay {
 
-/// Submits, cancels and follows the jobs of a trace. Every call carries an
-/// idempotency key or is idempotent, so that it is repeated after a lost reply.
-/// Methods suspend the calling fiber. Both references outlive it.
+/// Submits, cancels and polls the jobs of a trace. Every call is idempotent or
+/// carries an idempotency key, and is retried after a lost reply. Methods
+/// suspend the calling fiber. `aContext` and `aTracker` must outlive the
+/// replayer.
 class JobReplayer
 {
 public:
@@ -25,14 +26,14 @@
   void Submit(const TraceJob& aLine);
   void Cancel(const TraceCancel& aLine);
 
-  /// Asks for each job that has not ended as stated.
+  /// Polls each job that is not in its expected end state.
   void PollOpenJobs();
 
-  /// Until every job has ended as stated, `aUntil` at the latest.
+  /// Polls until every job is in its expected end state or `aUntil`.
   void PollUntilEnded(Instant aUntil);
 
 private:
-  absl::StatusOr<net::HttpResponse> CallUntilAnswered(
+  absl::StatusOr<net::HttpResponse> CallWithRetries(
     const net::HttpRequest& aRequest);
   void Poll(const ReplayedJob& aJob);
 
--- a/apps/replay/JobTracker.cpp
+++ b/apps/replay/JobTracker.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-bool EndedAsStated(const ReplayedJob& aJob)
+bool HasExpectedEnd(const ReplayedJob& aJob)
 {
   return aJob.mState == aJob.mExpectedEnd;
 }
 
 } // namespace
 
-void JobTracker::Accept(const TraceJob& aLine, std::string aId)
+void JobTracker::OnAccepted(const TraceJob& aLine, std::string aId)
 {
   ReplayedJob job;
   job.mLineId = aLine.mId;
@@ -23,9 +23,9 @@
   mJobs.insert_or_assign(aLine.mId, std::move(job));
 }
 
-void JobTracker::Refuse(const TraceJob& aLine)
+void JobTracker::OnRefused(const TraceJob& aLine)
 {
-  Accept(aLine, {});
+  OnAccepted(aLine, {});
 }
 
 std::string JobTracker::IdOf(const JobId& aLineId) const
@@ -59,7 +59,7 @@
   std::vector<ReplayedJob> open;
   const std::lock_guard lock(mMutex);
   for (const auto& [id, job] : mJobs) {
-    if (!job.mId.empty() && !EndedAsStated(job)) {
+    if (!job.mId.empty() && !HasExpectedEnd(job)) {
       open.push_back(job);
     }
   }
@@ -71,7 +71,7 @@
   const std::lock_guard lock(mMutex);
   for (const auto& [id, job] : mJobs) {
     ++(job.mId.empty() ? aTotals.mJobsRefused : aTotals.mJobs);
-    aTotals.mJobsAsExpected += EndedAsStated(job) ? 1 : 0;
+    aTotals.mJobsAsExpected += HasExpectedEnd(job) ? 1 : 0;
     aTotals.mLostJobs += job.mUnknown ? 1 : 0;
     aTotals.mEvictions += job.mEvictions;
   }
--- a/apps/replay/JobTracker.h
+++ b/apps/replay/JobTracker.h
@@ -12,26 +12,26 @@
 
 namespace foxtailbarrow::replay {
 
-/// A job of the trace as the system knows it.
+/// A job of the trace and its last known state.
 struct ReplayedJob
 {
-  JobId mLineId; ///< In the trace.
+  JobId mLineId; ///< Id in the trace.
   JobState mExpectedEnd = JobState::Finished;
-  std::string mId;                ///< Told by the entry; empty = not accepted.
-  std::optional<JobState> mState; ///< Last seen.
-  std::string mReason;            ///< Last seen, of that state.
+  std::string mId;                ///< Assigned by the entry; empty = refused.
+  std::optional<JobState> mState; ///< Last polled.
+  std::string mReason;            ///< Reason of mState.
   std::int64_t mEvictions = 0;
-  bool mUnknown = false; ///< The entry last asked said "no such job".
+  bool mUnknown = false; ///< Unknown to the entry that was last polled.
 };
 
-/// The jobs of a replay. Callable from any thread.
+/// Tracks the jobs of a replay. Thread-safe.
 class JobTracker
 {
 public:
-  void Accept(const TraceJob& aLine, std::string aId);
-  void Refuse(const TraceJob& aLine);
+  void OnAccepted(const TraceJob& aLine, std::string aId);
+  void OnRefused(const TraceJob& aLine);
 
-  /// Empty when the job was not accepted (yet).
+  /// The assigned id; empty when the job has not been accepted.
   std::string IdOf(const JobId& aLineId) const;
 
   void OnState(const JobId& aLineId,
@@ -40,13 +40,13 @@
                std::int64_t aEvictions);
   void OnUnknown(const JobId& aLineId);
 
-  /// Accepted jobs that have not ended as stated.
+  /// Accepted jobs that are not in their expected end state.
   std::vector<ReplayedJob> Open() const;
 
-  /// Fills the part of the totals that is about jobs, audit excluded.
+  /// Adds the job counts, except those of the audit.
   void AddTo(ReplayTotals& aTotals) const;
 
-  /// Ids, as the system knows them, of accepted jobs.
+  /// The assigned ids of accepted jobs.
   std::vector<std::string> Ids() const;
 
 private:
--- a/apps/replay/Main.cpp
+++ b/apps/replay/Main.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 constexpr int kExitMissed = 1;
-constexpr int kExitNotCarriedOut = 3;
+constexpr int kExitFailed = 3;
 
-int Complain(int aExitCode, const absl::Status& aStatus)
+int ReportError(int aExitCode, const absl::Status& aStatus)
 {
   std::cerr << "foxtailbarrow-replay: " << aStatus.message() << "\n";
   return aExitCode;
@@ -63,21 +63,21 @@
   int operator()(const replay::GenerateSettings& aSettings) const
   {
     const absl::Status status = replay::Generate(aSettings);
-    return status.ok() ? EXIT_SUCCESS : Complain(kExitNotCarriedOut, status);
+    return status.ok() ? EXIT_SUCCESS : ReportError(kExitFailed, status);
   }
 
   int operator()(const replay::RunSettings& aSettings) const
   {
     const absl::StatusOr<Trace> trace = ReadTrace(aSettings.mTrace);
     if (!trace.ok()) {
-      return Complain(kExitUsage, trace.status());
+      return ReportError(kExitUsage, trace.status());
     }
     if (HasContracts(*trace) && aSettings.mStore.empty()) {
-      return Complain(kExitUsage,
-                      absl::InvalidArgumentError(
-                        "--store (FOXTAILBARROW_STORE): missing; allowed: "
-                        "addresses of the store, since the trace has "
-                        "contracts"));
+      return ReportError(kExitUsage,
+                         absl::InvalidArgumentError(
+                           "--store (FOXTAILBARROW_STORE): missing; allowed: "
+                           "addresses of the store, required by the trace's "
+                           "contracts"));
     }
     net::FiberRuntime runtime(aSettings.mThreads);
     std::optional<EtcdStore> store;
@@ -90,10 +90,10 @@
       runtime, aSettings, *trace, store ? &*store : nullptr);
     absl::StatusOr<ReplayTotals> totals;
     runtime.RunAndWait([&] { totals = run.Run(); });
-    // No fiber may outlive the run that it belongs to.
+    // Fibers must not outlive `run`.
     runtime.Stop();
     return totals.ok() ? PrintOutcomes(*trace, *totals)
-                       : Complain(kExitNotCarriedOut, totals.status());
+                       : ReportError(kExitFailed, totals.status());
   }
 };
 
--- a/apps/replay/ReplayContext.h
+++ b/apps/replay/ReplayContext.h
@@ -11,16 +11,16 @@
 
 namespace foxtailbarrow::replay {
 
-/// What the parts of a replay share.
+/// State shared by the parts of a replay.
 struct ReplayContext
 {
   net::HttpClient& mClient;
   std::vector<Endpoint> mEntries;
   int mMaxRetries = 0;
-  std::string mRun; ///< Unique to this replay; starts every id.
+  std::string mRun; ///< Unique per replay; prefix of all ids.
   std::atomic<std::size_t> mNextEntry{ 0 };
 
-  /// Entries in turn, as a balancer would.
+  /// Selects entries round-robin, like a load balancer.
   const Endpoint& NextEntry()
   {
     return mEntries[mNextEntry.fetch_add(1, std::memory_order_relaxed) %
--- a/apps/replay/ReplayRun.cpp
+++ b/apps/replay/ReplayRun.cpp
@@ -10,9 +10,9 @@
 #include <boost/fiber/operations.hpp>
 
 #include "apps/replay/JobReplayer.h"
-#include "apps/replay/ReadyWait.h"
 #include "apps/replay/RequestReplayer.h"
 #include "apps/replay/StandInAudit.h"
+#include "apps/replay/WaitUntilServed.h"
 #include "src/core/trace/RequestAudit.h"
 #include "src/core/trace/TaskAudit.h"
 #include "src/platform/contract/ContractRegistry.h"
@@ -21,11 +21,11 @@
 
 namespace {
 
-constexpr Duration kPause = std::chrono::milliseconds(10);
-/// Beyond the longest deadline that a trace may state, nothing is waited for.
-constexpr Duration kStragglers = std::chrono::seconds(30);
+constexpr Duration kPollInterval = std::chrono::milliseconds(10);
+/// Outstanding work is abandoned after this; longer than a trace's deadlines.
+constexpr Duration kDrainTimeout = std::chrono::seconds(30);
 
-/// Differs from that of any replay before it.
+/// Unique among replays, as it contains the current time.
 std::string RunName()
 {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -78,7 +78,7 @@
   const Instant end = start + std::chrono::milliseconds(durationMs);
   JobReplayer(mContext, mJobs)
     .PollUntilEnded(end + std::chrono::milliseconds(outcomes.mJobsDeadlineMs));
-  WaitForAll(MonotonicNow() + kStragglers);
+  WaitForAll(MonotonicNow() + kDrainTimeout);
   PrintProgress(start);
   PrintOpenJobs();
   if (mFailedContracts > 0) {
@@ -123,7 +123,7 @@
                          Instant aDue)
 {
   if (const auto* request = std::get_if<TraceRequest>(&aEvent)) {
-    mRequests.Begin();
+    mRequests.OnDue();
     Spawn(aIndex, [this, request, aIndex, aDue] {
       RequestReplayer(mContext, mRequests).Replay(*request, aIndex, aDue);
     });
@@ -166,7 +166,7 @@
 void ReplayRun::WaitForAll(Instant aUntil)
 {
   while (mActiveFibers > 0 && MonotonicNow() < aUntil) {
-    boost::this_fiber::sleep_for(kPause);
+    boost::this_fiber::sleep_for(kPollInterval);
   }
 }
 
@@ -189,10 +189,10 @@
   aTotals.mAudited = true;
   aTotals.mRanDespiteNotRun = audit.mRanDespiteNotRun;
   aTotals.mLostRequests = audit.mLost;
-  aTotals.mRepeatedRequests = audit.mDoubled;
+  aTotals.mRepeatedRequests = audit.mRepeated;
   aTotals.mOvercommitted = workers->mOvercommitted;
   for (const std::string& job : FindOverlappingJobs(workers->mRuns)) {
-    std::cerr << "doubled job: " << job << "\n";
+    std::cerr << "overlapping runs of job " << job << "\n";
     ++aTotals.mOverlappingJobs;
   }
   return absl::OkStatus();
@@ -202,7 +202,7 @@
 {
   ReplayTotals totals;
   mRequests.AddTo(totals);
-  // Whatever never ended got no answer.
+  // Requests still in progress were not answered.
   totals.mUnanswered += mRequests.InProgress();
   mJobs.AddTo(totals);
   totals.mContracts = mContracts;
@@ -230,10 +230,10 @@
 void ReplayRun::PrintOpenJobs() const
 {
   for (const ReplayedJob& job : mJobs.Open()) {
-    std::cerr << "not ended as stated: job " << job.mLineId.Value() << ", id "
-              << job.mId << ", "
-              << (job.mState ? ToString(*job.mState) : "never seen")
-              << " in place of " << ToString(job.mExpectedEnd) << ", reason "
+    std::cerr << "not in the expected end state: job " << job.mLineId.Value()
+              << ", id " << job.mId << ", "
+              << (job.mState ? ToString(*job.mState) : "never polled")
+              << " instead of " << ToString(job.mExpectedEnd) << ", reason "
               << (job.mReason.empty() ? "none" : job.mReason) << "\n";
   }
 }
--- a/apps/replay/ReplayRun.h
+++ b/apps/replay/ReplayRun.h
@@ -13,20 +13,20 @@
 
 namespace foxtailbarrow::replay {
 
-/// One replay: puts the contracts of time 0 in force, waits until every
-/// customer is served, sends each line when it is due, waits for what is under
-/// way, and asks the stand-ins what really ran. Run() belongs in a fiber of
-/// the runtime. The references outlive it.
+/// A replay: applies the contracts of time 0, waits until every customer is
+/// served, sends each line when it is due, waits for outstanding work and
+/// queries the stand-ins for what really ran. Run() must be called in a fiber
+/// of the runtime. All arguments must outlive the replay.
 class ReplayRun
 {
 public:
-  /// `aStore` may be null when the trace has no contract lines, and only then.
+  /// `aStore` may be null only if the trace has no contract lines.
   ReplayRun(net::FiberRuntime& aRuntime,
             const RunSettings& aSettings,
             const Trace& aTrace,
             Store* aStore);
 
-  /// An error when the replay could not be carried out as a whole.
+  /// Returns an error when the replay could not be completed.
   absl::StatusOr<ReplayTotals> Run();
 
 private:
@@ -51,7 +51,7 @@
   JobTracker mJobs;
   std::atomic<std::int64_t> mContracts{ 0 };
   std::atomic<std::int64_t> mFailedContracts{ 0 };
-  std::atomic<std::int64_t> mActiveFibers{ 0 }; ///< Fibers of events.
+  std::atomic<std::int64_t> mActiveFibers{ 0 }; ///< Spawned and not yet ended.
   Instant mNextProgress;
 };
 
--- a/apps/replay/ReplaySettings.cpp
+++ b/apps/replay/ReplaySettings.cpp
@@ -22,17 +22,17 @@
     .AddEndpoints("--entries", aRun.mEntries, "callers' addresses of entries")
     .Required();
   aSettings.AddEndpoints(
-    "--store", aRun.mStore, "the store; needed when the trace has contracts");
+    "--store", aRun.mStore, "the store; required when the trace has contracts");
   aSettings.AddEndpoints("--backends",
                          aRun.mBackends,
-                         "backend stand-ins, asked afterwards what ran");
+                         "backend stand-ins to audit after the replay");
   aSettings.AddEndpoints(
-    "--workers", aRun.mWorkers, "worker stand-ins, asked afterwards what ran");
+    "--workers", aRun.mWorkers, "worker stand-ins to audit after the replay");
   aSettings.AddCount("--threads", aRun.mThreads, { 1, kMaxThreads }, "threads");
   aSettings.AddCount("--max-retries",
                      aRun.mMaxRetries,
                      { 0, kMaxRetries },
-                     "attempts after the first, for what did not run");
+                     "retries of requests that did not run");
   aSettings.AddMilliseconds("--ready-timeout-ms",
                             aRun.mReadyTimeout,
                             { milliseconds(0), hours(1) },
@@ -40,7 +40,7 @@
   aSettings.AddMilliseconds("--progress-ms",
                             aRun.mProgress,
                             { milliseconds(100), hours(1) },
-                            "time between lines of progress");
+                            "time between progress lines");
 }
 
 void AddGenerateFlags(Settings& aSettings, GenerateSettings& aGenerate)
@@ -49,14 +49,16 @@
     .AddChoice("--deployment",
                aGenerate.mDeployment,
                { "trasowka", "qoima" },
-               "whose shape the trace has")
+               "deployment that the trace simulates")
     .Required();
-  aSettings.AddCount(
-    "--seed", aGenerate.mSeed, { 0, kMaxSeed }, "equal seeds, equal traces");
+  aSettings.AddCount("--seed",
+                     aGenerate.mSeed,
+                     { 0, kMaxSeed },
+                     "seed; equal seeds give equal traces");
   aSettings.AddText("--out", aGenerate.mOut, "file to write").Required();
   aSettings.AddText("--contracts",
                     aGenerate.mContracts,
-                    "folder for the contracts, one a file");
+                    "folder for the contracts, one per file");
 }
 
 } // namespace
@@ -67,11 +69,11 @@
   std::ostream& aErr)
 {
   Settings settings("foxtailbarrow-replay",
-                    "Drives a trace against a running system.");
+                    "Replays a trace against a running system.");
   RunSettings run;
   GenerateSettings generate;
   Settings& runCommand = settings.AddSubcommand(
-    "run", "replay a trace; exit code 1 when a stated outcome is missed");
+    "run", "replay a trace; exit code 1 when an expected outcome is missed");
   AddRunFlags(runCommand, run);
   AddGenerateFlags(settings.AddSubcommand("generate", "write a trace"),
                    generate);
--- a/apps/replay/ReplaySettings.h
+++ b/apps/replay/ReplaySettings.h
@@ -10,32 +10,32 @@
 
 namespace foxtailbarrow::replay {
 
-/// `run`: replay a trace against a running system.
+/// Settings of `run`, which replays a trace against a running system.
 struct RunSettings
 {
   std::string mTrace;              ///< Path.
-  std::vector<Endpoint> mEntries;  ///< Callers' addresses.
-  std::vector<Endpoint> mStore;    ///< Needed for contract lines.
-  std::vector<Endpoint> mBackends; ///< Stand-ins to ask what ran.
-  std::vector<Endpoint> mWorkers;  ///< Stand-ins to ask what ran.
+  std::vector<Endpoint> mEntries;  ///< Their addresses for callers.
+  std::vector<Endpoint> mStore;    ///< Required for contract lines.
+  std::vector<Endpoint> mBackends; ///< Stand-ins to audit.
+  std::vector<Endpoint> mWorkers;  ///< Stand-ins to audit.
   unsigned mThreads = 2;
   int mMaxRetries = 3;
   Duration mReadyTimeout = std::chrono::seconds(30);
   Duration mProgress = std::chrono::seconds(5);
 };
 
-/// `generate`: write a trace in the shape of a deployment.
+/// Settings of `generate`, which writes a trace with a deployment's shape.
 struct GenerateSettings
 {
   std::string mDeployment;
   std::uint64_t mSeed = 1;
   std::string mOut;       ///< Path of the trace.
-  std::string mContracts; ///< Folder for its contracts; empty = none.
+  std::string mContracts; ///< Folder for its contracts; empty = not written.
 };
 
 using ReplaySettings = std::variant<RunSettings, GenerateSettings>;
 
-/// The settings, or the exit code when the program is to end now.
+/// Returns the settings, or the exit code if the program must exit.
 std::variant<ReplaySettings, int> ParseReplaySettings(
   std::vector<std::string> aArguments,
   std::ostream& aOut,
--- a/apps/replay/RequestReplayer.cpp
+++ b/apps/replay/RequestReplayer.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// An answer that comes later than this after the deadline does not count.
-constexpr Duration kAnswerMargin = std::chrono::seconds(2);
+/// Responses are accepted until this long after the deadline.
+constexpr Duration kResponseMargin = std::chrono::seconds(2);
 
 std::optional<Duration> RetryAfterOf(const net::HttpResponse& aResponse)
 {
@@ -27,9 +27,9 @@
   return std::nullopt;
 }
 
-/// How a whole answer is to be understood.
-AttemptEnd Judge(const net::HttpRequest& aRequest,
-                 const net::HttpResponse& aResponse)
+/// Classifies a complete response.
+AttemptEnd Classify(const net::HttpRequest& aRequest,
+                    const net::HttpResponse& aResponse)
 {
   const auto header = aResponse.mHeaders.Find(net::kVerdictHeader);
   const std::optional<Verdict> verdict =
@@ -43,11 +43,11 @@
   if (aResponse.mStatus != 200) {
     return AttemptEnd::Failed;
   }
-  return AnswersTo(aRequest, aResponse) ? AttemptEnd::Answered
-                                        : AttemptEnd::WrongAnswer;
+  return EchoesRequest(aRequest, aResponse) ? AttemptEnd::Answered
+                                            : AttemptEnd::WrongAnswer;
 }
 
-bool MayRepeat(AttemptEnd aEnd, bool aIdempotent)
+bool IsRetryable(AttemptEnd aEnd, bool aIdempotent)
 {
   switch (aEnd) {
     case AttemptEnd::NotRun:
@@ -82,14 +82,14 @@
     const Outcome outcome = Send(aLine, request, remaining);
     attempted.mAttempts.push_back(
       { absl::StrCat(name, "-", attempt), outcome.mEnd, outcome.mReason });
-    if (!MayRepeat(outcome.mEnd, attempted.mIdempotent) ||
+    if (!IsRetryable(outcome.mEnd, attempted.mIdempotent) ||
         !outcome.mRetryAfter ||
         MonotonicNow() + *outcome.mRetryAfter >= deadline) {
       break;
     }
     boost::this_fiber::sleep_for(*outcome.mRetryAfter);
   }
-  mTracker.End(std::move(attempted), MonotonicNow() - aDue);
+  mTracker.OnEnded(std::move(attempted), MonotonicNow() - aDue);
 }
 
 RequestReplayer::Outcome RequestReplayer::Send(const TraceRequest& aLine,
@@ -97,17 +97,17 @@
                                                Duration aRemaining)
 {
   const absl::StatusOr<net::HttpResponse> response = mContext.mClient.Call(
-    mContext.NextEntry(), aRequest, aRemaining + kAnswerMargin);
+    mContext.NextEntry(), aRequest, aRemaining + kResponseMargin);
   if (response.ok()) {
-    return { Judge(aRequest, *response),
+    return { Classify(aRequest, *response),
              RetryAfterOf(*response),
              std::string(response->mHeaders.Find(kReasonHeader).value_or("")) };
   }
-  // As a balancer does: another entry takes over at once where nothing ran.
+  // Like a load balancer, retries at once through another entry if nothing ran.
   const bool notRun = VerdictOf(response.status()) == Verdict::NotRun;
-  const bool repeat = notRun || IsIdempotent(aLine);
+  const bool retry = notRun || IsIdempotent(aLine);
   return { notRun ? AttemptEnd::NotRun : AttemptEnd::Unanswered,
-           repeat ? std::optional(Duration{}) : std::nullopt,
+           retry ? std::optional(Duration{}) : std::nullopt,
            notRun ? "no connection to the entry" : "connection broke" };
 }
 
--- a/apps/replay/RequestReplayer.h
+++ b/apps/replay/RequestReplayer.h
@@ -8,9 +8,10 @@
 
 namespace foxtailbarrow::replay {
 
-/// Sends one request of a trace as a well-behaved caller does: through the
-/// next entry, again only when that is safe and only after the time that
-/// Retry-After names, within the deadline. Both references outlive it.
+/// Sends a request of a trace like a well-behaved caller: through the next
+/// entry, with retries only when they are safe, after the time of Retry-After
+/// and within the deadline. `aContext` and `aTracker` must outlive the
+/// replayer.
 class RequestReplayer
 {
 public:
@@ -20,16 +21,16 @@
   {
   }
 
-  /// Sends and books it; suspends the fiber until it has ended.
+  /// Sends the request and records its end; suspends the fiber meanwhile.
   void Replay(const TraceRequest& aLine, std::size_t aIndex, Instant aDue);
 
 private:
-  /// How an attempt ended and when another one makes sense, if ever.
+  /// How an attempt ended, and the delay after which a retry is possible.
   struct Outcome
   {
     AttemptEnd mEnd = AttemptEnd::Unanswered;
     std::optional<Duration> mRetryAfter;
-    std::string mReason{}; ///< Told with a refusal.
+    std::string mReason{}; ///< Of a refusal.
   };
 
   Outcome Send(const TraceRequest& aLine,
--- a/apps/replay/RequestTracker.cpp
+++ b/apps/replay/RequestTracker.cpp
@@ -31,13 +31,13 @@
 
 } // namespace
 
-void RequestTracker::Begin()
+void RequestTracker::OnDue()
 {
   const std::lock_guard lock(mMutex);
   ++mBegun;
 }
 
-void RequestTracker::End(AttemptedRequest aRequest, Duration aLatency)
+void RequestTracker::OnEnded(AttemptedRequest aRequest, Duration aLatency)
 {
   const AttemptEnd end = aRequest.mAttempts.back().mEnd;
   const std::lock_guard lock(mMutex);
--- a/apps/replay/RequestTracker.h
+++ b/apps/replay/RequestTracker.h
@@ -10,22 +10,22 @@
 
 namespace foxtailbarrow::replay {
 
-/// How each request ended. Callable from any thread.
+/// Tracks the outcomes of requests. Thread-safe.
 class RequestTracker
 {
 public:
   /// A request of the trace is due.
-  void Begin();
+  void OnDue();
 
-  /// It ended as its last attempt did, `aLatency` after it was due.
-  void End(AttemptedRequest aRequest, Duration aLatency);
+  /// The request ended with its last attempt, `aLatency` after it was due.
+  void OnEnded(AttemptedRequest aRequest, Duration aLatency);
 
   std::int64_t InProgress() const;
 
-  /// Fills the part of the totals that is about requests, audit excluded.
+  /// Sets the request totals, except those of the audit.
   void AddTo(ReplayTotals& aTotals) const;
 
-  /// Of all requests that ended. Call after the last one.
+  /// All requests that ended. Must not be called before the last one has.
   const std::vector<AttemptedRequest>& Requests() const { return mRequests; }
 
 private:
--- a/apps/replay/StandInAudit.cpp
+++ b/apps/replay/StandInAudit.cpp
@@ -18,9 +18,9 @@
 constexpr unsigned kOk = 200;
 constexpr JsonLimits kLimits{ std::size_t{ 64 } * 1024 * 1024 };
 
-absl::StatusOr<Json::Value> Ask(net::HttpClient& aClient,
-                                const Endpoint& aStandIn,
-                                const char* aTarget)
+absl::StatusOr<Json::Value> Query(net::HttpClient& aClient,
+                                  const Endpoint& aStandIn,
+                                  const char* aTarget)
 {
   net::HttpRequest request;
   request.mTarget = aTarget;
@@ -36,7 +36,7 @@
   return ParseJson(response->mBody, kLimits);
 }
 
-/// Adds one event: a start opens a run, anything else ends it.
+/// Applies an event: a start opens a run, any other event ends it.
 void AddEvent(const Json::Value& aEvent,
               std::map<std::string, TaskRun>& aOpen,
               std::vector<TaskRun>& aRuns)
@@ -63,15 +63,15 @@
 {
   ExecutionCounts counts;
   for (const Endpoint& backend : aBackends) {
-    const absl::StatusOr<Json::Value> told =
-      Ask(aClient, backend, kExecutionsTarget);
-    if (!told.ok()) {
-      return told.status();
+    const absl::StatusOr<Json::Value> response =
+      Query(aClient, backend, kExecutionsTarget);
+    if (!response.ok()) {
+      return response.status();
     }
-    const Json::Value& runs = (*told)["runs"];
+    const Json::Value& runs = (*response)["runs"];
     if (!runs.isObject()) {
-      return absl::InternalError(
-        absl::StrCat(ToString(backend), ": tells no runs by request id"));
+      return absl::InternalError(absl::StrCat(
+        ToString(backend), ": response without runs by request id"));
     }
     for (const std::string& id : runs.getMemberNames()) {
       counts[id] += runs[id].asInt64();
@@ -86,7 +86,7 @@
   WorkerRecords records;
   for (const Endpoint& worker : aWorkers) {
     const absl::StatusOr<Json::Value> events =
-      Ask(aClient, worker, kEventsTarget);
+      Query(aClient, worker, kEventsTarget);
     if (!events.ok()) {
       return events.status();
     }
@@ -96,7 +96,7 @@
     }
     records.mRuns.insert(records.mRuns.end(), runs->begin(), runs->end());
     const absl::StatusOr<Json::Value> counts =
-      Ask(aClient, worker, kCountsTarget);
+      Query(aClient, worker, kCountsTarget);
     if (!counts.ok()) {
       return counts.status();
     }
@@ -108,7 +108,7 @@
 absl::StatusOr<std::vector<TaskRun>> RunsOf(const Json::Value& aEvents)
 {
   if (!aEvents.isArray()) {
-    return absl::InternalError("a worker's events are no list");
+    return absl::InternalError("the events of a worker are not a list");
   }
   std::map<std::string, TaskRun> open;
   std::vector<TaskRun> runs;
--- a/apps/replay/StandInAudit.h
+++ b/apps/replay/StandInAudit.h
@@ -12,15 +12,15 @@
 #include "src/core/trace/TaskAudit.h"
 #include "src/net/HttpClient.h"
 
-/// Asks the platform's stand-ins what really ran.
+/// Queries the platform's stand-ins for what really ran.
 namespace foxtailbarrow::replay {
 
-/// Runs by request id, over all backend servers.
+/// Number of executions by request id, over all backend servers.
 absl::StatusOr<ExecutionCounts> ReadExecutions(
   net::HttpClient& aClient,
   std::span<const Endpoint> aBackends);
 
-/// What the workers did.
+/// Task runs of all workers and the number of capacity violations.
 struct WorkerRecords
 {
   std::vector<TaskRun> mRuns;
@@ -30,7 +30,7 @@
 absl::StatusOr<WorkerRecords> ReadWorkers(net::HttpClient& aClient,
                                           std::span<const Endpoint> aWorkers);
 
-/// The runs told by one worker's list of events. Exposed for tests.
+/// Derives the runs from the list of events of a worker. Exposed for tests.
 absl::StatusOr<std::vector<TaskRun>> RunsOf(const Json::Value& aEvents);
 
 } // namespace foxtailbarrow::replay
--- a/apps/replay/ReadyWait.cpp
+++ b/apps/replay/WaitUntilServed.cpp
@@ -1,4 +1,4 @@
-#include "apps/replay/ReadyWait.h"
+#include "apps/replay/WaitUntilServed.h"
 
 #include "absl/strings/str_cat.h"
 #include <boost/fiber/operations.hpp>
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr Duration kPause = std::chrono::milliseconds(100);
+constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr unsigned kOk = 200;
 
-/// Empty when the entry answered, else why not.
-std::string Refusal(ReplayContext& aContext,
-                    const Endpoint& aEntry,
-                    const CustomerId& aCustomer)
+/// Empty when the entry serves the customer, else the error.
+std::string ProbeError(ReplayContext& aContext,
+                       const Endpoint& aEntry,
+                       const CustomerId& aCustomer)
 {
   net::HttpRequest request;
   request.mTarget = "/ready";
@@ -46,18 +46,18 @@
   const Instant end = MonotonicNow() + aTimeout;
   for (const Endpoint& entry : aContext.mEntries) {
     for (const CustomerId& customer : aCustomers) {
-      std::string refusal = Refusal(aContext, entry, customer);
-      while (!refusal.empty() && MonotonicNow() < end) {
-        boost::this_fiber::sleep_for(kPause);
-        refusal = Refusal(aContext, entry, customer);
+      std::string error = ProbeError(aContext, entry, customer);
+      while (!error.empty() && MonotonicNow() < end) {
+        boost::this_fiber::sleep_for(kProbeInterval);
+        error = ProbeError(aContext, entry, customer);
       }
-      if (!refusal.empty()) {
+      if (!error.empty()) {
         return absl::DeadlineExceededError(absl::StrCat("entry ",
                                                         ToString(entry),
                                                         " does not serve ",
                                                         customer.Value(),
                                                         ": ",
-                                                        refusal));
+                                                        error));
       }
     }
   }
--- a/apps/replay/ReadyWait.h
+++ b/apps/replay/WaitUntilServed.h
@@ -9,8 +9,9 @@
 
 namespace foxtailbarrow::replay {
 
-/// Waits until every entry serves every customer, `aTimeout` at most: sends a
-/// GET for each until it is answered. DeadlineExceeded names who is not served.
+/// Waits for up to `aTimeout` until a GET succeeds for every entry and
+/// customer. DeadlineExceeded names the entry and the customer that it does not
+/// serve.
 absl::Status WaitUntilServed(ReplayContext& aContext,
                              const std::set<CustomerId>& aCustomers,
                              Duration aTimeout);
--- a/src/core/trace/DeploymentShape.h
+++ b/src/core/trace/DeploymentShape.h
@@ -14,17 +14,17 @@
 
 namespace foxtailbarrow {
 
-/// Both ends belong to the range.
+/// Inclusive range.
 struct Range
 {
   std::int64_t mMin = 0;
   std::int64_t mMax = 0;
 };
 
-/// One kind of request that a customer sends.
+/// A kind of request that a customer sends.
 struct RequestShape
 {
-  double mWeight = 1.0; ///< Share among the customer's kinds.
+  double mWeight = 1.0; ///< Relative share among the customer's kinds.
   std::string mMethod;
   std::string mPath; ///< A number is appended.
   Range mBodyBytes;
@@ -33,18 +33,18 @@
   std::int64_t mMedianServiceUs = 0;
 };
 
-/// One kind of job that a customer submits.
+/// A kind of job that a customer submits.
 struct JobShape
 {
-  std::string mName; ///< Prefix of the ids.
+  std::string mName; ///< Prefix of the job ids.
   std::int64_t mCount = 0;
-  Range mAtMs; ///< Submitted within.
+  Range mAtMs; ///< Time of submission.
   JobKind mKind = JobKind::Batch;
   JobPriority mPriority = JobPriority::Normal;
   Resources mDeclared;
   std::int64_t mDeclaredRunMs = 0;
-  Range mRunMs;                 ///< Real; far off what is declared.
-  double mUsed = 1.0;           ///< Real size over declared size.
+  Range mRunMs;                 ///< Real; differs greatly from mDeclaredRunMs.
+  double mUsed = 1.0;           ///< Real size relative to the declared size.
   std::int64_t mCancelAtMs = 0; ///< 0 = never cancelled.
   JobState mEndState = JobState::Finished;
 };
@@ -52,32 +52,32 @@
 struct CustomerShape
 {
   Contract mContract;
-  double mRequestsPerSecond = 0.0; ///< Before and after the rush.
+  double mRequestsPerSecond = 0.0; ///< Off-peak.
   std::vector<RequestShape> mRequests;
   std::vector<JobShape> mJobs;
 };
 
-/// Everything from which a trace of a deployment is generated.
+/// Parameters from which the trace of a deployment is generated.
 struct DeploymentShape
 {
   std::string mName;
   std::int64_t mDurationMs = 0;
-  double mPeakFactor = 1.0; ///< Load at the top of the rush, mid-trace.
+  double mPeakFactor = 1.0; ///< Load at mid-trace relative to off-peak.
   std::vector<CustomerShape> mCustomers;
-  std::vector<TraceContract> mChanges; ///< Contracts changed on the way.
+  std::vector<TraceContract> mChanges; ///< Contract changes during the trace.
   ExpectedOutcomes mOutcomes;
 };
 
-/// The operator doubles a customer's limits at this time of the trace.
+/// A contract change that doubles the customer's rate and concurrency limits.
 TraceContract WithDoubledLimits(Contract aContract, std::int64_t aAtMs);
 
-/// The mileage ledger: end-of-day trip syncs, deduction reports, watchers.
+/// A mileage logbook: end-of-day trip syncs, deduction reports, route watchers.
 DeploymentShape TrasowkaShape();
 
-/// Database backups: verification checks, restore rehearsals, log followers.
+/// Database backups: verifications, restore rehearsals, log followers.
 DeploymentShape QoimaShape();
 
-/// By name, "trasowka" or "qoima".
+/// Finds a shape by name, "trasowka" or "qoima".
 std::optional<DeploymentShape> FindDeploymentShape(std::string_view aName);
 
 } // namespace foxtailbarrow
--- a/src/core/trace/LatencyHistogram.cpp
+++ b/src/core/trace/LatencyHistogram.cpp
@@ -16,7 +16,8 @@
 
 constexpr double kMinUs = 1.0;
 constexpr double kMaxUs = 1e9;
-/// Neighbouring bounds differ by 1%: a bucket's middle is off by half of that.
+/// Bucket bounds grow by 1%, so that the centre of a bucket is off by at most
+/// half of that.
 constexpr double kBucketRatio = 1.01;
 
 Histogram MakeHistogram()
@@ -63,13 +64,13 @@
   if (mCount == 0) {
     return Duration{};
   }
-  const double wanted = std::ceil(aShare * static_cast<double>(mCount));
+  const double exactRank = std::ceil(aShare * static_cast<double>(mCount));
   const auto rank =
-    std::max<std::uint64_t>(1, static_cast<std::uint64_t>(wanted));
-  std::uint64_t seen = 0;
+    std::max<std::uint64_t>(1, static_cast<std::uint64_t>(exactRank));
+  std::uint64_t cumulative = 0;
   for (const auto& bucket : histogram::indexed(mBuckets->mHistogram)) {
-    seen += *bucket;
-    if (seen >= rank) {
+    cumulative += *bucket;
+    if (cumulative >= rank) {
       return Duration(std::llround(bucket.bin().center()));
     }
   }
--- a/src/core/trace/LatencyHistogram.h
+++ b/src/core/trace/LatencyHistogram.h
@@ -7,10 +7,10 @@
 
 namespace foxtailbarrow {
 
-/// Counts latencies from 1 us to 1,000 s in logarithmic buckets (by
-/// Boost.Histogram), so that a quantile is within 0.5% of the true one at a
-/// fixed size. Shorter and longer ones count as the nearest bound. Not
-/// synchronised: keep one a thread and Merge() them.
+/// A histogram of latencies from 1 us to 1,000 s with logarithmic buckets, so
+/// that quantiles are accurate to 0.5% at a fixed size. Values outside the
+/// range are clamped to it. Not thread-safe: keep one per thread and Merge()
+/// them.
 class LatencyHistogram
 {
 public:
@@ -24,8 +24,8 @@
 
   std::uint64_t Count() const { return mCount; }
 
-  /// Latency that a share `aShare`, 0..1, of the counted ones do not exceed; 0
-  /// when nothing was counted.
+  /// The quantile `aShare`, 0..1, of the recorded latencies; 0 if there are
+  /// none.
   Duration Quantile(double aShare) const;
 
 private:
--- a/src/core/trace/OutcomeCheck.cpp
+++ b/src/core/trace/OutcomeCheck.cpp
@@ -9,12 +9,14 @@
 
 namespace {
 
-OutcomeRow Told(std::string aName, std::int64_t aCount)
+OutcomeRow CountOnly(std::string aName, std::int64_t aCount)
 {
   return { std::move(aName), std::to_string(aCount), "", true };
 }
 
-OutcomeRow AtMost(std::string aName, std::int64_t aCount, std::int64_t aLimit)
+OutcomeRow ExpectAtMost(std::string aName,
+                        std::int64_t aCount,
+                        std::int64_t aLimit)
 {
   return { std::move(aName),
            std::to_string(aCount),
@@ -22,20 +24,20 @@
            aCount <= aLimit };
 }
 
-OutcomeRow Never(std::string aName, std::int64_t aCount)
+OutcomeRow ExpectZero(std::string aName, std::int64_t aCount)
 {
-  return AtMost(std::move(aName), aCount, 0);
+  return ExpectAtMost(std::move(aName), aCount, 0);
 }
 
-/// As Never(), of something that only the stand-ins can tell.
-OutcomeRow NeverAudited(std::string aName,
-                        std::int64_t aCount,
-                        const ReplayTotals& aTotals)
+/// As ExpectZero(), for a count that requires the audit of the stand-ins.
+OutcomeRow ExpectZeroAudited(std::string aName,
+                             std::int64_t aCount,
+                             const ReplayTotals& aTotals)
 {
   if (!aTotals.mAudited) {
     return { std::move(aName), "not checked", "", true };
   }
-  return Never(std::move(aName), aCount);
+  return ExpectZero(std::move(aName), aCount);
 }
 
 double Milliseconds(Duration aDuration)
@@ -50,7 +52,9 @@
   };
 }
 
-OutcomeRow LatencyAtMost(std::string aName, Duration aLatency, double aLimitMs)
+OutcomeRow ExpectLatencyAtMost(std::string aName,
+                               Duration aLatency,
+                               double aLimitMs)
 {
   OutcomeRow row = Latency(std::move(aName), aLatency);
   row.mExpected = absl::StrFormat("<= %.2f", aLimitMs);
@@ -69,10 +73,10 @@
   return absl::StrFormat("%d (%.2f%%)", aCount, 100.0 * aShare);
 }
 
-OutcomeRow ShareAtLeast(std::string aName,
-                        std::int64_t aCount,
-                        double aShare,
-                        double aLimit)
+OutcomeRow ExpectShareAtLeast(std::string aName,
+                              std::int64_t aCount,
+                              double aShare,
+                              double aLimit)
 {
   return { std::move(aName),
            CountAndShare(aCount, aShare),
@@ -85,7 +89,7 @@
 {
   const double share =
     aTotals.mRequests == 0 ? 1.0 : Share(aTotals.mAnswered, aTotals.mRequests);
-  return ShareAtLeast(
+  return ExpectShareAtLeast(
     "requests answered", aTotals.mAnswered, share, aExpected.mMinAnswered);
 }
 
@@ -105,10 +109,10 @@
   const std::int64_t submitted = aTotals.mJobs + aTotals.mJobsRefused;
   const double share =
     submitted == 0 ? 1.0 : Share(aTotals.mJobsAsExpected, submitted);
-  return ShareAtLeast("jobs ended as stated",
-                      aTotals.mJobsAsExpected,
-                      share,
-                      aExpected.mMinJobsAsExpected);
+  return ExpectShareAtLeast("jobs ended as stated",
+                            aTotals.mJobsAsExpected,
+                            share,
+                            aExpected.mMinJobsAsExpected);
 }
 
 } // namespace
@@ -117,31 +121,32 @@
                                       const ReplayTotals& aTotals)
 {
   std::vector<OutcomeRow> rows = {
-    Told("requests", aTotals.mRequests),
+    CountOnly("requests", aTotals.mRequests),
     AnsweredRow(aExpected, aTotals),
     NotRunRow(aExpected, aTotals),
-    Told("requests told may have run", aTotals.mMayHaveRun),
-    Told("requests failed by backend servers", aTotals.mErrors),
-    Told("retries", aTotals.mRetries),
-    Never("requests unanswered", aTotals.mUnanswered),
-    Never("wrong answers", aTotals.mWrongAnswers),
-    NeverAudited("told wrongly", aTotals.mRanDespiteNotRun, aTotals),
+    CountOnly("requests told may have run", aTotals.mMayHaveRun),
+    CountOnly("requests failed by backend servers", aTotals.mErrors),
+    CountOnly("retries", aTotals.mRetries),
+    ExpectZero("requests unanswered", aTotals.mUnanswered),
+    ExpectZero("wrong answers", aTotals.mWrongAnswers),
+    ExpectZeroAudited("told wrongly", aTotals.mRanDespiteNotRun, aTotals),
     Latency("latency p50 (ms)", aTotals.mP50),
-    LatencyAtMost("latency p99 (ms)", aTotals.mP99, aExpected.mMaxP99Ms),
+    ExpectLatencyAtMost("latency p99 (ms)", aTotals.mP99, aExpected.mMaxP99Ms),
     Latency("latency p99.9 (ms)", aTotals.mP999),
-    Told("contracts applied", aTotals.mContracts),
-    Told("jobs accepted", aTotals.mJobs),
-    Told("jobs refused", aTotals.mJobsRefused),
+    CountOnly("contracts applied", aTotals.mContracts),
+    CountOnly("jobs accepted", aTotals.mJobs),
+    CountOnly("jobs refused", aTotals.mJobsRefused),
     JobsRow(aExpected, aTotals),
-    AtMost("evictions", aTotals.mEvictions, aExpected.mMaxEvictions),
-    NeverAudited("lost requests", aTotals.mLostRequests, aTotals),
-    Never("lost jobs", aTotals.mLostJobs),
-    NeverAudited("doubled requests", aTotals.mRepeatedRequests, aTotals),
-    NeverAudited("doubled jobs", aTotals.mOverlappingJobs, aTotals),
-    NeverAudited("workers over-committed", aTotals.mOvercommitted, aTotals),
+    ExpectAtMost("evictions", aTotals.mEvictions, aExpected.mMaxEvictions),
+    ExpectZeroAudited("lost requests", aTotals.mLostRequests, aTotals),
+    ExpectZero("lost jobs", aTotals.mLostJobs),
+    ExpectZeroAudited("doubled requests", aTotals.mRepeatedRequests, aTotals),
+    ExpectZeroAudited("doubled jobs", aTotals.mOverlappingJobs, aTotals),
+    ExpectZeroAudited(
+      "workers over-committed", aTotals.mOvercommitted, aTotals),
   };
   for (const auto& [reason, count] : aTotals.mRefusals) {
-    rows.push_back(Told("attempts refused: " + reason, count));
+    rows.push_back(CountOnly("attempts refused: " + reason, count));
   }
   return rows;
 }
--- a/src/core/trace/OutcomeCheck.h
+++ b/src/core/trace/OutcomeCheck.h
@@ -9,22 +9,22 @@
 
 namespace foxtailbarrow {
 
-/// One row of the table that a replay prints.
+/// A row of the result table of a replay.
 struct OutcomeRow
 {
   std::string mName;
   std::string mMeasured;
-  std::string mExpected; ///< Empty where nothing is stated.
+  std::string mExpected; ///< Empty when no bound applies.
   bool mMet = true;
 };
 
-/// Compares what was seen with what was stated.
+/// Compares the totals of a replay with the expected outcomes.
 std::vector<OutcomeRow> CheckOutcomes(const ExpectedOutcomes& aExpected,
                                       const ReplayTotals& aTotals);
 
 bool AllMet(std::span<const OutcomeRow> aRows);
 
-/// Aligned table, with "missed" beside each row that is not met.
+/// Formats an aligned table that marks each row as "met" or "MISSED".
 std::string FormatOutcomes(std::span<const OutcomeRow> aRows);
 
 } // namespace foxtailbarrow
--- a/src/core/trace/QoimaShape.cpp
+++ b/src/core/trace/QoimaShape.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::int64_t kDurationMs = 22'000;
-constexpr std::int64_t kWiderAtMs = 7'000;
+constexpr std::int64_t kLimitChangeMs = 7'000;
 constexpr std::int64_t kFollowersEndMs = 19'000;
 
 Contract MakeContract(const char* aCustomer, const char* aTeam)
@@ -90,7 +90,7 @@
   return shape;
 }
 
-/// Asks for accelerators that no worker has.
+/// Declares accelerators that no worker has, and is therefore parked.
 JobShape ImpossibleScan()
 {
   JobShape shape = CatalogueScans(1);
@@ -125,7 +125,7 @@
   };
   shape.mCustomers.front().mContract.mUrgentAllowed = true;
   shape.mChanges = { WithDoubledLimits(shape.mCustomers.front().mContract,
-                                       kWiderAtMs) };
+                                       kLimitChangeMs) };
   return shape;
 }
 
--- a/src/core/trace/RequestAudit.cpp
+++ b/src/core/trace/RequestAudit.cpp
@@ -20,7 +20,7 @@
       }
     }
     if (!request.mIdempotent && allRuns > 1) {
-      ++audit.mDoubled;
+      ++audit.mRepeated;
     }
   }
   return audit;
--- a/src/core/trace/RequestAudit.h
+++ b/src/core/trace/RequestAudit.h
@@ -8,42 +8,42 @@
 
 namespace foxtailbarrow {
 
-/// How a caller was told that one attempt ended.
+/// Outcome of an attempt as the caller sees it.
 enum class AttemptEnd : std::uint8_t
 {
-  Answered,    ///< A whole answer to its own request.
-  Failed,      ///< A backend server's error, passed on.
-  NotRun,      ///< Told that it did not run.
-  MayHaveRun,  ///< Told that it may have run.
-  Unanswered,  ///< Broken off.
-  WrongAnswer, ///< An answer to another request, or a damaged one.
+  Answered,    ///< Complete, correct response.
+  Failed,      ///< Error response of a backend server.
+  NotRun,      ///< Verdict "not run".
+  MayHaveRun,  ///< Verdict "may have run".
+  Unanswered,  ///< Timeout or broken connection.
+  WrongAnswer, ///< Response to another request, or damaged.
 };
 
 struct Attempt
 {
   std::string mRequestId; ///< Unique over all attempts of all requests.
   AttemptEnd mEnd = AttemptEnd::Unanswered;
-  std::string mReason{}; ///< Why it was refused; empty when it was not.
+  std::string mReason{}; ///< Of a refusal; else empty.
 };
 
-/// A request of the trace as it was carried out.
+/// A replayed request with all its attempts.
 struct AttemptedRequest
 {
   bool mIdempotent = false;
   std::vector<Attempt> mAttempts;
 };
 
-/// How often each request id ran, over all backend servers.
+/// Number of executions by request id, over all backend servers.
 using ExecutionCounts = absl::flat_hash_map<std::string, std::int64_t>;
 
 struct RequestAudit
 {
-  std::int64_t mRanDespiteNotRun = 0; ///< Attempts told "not run" that ran.
-  std::int64_t mLost = 0;             ///< Attempts answered that never ran.
-  std::int64_t mDoubled = 0; ///< Requests, not idempotent, that ran twice.
+  std::int64_t mRanDespiteNotRun = 0; ///< Attempts.
+  std::int64_t mLost = 0;             ///< Answered attempts that never ran.
+  std::int64_t mRepeated = 0; ///< Non-idempotent requests that ran twice.
 };
 
-/// Compares what callers were told with what backend servers did.
+/// Compares the outcomes that callers saw with what backend servers executed.
 RequestAudit AuditRequests(const std::vector<AttemptedRequest>& aRequests,
                            const ExecutionCounts& aExecutions);
 
--- a/src/core/trace/TaskAudit.cpp
+++ b/src/core/trace/TaskAudit.cpp
@@ -14,7 +14,7 @@
   std::ranges::sort(runs, {}, [](const TaskRun* aRun) {
     return std::tie(aRun->mJob, aRun->mFrom);
   });
-  std::vector<std::string> doubled;
+  std::vector<std::string> overlapping;
   Instant latestEnd = Instant::min();
   for (std::size_t i = 0; i < runs.size(); ++i) {
     const bool isFirst = i == 0 || runs[i - 1]->mJob != runs[i]->mJob;
@@ -22,12 +22,12 @@
       latestEnd = Instant::min();
     }
     if (runs[i]->mFrom < latestEnd &&
-        (doubled.empty() || doubled.back() != runs[i]->mJob)) {
-      doubled.push_back(runs[i]->mJob);
+        (overlapping.empty() || overlapping.back() != runs[i]->mJob)) {
+      overlapping.push_back(runs[i]->mJob);
     }
     latestEnd = std::max(latestEnd, runs[i]->mUntil);
   }
-  return doubled;
+  return overlapping;
 }
 
 } // namespace foxtailbarrow
--- a/src/core/trace/TaskAudit.h
+++ b/src/core/trace/TaskAudit.h
@@ -9,7 +9,7 @@
 
 namespace foxtailbarrow {
 
-/// One stretch of time for which a worker ran a job.
+/// A run of a job on a worker.
 struct TaskRun
 {
   std::string mJob;
@@ -17,8 +17,9 @@
   Instant mUntil{}; ///< Exclusive; Instant::max() while it still runs.
 };
 
-/// Jobs of which two runs overlap, wherever they ran. The times must come from
-/// one clock. A run that begins when another ends does not overlap it.
+/// Finds the jobs with overlapping runs on any workers. All times must come
+/// from the same clock. A run that begins when another one ends does not
+/// overlap it.
 std::vector<std::string> FindOverlappingJobs(std::span<const TaskRun> aRuns);
 
 } // namespace foxtailbarrow
--- a/src/core/trace/Trace.h
+++ b/src/core/trace/Trace.h
@@ -12,8 +12,8 @@
 
 namespace foxtailbarrow {
 
-/// A recorded or generated stretch of work. The text form, JSON lines, is
-/// documented in docs/TRACES.md.
+/// A recorded or generated workload. docs/TRACES.md describes its text format,
+/// JSON lines.
 struct Trace
 {
   TraceHeader mHeader;
@@ -22,14 +22,14 @@
   bool operator==(const Trace&) const = default;
 };
 
-/// Reads a whole trace. Strict: InvalidArgument lists the first problems, each
-/// with its line number, field, the value found and what is allowed. Checks
-/// each line and what the lines mean together: one header, first; times that
-/// never descend and lie within the duration; job ids used once; cancels of
-/// earlier jobs alone.
+/// Parses a trace strictly. InvalidArgument lists the first problems with line
+/// number, field, value found and values allowed. Besides each line, checks
+/// that the header is the first line and the only one, times do not decrease
+/// and lie within the duration, job ids are unique, and only earlier jobs are
+/// cancelled.
 absl::StatusOr<Trace> ParseTrace(std::string_view aText);
 
-/// Reverse of ParseTrace().
+/// Inverse of ParseTrace().
 std::string FormatTrace(const Trace& aTrace);
 
 } // namespace foxtailbarrow
--- a/src/core/trace/TraceEvents.h
+++ b/src/core/trace/TraceEvents.h
@@ -10,8 +10,8 @@
 #include "foxtailbarrow/Job.h"
 #include "foxtailbarrow/Resources.h"
 
-/// The lines of a trace after its header. Every `mAtMs` counts milliseconds
-/// from the start of the trace.
+/// The lines of a trace after its header. Every `mAtMs` is in milliseconds from
+/// the start of the trace.
 namespace foxtailbarrow {
 
 /// A caller's HTTP request.
@@ -22,14 +22,14 @@
   std::string mMethod;
   std::string mPath;
   std::int64_t mBodyBytes = 0;
-  bool mIdempotent = false; ///< Marked by the caller, whatever the method.
+  bool mIdempotent = false; ///< Marked by the caller for any method.
   std::int64_t mDeadlineMs = 0;
-  std::int64_t mServiceUs = 0; ///< Time that the backend server spends on it.
+  std::int64_t mServiceUs = 0; ///< Service time on the backend server.
 
   bool operator==(const TraceRequest&) const = default;
 };
 
-/// A job that is submitted, with what it really does beside what it declares.
+/// A job submission, with the real behaviour of the job and what it declares.
 struct TraceJob
 {
   std::int64_t mAtMs = 0;
@@ -43,12 +43,12 @@
   Resources mUsed;         ///< Real.
   std::string mProgram;
   bool mFails = false;                     ///< Ends without success.
-  JobState mEndState = JobState::Finished; ///< Stated outcome.
+  JobState mEndState = JobState::Finished; ///< Expected outcome.
 
   bool operator==(const TraceJob&) const = default;
 };
 
-/// The customer cancels a job of an earlier line.
+/// A cancellation of a job of an earlier line.
 struct TraceCancel
 {
   std::int64_t mAtMs = 0;
@@ -57,7 +57,7 @@
   bool operator==(const TraceCancel&) const = default;
 };
 
-/// An operator puts a contract in force.
+/// A contract applied by an operator.
 struct TraceContract
 {
   std::int64_t mAtMs = 0;
@@ -69,11 +69,11 @@
 using TraceEvent =
   std::variant<TraceRequest, TraceJob, TraceCancel, TraceContract>;
 
-/// When the event is due, in milliseconds from the start of the trace.
+/// Due time of the event in milliseconds from the start of the trace.
 std::int64_t AtMs(const TraceEvent& aEvent);
 
-/// What is sent to an entry for the job. The program's arguments tell the
-/// platform's worker stand-in what the job really does.
+/// The specification submitted to an entry. Its program arguments define the
+/// real behaviour of the job for the worker stand-in.
 JobSpec ToJobSpec(const TraceJob& aJob);
 
 } // namespace foxtailbarrow
--- a/src/core/trace/TraceGenerator.cpp
+++ b/src/core/trace/TraceGenerator.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000.0;
-/// Spread of service times: the slowest percent takes about five times as long
-/// as the median.
+/// Sigma of the log-normal service times: the 99th percentile is about five
+/// times the median.
 constexpr double kServiceSigma = 0.7;
 constexpr double kMaxServiceFactor = 12.0;
 constexpr std::int64_t kPathNumbers = 5'000;
@@ -50,7 +50,7 @@
   }
 
 private:
-  /// 1 at both ends of the trace, the rush factor in the middle.
+  /// 1 at both ends of the trace, mPeakFactor in the middle.
   double LoadFactor(double aAtMs) const
   {
     const double angle =
@@ -59,7 +59,7 @@
     return 1.0 + (mShape.mPeakFactor - 1.0) * rise;
   }
 
-  /// Poisson arrivals at the peak rate, thinned to the rate of the moment.
+  /// Poisson arrivals at the peak rate, thinned to the current rate.
   void AddRequests(const CustomerShape& aCustomer)
   {
     const double peakPerMs =
@@ -94,10 +94,10 @@
     for (const RequestShape& shape : aShapes) {
       total += shape.mWeight;
     }
-    double left = absl::Uniform(Random(), 0.0, total);
+    double remaining = absl::Uniform(Random(), 0.0, total);
     for (const RequestShape& shape : aShapes) {
-      left -= shape.mWeight;
-      if (left < 0.0) {
+      remaining -= shape.mWeight;
+      if (remaining < 0.0) {
         return shape;
       }
     }
--- a/src/core/trace/TraceGenerator.h
+++ b/src/core/trace/TraceGenerator.h
@@ -7,10 +7,10 @@
 
 namespace foxtailbarrow {
 
-/// A trace in the shape of a deployment: Poisson arrivals whose rate rises to
-/// a rush in the middle, service times with a long tail, jobs at random times,
-/// real sizes and run times unlike the declared ones. Equal seeds give equal
-/// traces with the same version of the libraries.
+/// Generates a trace with the shape of a deployment: Poisson arrivals with a
+/// load peak in the middle, long-tailed service times, jobs at random times,
+/// real sizes and run times that differ from the declared ones. Equal seeds
+/// give equal traces with the same version of the libraries.
 Trace GenerateTrace(const DeploymentShape& aShape, std::uint64_t aSeed);
 
 } // namespace foxtailbarrow
--- a/src/core/trace/TraceHeader.h
+++ b/src/core/trace/TraceHeader.h
@@ -7,7 +7,7 @@
 
 namespace foxtailbarrow {
 
-/// Format that this version reads and writes.
+/// Version of the trace format that is read and written.
 inline constexpr std::uint32_t kTraceFormat = 1;
 
 /// First line of a trace.
@@ -15,7 +15,7 @@
 {
   std::uint32_t mFormat = kTraceFormat;
   std::string mDeployment;
-  std::uint64_t mSeed = 0; ///< Of the generator; 0 for a recorded trace.
+  std::uint64_t mSeed = 0; ///< Generator seed; 0 for a recorded trace.
   std::int64_t mDurationMs = 0;
   ExpectedOutcomes mOutcomes;
 
--- a/src/core/trace/TraceParser.cpp
+++ b/src/core/trace/TraceParser.cpp
@@ -46,30 +46,33 @@
                         aLine.mContract->mDocument.mContract };
 }
 
-/// Reads one trace, line by line, and collects the problems.
+/// Parses a trace line by line and collects the problems.
 class TraceParser
 {
 public:
-  void Add(std::string_view aLine)
+  void ParseLine(std::string_view aLine)
   {
     ++mNumber;
     const absl::StatusOr<Json::Value> value = ParseJson(aLine);
     if (!value.ok()) {
-      Note(std::string(value.status().message()));
+      AddProblem(std::string(value.status().message()));
       return;
     }
     FieldProblems problems;
     TraceLine line;
     detail::ObjectReader::ReadRoot(*value, line, problems);
     for (const FieldProblem& problem : problems) {
-      Note(ToString(problem));
+      AddProblem(ToString(problem));
     }
     if (problems.empty()) {
-      Take(std::move(line));
+      AddLine(std::move(line));
     }
   }
 
-  bool Full() const { return mProblems.size() >= kMaxReportedProblems; }
+  bool HasMaxProblems() const
+  {
+    return mProblems.size() >= kMaxReportedProblems;
+  }
 
   absl::StatusOr<Trace> Finish()
   {
@@ -83,40 +86,42 @@
   }
 
 private:
-  void Note(const std::string& aProblem)
+  void AddProblem(const std::string& aProblem)
   {
     mProblems.push_back(absl::StrCat("line ", mNumber, ": ", aProblem));
   }
 
-  void Complain(std::string aField, std::string aFound, std::string aAllowed)
+  void AddFieldProblem(std::string aField,
+                       std::string aFound,
+                       std::string aAllowed)
   {
-    Note(ToString(FieldProblem{
+    AddProblem(ToString(FieldProblem{
       std::move(aField), std::move(aFound), std::move(aAllowed) }));
   }
 
-  void Take(TraceLine aLine)
+  void AddLine(TraceLine aLine)
   {
     if (MembersSet(aLine) != 1) {
-      Complain("line",
-               absl::StrCat(MembersSet(aLine), " members"),
-               std::string(kLineAllowed));
+      AddFieldProblem("line",
+                      absl::StrCat(MembersSet(aLine), " members"),
+                      std::string(kLineAllowed));
       return;
     }
     const bool isFirst = mNumber == 1;
     if (isFirst != aLine.mHeader.has_value()) {
-      Complain("line",
-               isFirst ? "no header" : "a second header",
-               "the header on line 1 and nowhere else");
+      AddFieldProblem("line",
+                      isFirst ? "no header" : "a second header",
+                      "the header on line 1 only");
       return;
     }
     if (aLine.mHeader) {
       mTrace.mHeader = *std::move(aLine.mHeader);
       return;
     }
-    TakeEvent(ToEvent(std::move(aLine)));
+    AddEvent(ToEvent(std::move(aLine)));
   }
 
-  void TakeEvent(TraceEvent aEvent)
+  void AddEvent(TraceEvent aEvent)
   {
     CheckTime(AtMs(aEvent));
     std::visit([this](const auto& aLine) { Check(aLine); }, aEvent);
@@ -127,13 +132,13 @@
   {
     const std::int64_t end = mTrace.mHeader.mDurationMs;
     if (aAtMs < mLatestMs || aAtMs > end) {
-      Complain("atMs",
-               std::to_string(aAtMs),
-               absl::StrCat(mLatestMs,
-                            "..",
-                            end,
-                            " (not before the line above, within the"
-                            " header's durationMs)"));
+      AddFieldProblem("atMs",
+                      std::to_string(aAtMs),
+                      absl::StrCat(mLatestMs,
+                                   "..",
+                                   end,
+                                   " (not before the previous line, within"
+                                   " the header's durationMs)"));
       return;
     }
     mLatestMs = aAtMs;
@@ -142,19 +147,20 @@
   void Check(const TraceRequest& aRequest)
   {
     if (std::ranges::find(kMethods, aRequest.mMethod) == std::end(kMethods)) {
-      Complain("request.method",
-               aRequest.mMethod,
-               "GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS");
+      AddFieldProblem("request.method",
+                      aRequest.mMethod,
+                      "GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS");
     }
     if (!aRequest.mPath.starts_with('/') || !IsTarget(aRequest.mPath)) {
-      Complain("request.path",
-               aRequest.mPath,
-               "a path that starts with /, without blanks");
+      AddFieldProblem("request.path",
+                      aRequest.mPath,
+                      "a path that starts with / and contains no blanks");
     }
     if (aRequest.mPath.starts_with("/foxtailbarrow/")) {
-      Complain("request.path",
-               aRequest.mPath,
-               "a path outside /foxtailbarrow/, which is not forwarded");
+      AddFieldProblem(
+        "request.path",
+        aRequest.mPath,
+        "a path outside /foxtailbarrow/, which entries do not forward");
     }
   }
 
@@ -168,29 +174,33 @@
   void Check(const TraceJob& aJob)
   {
     if (!mJobs.insert(aJob.mId.Value()).second) {
-      Complain("job.id", aJob.mId.Value(), "an id that no line above uses");
+      AddFieldProblem(
+        "job.id", aJob.mId.Value(), "an id not used by an earlier line");
     }
     if (aJob.mKind != JobKind::Standing && aJob.mRunMs == 0) {
-      Complain("job.runMs", "0", "at least 1 unless the kind is standing");
+      AddFieldProblem(
+        "job.runMs", "0", "at least 1 unless the kind is standing");
     }
     if (!IsFinal(aJob.mEndState) && aJob.mEndState != JobState::Parked) {
-      Complain("job.endState",
-               std::string(ToString(aJob.mEndState)),
-               "finished, failed, cancelled, parked");
+      AddFieldProblem("job.endState",
+                      std::string(ToString(aJob.mEndState)),
+                      "finished, failed, cancelled, parked");
     }
   }
 
   void Check(const TraceCancel& aCancel)
   {
     if (!mJobs.contains(aCancel.mJob.Value())) {
-      Complain("cancel.job", aCancel.mJob.Value(), "a job of a line above");
+      AddFieldProblem("cancel.job",
+                      aCancel.mJob.Value(),
+                      "the id of a job on an earlier line");
     }
   }
 
   void Check(const TraceContract& aContract)
   {
     for (const FieldProblem& problem : CheckContract(aContract.mContract)) {
-      Note("contract.document." + ToString(problem));
+      AddProblem("contract.document." + ToString(problem));
     }
   }
 
@@ -206,9 +216,9 @@
 absl::StatusOr<Trace> ParseTrace(std::string_view aText)
 {
   TraceParser parser;
-  while (!aText.empty() && !parser.Full()) {
+  while (!aText.empty() && !parser.HasMaxProblems()) {
     const std::size_t end = aText.find('\n');
-    parser.Add(aText.substr(0, end));
+    parser.ParseLine(aText.substr(0, end));
     aText.remove_prefix(end == std::string_view::npos ? aText.size() : end + 1);
   }
   return parser.Finish();
--- a/src/core/trace/TrasowkaShape.cpp
+++ b/src/core/trace/TrasowkaShape.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::int64_t kDurationMs = 22'000;
-constexpr std::int64_t kWiderAtMs = 7'000;
+constexpr std::int64_t kLimitChangeMs = 7'000;
 constexpr std::int64_t kWatchersEndMs = 19'000;
 constexpr Range kAnyTimeMs{ 500, 16'000 };
 
@@ -82,8 +82,8 @@
   return shape;
 }
 
-/// Declares more than any worker has: it must be parked, and nothing waits
-/// behind it.
+/// Declares more than the capacity of any worker. Must be parked without
+/// blocking other jobs.
 JobShape TooLargeReport()
 {
   JobShape shape = DeductionReports(1);
@@ -122,7 +122,7 @@
   };
   shape.mCustomers.front().mContract.mUrgentAllowed = true;
   shape.mChanges = { WithDoubledLimits(shape.mCustomers.front().mContract,
-                                       kWiderAtMs) };
+                                       kLimitChangeMs) };
   return shape;
 }
 
--- a/src/core/trace/detail/TraceFields.h
+++ b/src/core/trace/detail/TraceFields.h
@@ -7,7 +7,7 @@
 #include "src/core/trace/TraceEvents.h"
 #include "src/core/trace/TraceHeader.h"
 
-/// Tables of fields of a trace's lines, for the readers and writers of
+/// Field tables of the lines of a trace, for the readers and writers of
 /// src/core/message.
 namespace foxtailbarrow::detail {
 
@@ -88,7 +88,7 @@
   aVisitor.Required("job", aMessage.mJob, kPlainId);
 }
 
-/// The contract as an operator writes it.
+/// The contract document as operators write it.
 struct TraceContractDocument
 {
   Contract mContract;
@@ -100,7 +100,7 @@
   DocumentFields(aVisitor, aMessage.mContract);
 }
 
-/// A line as it stands in the text: exactly one member is set.
+/// A line of the text form; exactly one member is set.
 struct TraceContractLine
 {
   std::int64_t mAtMs = 0;
--- a/standins/backend/BackendService.cpp
+++ b/standins/backend/BackendService.cpp
@@ -145,9 +145,9 @@
   Json::Value object(Json::objectValue);
   object["total"] = Json::UInt64{ counts.mTotal };
   object["distinct"] = Json::UInt64{ counts.mDistinct };
-  object["doubled"] = Json::UInt64{ counts.mDoubled };
+  object["doubled"] = Json::UInt64{ counts.mRepeated };
   object["doubledIds"] = Json::Value(Json::arrayValue);
-  for (const std::string& id : counts.mDoubledIds) {
+  for (const std::string& id : counts.mRepeatedIds) {
     object["doubledIds"].append(id);
   }
   object["peakInProgress"] = Json::Int{ mPeak.load() };
--- a/standins/backend/ExecutionCounter.cpp
+++ b/standins/backend/ExecutionCounter.cpp
@@ -29,9 +29,9 @@
       if (runs < 2) {
         continue;
       }
-      ++counts.mDoubled;
-      if (counts.mDoubledIds.size() < kMaxListedIds) {
-        counts.mDoubledIds.push_back(id);
+      ++counts.mRepeated;
+      if (counts.mRepeatedIds.size() < kMaxListedIds) {
+        counts.mRepeatedIds.push_back(id);
       }
     }
   }
--- a/standins/backend/ExecutionCounter.h
+++ b/standins/backend/ExecutionCounter.h
@@ -16,9 +16,9 @@
 struct ExecutionCounts
 {
   std::uint64_t mTotal = 0;
-  std::uint64_t mDistinct = 0;          ///< Distinct request ids.
-  std::uint64_t mDoubled = 0;           ///< Ids that ran more than once.
-  std::vector<std::string> mDoubledIds; ///< The first few of them.
+  std::uint64_t mDistinct = 0;           ///< Distinct request ids.
+  std::uint64_t mRepeated = 0;           ///< Ids that ran more than once.
+  std::vector<std::string> mRepeatedIds; ///< The first few of them.
 };
 
 /// Counts how often each request id ran. Safe for use by several threads.
--- a/standins/worker/TaskRunner.cpp
+++ b/standins/worker/TaskRunner.cpp
@@ -164,7 +164,7 @@
     return status;
   }
   mHighest[key.mJob] = key.mEpoch;
-  mDoubled += RunsOtherEpoch(key) ? 1 : 0;
+  mOverlapping += RunsOtherEpoch(key) ? 1 : 0;
   Run& run = mRuns[key];
   run.mStatus.mKey = key;
   run.mStatus.mCustomer = aStart.mCustomer;
--- a/standins/worker/TaskRunner.h
+++ b/standins/worker/TaskRunner.h
@@ -52,7 +52,7 @@
   const std::vector<TaskEvent>& Events() const { return mEvents; }
 
   /// How often a job started while another epoch of it was running here.
-  std::size_t Doubled() const { return mDoubled; }
+  std::size_t Overlapping() const { return mOverlapping; }
 
   /// How often a start made the running tasks exceed the capacity.
   std::size_t Overcommitted() const { return mOvercommitted; }
@@ -90,7 +90,7 @@
   std::map<JobId, Epoch> mHighest; ///< Never erased: fences late starts.
   std::set<TaskKey> mEndedKeys;    ///< Keys that must not run again.
   std::vector<TaskEvent> mEvents;
-  std::size_t mDoubled = 0;
+  std::size_t mOverlapping = 0;
   std::size_t mOvercommitted = 0;
 };
 
--- a/standins/worker/WorkerService.cpp
+++ b/standins/worker/WorkerService.cpp
@@ -175,7 +175,7 @@
   mRunner.Advance(MonotonicNow());
   Json::Value object(Json::objectValue);
   object["events"] = Json::UInt64{ mRunner.Events().size() };
-  object["doubled"] = Json::UInt64{ mRunner.Doubled() };
+  object["doubled"] = Json::UInt64{ mRunner.Overlapping() };
   object["overcommitted"] = Json::UInt64{ mRunner.Overcommitted() };
   return object;
 }
--- a/tests/soak/PromiseCheckerTest.cpp
+++ b/tests/soak/PromiseCheckerTest.cpp
@@ -234,7 +234,7 @@
                   CrashCase{ "work=100", 2, true, true },
                   CrashCase{ "work=100", 1, true, false }));
 
-TEST(PromiseCheckerMissingTest, AnAcceptedJobHasToEnd)
+TEST(PromiseCheckerEnd, AnAcceptedJobHasToEnd)
 {
   Scenario scenario;
   EXPECT_EQ(scenario.Checker().Missing().size(), 1U);
@@ -243,7 +243,7 @@
   EXPECT_TRUE(scenario.Checker().Missing().empty());
 }
 
-TEST(PromiseCheckerMissingTest, ACancelledJobHasToStop)
+TEST(PromiseCheckerEnd, ACancelledJobHasToStop)
 {
   Scenario scenario;
   scenario.Start("x");
--- a/tests/soak/ServingMeterTest.cpp
+++ b/tests/soak/ServingMeterTest.cpp
@@ -23,8 +23,7 @@
   std::size_t mOverTarget; ///< OverTarget events within 7 s.
 };
 
-class ServingTaskInterferenceTest
-  : public testing::TestWithParam<InterferenceCase>
+class PressedServingTaskTest : public testing::TestWithParam<InterferenceCase>
 {
 protected:
   /// A best-effort image with heavy interference at mNow.
@@ -56,17 +55,17 @@
 
   /// The interference stays the same until 1020 s.
   Instant mNow{ seconds(1011) };
-  std::vector<RunEvent> mOver;
+  std::vector<RunEvent> mOverTargetEvents;
   TaskWorkerModel mWorker{ { .mThrottleDelay = milliseconds(100) },
                            mNow,
                            [this](const RunEvent& aEvent) {
                              if (aEvent.mKind == RunEventKind::OverTarget) {
-                               mOver.push_back(aEvent);
+                               mOverTargetEvents.push_back(aEvent);
                              }
                            } };
 };
 
-TEST_P(ServingTaskInterferenceTest,
+TEST_P(PressedServingTaskTest,
        IsReportedOverTargetUnlessTheColocatedTasksAreStopped)
 {
   const Instant start = mNow;
@@ -81,16 +80,16 @@
       { { JobId("leftover"), 0, 0, index }, 1, GetParam().mPercent, 0 }, mNow);
   }
   Advance(seconds(6));
-  EXPECT_EQ(mOver.size(), GetParam().mOverTarget);
-  if (!mOver.empty()) {
-    EXPECT_LE(mOver[0].mAt - start, milliseconds(100));
+  EXPECT_EQ(mOverTargetEvents.size(), GetParam().mOverTarget);
+  if (!mOverTargetEvents.empty()) {
+    EXPECT_LE(mOverTargetEvents[0].mAt - start, milliseconds(100));
     EXPECT_GT(mWorker.View(mNow).mRunning.back().mFigure, kServingTargetMs);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Table,
-  ServingTaskInterferenceTest,
+  PressedServingTaskTest,
   testing::Values(InterferenceCase{ "NotThrottled", 100, 1 },
                   InterferenceCase{ "Stopped", 0, 0 }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
--- a/tests/trace/AuditTest.cpp
+++ b/tests/trace/AuditTest.cpp
@@ -15,7 +15,7 @@
   ExecutionCounts mExecutions;
   std::int64_t mRanDespiteNotRun = 0;
   std::int64_t mLost = 0;
-  std::int64_t mDoubled = 0;
+  std::int64_t mRepeated = 0;
 
   friend void PrintTo(const RequestCase& aCase, std::ostream* aOut)
   {
@@ -26,14 +26,14 @@
 class RequestAudited : public testing::TestWithParam<RequestCase>
 {};
 
-TEST_P(RequestAudited, ComparesWhatWasToldWithWhatRan)
+TEST_P(RequestAudited, ComparesOutcomesWithExecutions)
 {
   const RequestCase& row = GetParam();
   const RequestAudit audit =
     AuditRequests({ { row.mIdempotent, row.mAttempts } }, row.mExecutions);
   EXPECT_EQ(audit.mRanDespiteNotRun, row.mRanDespiteNotRun);
   EXPECT_EQ(audit.mLost, row.mLost);
-  EXPECT_EQ(audit.mDoubled, row.mDoubled);
+  EXPECT_EQ(audit.mRepeated, row.mRepeated);
 }
 
 constexpr AttemptEnd kAnswered = AttemptEnd::Answered;
@@ -42,8 +42,12 @@
 
 const RequestCase kRequestCases[] = {
   { "answered once", false, { { "a", kAnswered } }, { { "a", 1 } } },
-  { "told not run", false, { { "a", kNotRun } }, {} },
-  { "told not run, but ran", false, { { "a", kNotRun } }, { { "a", 1 } }, 1 },
+  { "not run", false, { { "a", kNotRun } }, {} },
+  { "verdict not run, but ran",
+    false,
+    { { "a", kNotRun } },
+    { { "a", 1 } },
+    1 },
   { "answered, but never ran", false, { { "a", kAnswered } }, {}, 0, 1 },
   { "ran on two servers",
     false,
@@ -75,7 +79,7 @@
 {
   std::string mName;
   std::vector<TaskRun> mRuns;
-  std::vector<std::string> mDoubled;
+  std::vector<std::string> mOverlapping;
 
   friend void PrintTo(const RunCase& aCase, std::ostream* aOut)
   {
@@ -93,20 +97,18 @@
 
 TEST_P(TasksAudited, FindsOverlappingRunsOfAJob)
 {
-  EXPECT_EQ(FindOverlappingJobs(GetParam().mRuns), GetParam().mDoubled);
+  EXPECT_EQ(FindOverlappingJobs(GetParam().mRuns), GetParam().mOverlapping);
 }
 
 const RunCase kRunCases[] = {
   { "nothing", {}, {} },
-  { "one after the other",
-    { { "j", At(5), At(9) }, { "j", At(1), At(5) } },
-    {} },
-  { "at once", { { "j", At(1), At(6) }, { "j", At(5), At(9) } }, { "j" } },
-  { "two jobs at once", { { "j", At(1), At(6) }, { "k", At(1), At(6) } }, {} },
+  { "consecutive", { { "j", At(5), At(9) }, { "j", At(1), At(5) } }, {} },
+  { "overlapping", { { "j", At(1), At(6) }, { "j", At(5), At(9) } }, { "j" } },
+  { "runs of two jobs", { { "j", At(1), At(6) }, { "k", At(1), At(6) } }, {} },
   { "still running",
     { { "j", At(1), Instant::max() }, { "j", At(70), At(80) } },
     { "j" } },
-  { "a short one within a long one, then a third",
+  { "third run overlaps the first only",
     { { "j", At(1), At(50) }, { "j", At(2), At(3) }, { "j", At(40), At(60) } },
     { "j" } },
 };
--- a/tests/trace/LatencyHistogramTest.cpp
+++ b/tests/trace/LatencyHistogramTest.cpp
@@ -32,24 +32,24 @@
   std::ranges::sort(latencies);
   for (const double share : { 0.0, 0.5, 0.99, 0.999, 1.0 }) {
     const auto exact = static_cast<double>(Exact(latencies, share).count());
-    const auto told = static_cast<double>(left.Quantile(share).count());
-    // One microsecond beside the share, since quantiles are whole ones.
-    RC_ASSERT(std::abs(told - exact) <= exact * kRelativeError + 1.0);
+    const auto quantile = static_cast<double>(left.Quantile(share).count());
+    // One microsecond more, as quantiles are rounded to microseconds.
+    RC_ASSERT(std::abs(quantile - exact) <= exact * kRelativeError + 1.0);
   }
 }
 
-TEST(LatencyHistogram, IsZeroWhenNothingWasCounted)
+TEST(LatencyHistogram, IsZeroWhenEmpty)
 {
   EXPECT_EQ(LatencyHistogram().Quantile(0.99), Duration{});
 }
 
-struct Extreme
+struct OutOfRangeCase
 {
   Duration mLatency;
-  Duration mTold;
+  Duration mClamped;
 };
 
-class LatencyOutside : public testing::TestWithParam<Extreme>
+class LatencyOutside : public testing::TestWithParam<OutOfRangeCase>
 {};
 
 TEST_P(LatencyOutside, CountsAsTheNearestBound)
@@ -57,18 +57,18 @@
   LatencyHistogram histogram;
   histogram.Record(GetParam().mLatency);
   EXPECT_EQ(histogram.Count(), 1U);
-  const double told = static_cast<double>(histogram.Quantile(0.5).count());
-  const double bound = static_cast<double>(GetParam().mTold.count());
-  EXPECT_NEAR(told, bound, bound * kRelativeError);
+  const double quantile = static_cast<double>(histogram.Quantile(0.5).count());
+  const double bound = static_cast<double>(GetParam().mClamped.count());
+  EXPECT_NEAR(quantile, bound, bound * kRelativeError);
 }
 
-INSTANTIATE_TEST_SUITE_P(Table,
-                         LatencyOutside,
-                         testing::Values(Extreme{ Duration(0), Duration(1) },
-                                         Extreme{ Duration(-5), Duration(1) },
-                                         Extreme{
-                                           std::chrono::hours(9),
-                                           std::chrono::seconds(1000) }));
+INSTANTIATE_TEST_SUITE_P(
+  Table,
+  LatencyOutside,
+  testing::Values(OutOfRangeCase{ Duration(0), Duration(1) },
+                  OutOfRangeCase{ Duration(-5), Duration(1) },
+                  OutOfRangeCase{ std::chrono::hours(9),
+                                  std::chrono::seconds(1000) }));
 
 } // namespace
 } // namespace foxtailbarrow
--- a/tests/trace/OutcomeCheckTest.cpp
+++ b/tests/trace/OutcomeCheckTest.cpp
@@ -6,7 +6,7 @@
 namespace foxtailbarrow {
 namespace {
 
-const ExpectedOutcomes kStated{ 100.0, 0.99, 0.01, 0.95, 3, 1'000 };
+const ExpectedOutcomes kExpected{ 100.0, 0.99, 0.01, 0.95, 3, 1'000 };
 
 ReplayTotals GoodTotals()
 {
@@ -24,20 +24,20 @@
 
 TEST(Outcomes, AreMetAtTheirBounds)
 {
-  EXPECT_TRUE(AllMet(CheckOutcomes(kStated, GoodTotals())));
-  EXPECT_TRUE(AllMet(CheckOutcomes(kStated, ReplayTotals{})));
+  EXPECT_TRUE(AllMet(CheckOutcomes(kExpected, GoodTotals())));
+  EXPECT_TRUE(AllMet(CheckOutcomes(kExpected, ReplayTotals{})));
 }
 
-TEST(Outcomes, ClaimNothingThatWasNotChecked)
+TEST(Outcomes, MarkWhatWasNotAudited)
 {
   ReplayTotals totals = GoodTotals();
   totals.mAudited = false;
-  for (const OutcomeRow& row : CheckOutcomes(kStated, totals)) {
-    const bool needsStandIns =
+  for (const OutcomeRow& row : CheckOutcomes(kExpected, totals)) {
+    const bool requiresAudit =
       row.mName == "lost requests" || row.mName == "doubled requests" ||
       row.mName == "doubled jobs" || row.mName == "told wrongly" ||
       row.mName == "workers over-committed";
-    EXPECT_EQ(row.mMeasured == "not checked", needsStandIns) << row.mName;
+    EXPECT_EQ(row.mMeasured == "not checked", requiresAudit) << row.mName;
   }
 }
 
@@ -45,30 +45,30 @@
 {
   ReplayTotals totals = GoodTotals();
   totals.mRefusals["rate-limit"] = 12;
-  const std::string text = FormatOutcomes(CheckOutcomes(kStated, totals));
+  const std::string text = FormatOutcomes(CheckOutcomes(kExpected, totals));
   EXPECT_THAT(text, testing::HasSubstr("attempts refused: rate-limit"));
   EXPECT_THAT(text, testing::Not(testing::HasSubstr(" \n")));
 }
 
-struct Miss
+struct MissedCase
 {
   std::string mRow;
-  void (*mBreak)(ReplayTotals&);
+  void (*mWorsen)(ReplayTotals&);
 
-  friend void PrintTo(const Miss& aMiss, std::ostream* aOut)
+  friend void PrintTo(const MissedCase& aMiss, std::ostream* aOut)
   {
     *aOut << aMiss.mRow;
   }
 };
 
-class OutcomeMissed : public testing::TestWithParam<Miss>
+class OutcomeMissed : public testing::TestWithParam<MissedCase>
 {};
 
 TEST_P(OutcomeMissed, FailsAndIsNamed)
 {
   ReplayTotals totals = GoodTotals();
-  GetParam().mBreak(totals);
-  const std::vector<OutcomeRow> rows = CheckOutcomes(kStated, totals);
+  GetParam().mWorsen(totals);
+  const std::vector<OutcomeRow> rows = CheckOutcomes(kExpected, totals);
   EXPECT_FALSE(AllMet(rows));
   for (const OutcomeRow& row : rows) {
     EXPECT_EQ(row.mMet, row.mName != GetParam().mRow) << row.mName;
@@ -76,7 +76,7 @@
   EXPECT_THAT(FormatOutcomes(rows), testing::HasSubstr("MISSED"));
 }
 
-const Miss kMisses[] = {
+const MissedCase kMisses[] = {
   { "latency p99 (ms)",
     [](ReplayTotals& aTotals) { aTotals.mP99 += Duration(1); } },
   { "requests answered", [](ReplayTotals& aTotals) { --aTotals.mAnswered; } },
--- a/tests/trace/ReplayBooksTest.cpp
+++ b/tests/trace/ReplayTest.cpp
@@ -19,26 +19,26 @@
   return line;
 }
 
-TEST(JobTracker, CountsAsStatedWhatEndedAsItsLineSays)
+TEST(JobTracker, CountsJobsInTheirExpectedEndState)
 {
-  JobTracker book;
-  book.Accept(Line("a", JobState::Finished), "c.1");
-  book.Accept(Line("b", JobState::Parked), "c.2");
-  book.Accept(Line("c", JobState::Finished), "c.3");
-  book.Accept(Line("d", JobState::Finished), "c.4");
-  book.Refuse(Line("e", JobState::Finished));
-  book.OnState(JobId("a"), JobState::Finished, "", 2);
-  book.OnState(JobId("b"), JobState::Parked, "", 0);
-  book.OnState(JobId("c"), JobState::Failed, "", 1);
-  book.OnUnknown(JobId("d"));
+  JobTracker tracker;
+  tracker.OnAccepted(Line("a", JobState::Finished), "c.1");
+  tracker.OnAccepted(Line("b", JobState::Parked), "c.2");
+  tracker.OnAccepted(Line("c", JobState::Finished), "c.3");
+  tracker.OnAccepted(Line("d", JobState::Finished), "c.4");
+  tracker.OnRefused(Line("e", JobState::Finished));
+  tracker.OnState(JobId("a"), JobState::Finished, "", 2);
+  tracker.OnState(JobId("b"), JobState::Parked, "", 0);
+  tracker.OnState(JobId("c"), JobState::Failed, "", 1);
+  tracker.OnUnknown(JobId("d"));
   ReplayTotals totals;
-  book.AddTo(totals);
+  tracker.AddTo(totals);
   EXPECT_EQ(totals.mJobs, 4);
   EXPECT_EQ(totals.mJobsRefused, 1);
   EXPECT_EQ(totals.mJobsAsExpected, 2);
   EXPECT_EQ(totals.mLostJobs, 1);
   EXPECT_EQ(totals.mEvictions, 3);
-  EXPECT_EQ(book.Open().size(), 2U);
+  EXPECT_EQ(tracker.Open().size(), 2U);
 }
 
 TEST(StandInAudit, ReadsRunsFromAWorkersEvents)
@@ -58,18 +58,18 @@
   EXPECT_FALSE(RunsOf(Json::Value("text")).ok());
 }
 
-struct BadLine
+struct BadCommandLine
 {
   std::vector<std::string> mArguments;
-  std::vector<std::string> mParts; ///< Of the error message.
+  std::vector<std::string> mExpectedTexts; ///< In the error message.
 
-  friend void PrintTo(const BadLine& aCase, std::ostream* aOut)
+  friend void PrintTo(const BadCommandLine& aCase, std::ostream* aOut)
   {
     *aOut << testing::PrintToString(aCase.mArguments);
   }
 };
 
-class ReplayLineRefused : public testing::TestWithParam<BadLine>
+class ReplayLineRefused : public testing::TestWithParam<BadCommandLine>
 {};
 
 TEST_P(ReplayLineRefused, EndsWithTwoAndNamesWhatIsAllowed)
@@ -79,12 +79,12 @@
   const auto result = ParseReplaySettings(GetParam().mArguments, out, err);
   ASSERT_TRUE(std::holds_alternative<int>(result));
   EXPECT_EQ(std::get<int>(result), 2);
-  for (const std::string& part : GetParam().mParts) {
-    EXPECT_THAT(err.str(), testing::HasSubstr(part));
+  for (const std::string& text : GetParam().mExpectedTexts) {
+    EXPECT_THAT(err.str(), testing::HasSubstr(text));
   }
 }
 
-const BadLine kBadLines[] = {
+const BadCommandLine kBadCommandLines[] = {
   { {}, { "subcommand: missing", "run, generate" } },
   { { "run" }, { "TRACE: missing" } },
   { { "run", "a.jsonl" }, { "--entries", "missing", "IPv4" } },
@@ -100,7 +100,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Table,
                          ReplayLineRefused,
-                         testing::ValuesIn(kBadLines));
+                         testing::ValuesIn(kBadCommandLines));
 
 } // namespace
 } // namespace foxtailbarrow::replay
--- a/tests/trace/RequestReplayerTest.cpp
+++ b/tests/trace/RequestReplayerTest.cpp
@@ -19,18 +19,18 @@
 using net::HttpRequest;
 using net::HttpResponse;
 
-/// What the entry of a test does with one attempt.
-enum class Play : std::uint8_t
+/// Reaction of the entry to an attempt.
+enum class Reaction : std::uint8_t
 {
   Echo,
-  EchoOther,   ///< The answer to another request.
-  EchoDamaged, ///< Its own answer, cut short.
-  NotRun,      ///< With Retry-After.
-  NotRunForGood,
-  NotRunUntilLater, ///< Retry-After lies beyond the deadline.
+  EchoOther,        ///< The response to another request.
+  EchoDamaged,      ///< Its own response, truncated.
+  NotRun,           ///< With Retry-After: 0.
+  NotRunFinally,    ///< Without Retry-After.
+  NotRunUntilLater, ///< Retry-After is beyond the deadline.
   MayHaveRun,
   Fail,
-  Cut, ///< Closes the connection without an answer.
+  Cut, ///< Closes the connection without a response.
 };
 
 HttpResponse Echo(const HttpRequest& aRequest, const std::string& aId)
@@ -62,30 +62,30 @@
   return response;
 }
 
-HttpResponse Perform(Play aPlay, const HttpRequest& aRequest)
+HttpResponse React(Reaction aReaction, const HttpRequest& aRequest)
 {
   const std::string id(*aRequest.mHeaders.Find(kRequestIdHeader));
   HttpResponse response = Echo(aRequest, id);
-  switch (aPlay) {
-    case Play::Echo:
+  switch (aReaction) {
+    case Reaction::Echo:
       return response;
-    case Play::EchoOther:
+    case Reaction::EchoOther:
       return Echo(aRequest, id + "x");
-    case Play::EchoDamaged:
+    case Reaction::EchoDamaged:
       response.mBody.resize(response.mBody.size() / 2);
       return response;
-    case Play::NotRun:
+    case Reaction::NotRun:
       return Refuse("not-run", "0");
-    case Play::NotRunForGood:
+    case Reaction::NotRunFinally:
       return Refuse("not-run", nullptr);
-    case Play::NotRunUntilLater:
+    case Reaction::NotRunUntilLater:
       return Refuse("not-run", "60");
-    case Play::MayHaveRun:
+    case Reaction::MayHaveRun:
       return Refuse("may-have-run", "0");
-    case Play::Fail:
+    case Reaction::Fail:
       response.mStatus = 500;
       return response;
-    case Play::Cut:
+    case Reaction::Cut:
       response.mStatus = net::kCloseWithoutAnswer;
       return response;
   }
@@ -96,7 +96,7 @@
 {
   std::string mName;
   std::string mMethod;
-  std::vector<Play> mPlays; ///< One an attempt; the last one repeats.
+  std::vector<Reaction> mReactions; ///< One per attempt; the last one repeats.
   AttemptEnd mEnd;
   std::size_t mAttempts;
 
@@ -109,32 +109,32 @@
 class Replayed : public testing::TestWithParam<ReplayCase>
 {
 protected:
-  HttpResponse Answer(const HttpRequest& aRequest)
+  HttpResponse Respond(const HttpRequest& aRequest)
   {
     const std::lock_guard lock(mMutex);
-    const Play play = mPlays.front();
-    if (mPlays.size() > 1) {
-      mPlays.pop_front();
+    const Reaction reaction = mReactions.front();
+    if (mReactions.size() > 1) {
+      mReactions.pop_front();
     }
-    return Perform(play, aRequest);
+    return React(reaction, aRequest);
   }
 
-  std::mutex mMutex; ///< Guards mPlays.
-  std::deque<Play> mPlays;
+  std::mutex mMutex; ///< Guards mReactions.
+  std::deque<Reaction> mReactions;
 };
 
-TEST_P(Replayed, EndsAsACallerSeesIt)
+TEST_P(Replayed, EndsWithTheOutcomeOfItsLastAttempt)
 {
-  mPlays.assign(GetParam().mPlays.begin(), GetParam().mPlays.end());
+  mReactions.assign(GetParam().mReactions.begin(), GetParam().mReactions.end());
   net::FiberRuntime runtime(1);
   const auto server = net::HttpServer::Start(
     runtime, { "127.0.0.1", 0 }, [this](HttpRequest& aRequest) {
-      return Answer(aRequest);
+      return Respond(aRequest);
     });
   ASSERT_TRUE(server.ok());
   net::HttpClient client(runtime);
   ReplayContext context{ client, { (*server)->ListeningEndpoint() }, 3, "run" };
-  RequestTracker book;
+  RequestTracker tracker;
   TraceRequest line;
   line.mCustomer = CustomerId("hydro");
   line.mMethod = GetParam().mMethod;
@@ -142,12 +142,12 @@
   line.mBodyBytes = 1000;
   line.mDeadlineMs = 20'000;
   runtime.RunAndWait([&] {
-    book.Begin();
-    RequestReplayer(context, book).Replay(line, 5, MonotonicNow());
+    tracker.OnDue();
+    RequestReplayer(context, tracker).Replay(line, 5, MonotonicNow());
   });
-  EXPECT_EQ(book.InProgress(), 0);
-  ASSERT_EQ(book.Requests().size(), 1U);
-  const std::vector<Attempt>& attempts = book.Requests()[0].mAttempts;
+  EXPECT_EQ(tracker.InProgress(), 0);
+  ASSERT_EQ(tracker.Requests().size(), 1U);
+  const std::vector<Attempt>& attempts = tracker.Requests()[0].mAttempts;
   ASSERT_EQ(attempts.size(), GetParam().mAttempts);
   EXPECT_EQ(attempts.back().mEnd, GetParam().mEnd);
   EXPECT_EQ(attempts.back().mRequestId,
@@ -155,36 +155,56 @@
 }
 
 const ReplayCase kReplayCases[] = {
-  { "answered", "POST", { Play::Echo }, AttemptEnd::Answered, 1 },
-  { "other request", "GET", { Play::EchoOther }, AttemptEnd::WrongAnswer, 1 },
-  { "cut answer", "GET", { Play::EchoDamaged }, AttemptEnd::WrongAnswer, 1 },
-  { "again after not run",
+  { "answered", "POST", { Reaction::Echo }, AttemptEnd::Answered, 1 },
+  { "response to another request",
+    "GET",
+    { Reaction::EchoOther },
+    AttemptEnd::WrongAnswer,
+    1 },
+  { "truncated response",
+    "GET",
+    { Reaction::EchoDamaged },
+    AttemptEnd::WrongAnswer,
+    1 },
+  { "retried after not run",
     "POST",
-    { Play::NotRun, Play::NotRun, Play::Echo },
+    { Reaction::NotRun, Reaction::NotRun, Reaction::Echo },
     AttemptEnd::Answered,
     3 },
-  { "bounded", "POST", { Play::NotRun }, AttemptEnd::NotRun, 4 },
-  { "final", "POST", { Play::NotRunForGood }, AttemptEnd::NotRun, 1 },
-  { "too late", "GET", { Play::NotRunUntilLater }, AttemptEnd::NotRun, 1 },
+  { "retries are bounded",
+    "POST",
+    { Reaction::NotRun },
+    AttemptEnd::NotRun,
+    4 },
+  { "not run, without Retry-After",
+    "POST",
+    { Reaction::NotRunFinally },
+    AttemptEnd::NotRun,
+    1 },
+  { "Retry-After beyond the deadline",
+    "GET",
+    { Reaction::NotRunUntilLater },
+    AttemptEnd::NotRun,
+    1 },
   { "may have run, not idempotent",
     "POST",
-    { Play::MayHaveRun },
+    { Reaction::MayHaveRun },
     AttemptEnd::MayHaveRun,
     1 },
   { "may have run, idempotent",
     "PUT",
-    { Play::MayHaveRun, Play::Echo },
+    { Reaction::MayHaveRun, Reaction::Echo },
     AttemptEnd::Answered,
     2 },
-  { "failed", "GET", { Play::Fail }, AttemptEnd::Failed, 1 },
-  { "broken off, not idempotent",
+  { "failed", "GET", { Reaction::Fail }, AttemptEnd::Failed, 1 },
+  { "connection closed, not idempotent",
     "POST",
-    { Play::Cut },
+    { Reaction::Cut },
     AttemptEnd::Unanswered,
     1 },
-  { "broken off, idempotent",
+  { "connection closed, idempotent",
     "GET",
-    { Play::Cut, Play::Echo },
+    { Reaction::Cut, Reaction::Echo },
     AttemptEnd::Answered,
     2 },
 };
--- a/tests/trace/TraceTest.cpp
+++ b/tests/trace/TraceTest.cpp
@@ -37,7 +37,7 @@
 {
   std::string mName;
   std::string mText;
-  std::vector<std::string> mParts; ///< Of the error message.
+  std::vector<std::string> mExpectedTexts; ///< In the error message.
 
   friend void PrintTo(const BadTrace& aCase, std::ostream* aOut)
   {
@@ -52,8 +52,8 @@
 {
   const absl::StatusOr<Trace> trace = ParseTrace(GetParam().mText);
   ASSERT_FALSE(trace.ok());
-  for (const std::string& part : GetParam().mParts) {
-    EXPECT_THAT(std::string(trace.status().message()), HasSubstr(part));
+  for (const std::string& text : GetParam().mExpectedTexts) {
+    EXPECT_THAT(std::string(trace.status().message()), HasSubstr(text));
   }
 }
 
@@ -93,13 +93,13 @@
   { "relative path",
     kHeader + With(kRequest, "/a", "a"),
     { "line 2", "request.path" } },
-  { "path of the system",
+  { "reserved path",
     kHeader + With(kRequest, "/a", "/foxtailbarrow/v1/jobs"),
     { "line 2", "request.path" } },
-  { "time descends",
+  { "decreasing time",
     kHeader + kJob + kRequest,
     { "line 3", "atMs", "found 5", "6..1000" } },
-  { "after the end",
+  { "time after the end",
     kHeader + With(kRequest, "\"atMs\":5", "\"atMs\":1001"),
     { "line 2", "found 1001", "0..1000" } },
   { "unknown job kind",
@@ -163,7 +163,7 @@
                          Generated,
                          testing::Values("trasowka", "qoima"));
 
-TEST(JobSpec, TellsTheStandInWhatTheJobReallyDoes)
+TEST(JobSpec, ArgumentsDefineTheRealBehaviour)
 {
   TraceJob job;
   job.mRunMs = 250;
--- a/tests/worker/TaskRunnerTest.cpp
+++ b/tests/worker/TaskRunnerTest.cpp
@@ -180,10 +180,10 @@
   TaskStart start = MakeStart();
   start.mResources.mMillicores = 3'000;
   ASSERT_TRUE(runner.Start(start, kNow).ok());
-  EXPECT_EQ(runner.Doubled() + runner.Overcommitted(), 0U);
+  EXPECT_EQ(runner.Overlapping() + runner.Overcommitted(), 0U);
   start.mKey.mEpoch = 3;
   ASSERT_TRUE(runner.Start(start, kNow).ok());
-  EXPECT_EQ(runner.Doubled(), 1U);
+  EXPECT_EQ(runner.Overlapping(), 1U);
   EXPECT_EQ(runner.Overcommitted(), 1U);
 }
 
