--- a/apps/replay/JobReplayer.h
+++ b/apps/replay/JobReplayer.h
@@ -3,41 +3,42 @@
 #include "absl/status/statusor.h"
 #include <json/value.h>
 
-#include "apps/replay/JobBook.h"
+#include "apps/replay/JobTracker.h"
 #include "apps/replay/ReplayContext.h"
 #include "src/core/trace/TraceEvents.h"
 #include "src/net/HttpMessage.h"
 
 namespace foxtailbarrow::replay {
 
-/// Submits, cancels and follows the jobs of a trace. Every call carries an
-/// idempotency key or is idempotent, so that it is repeated after a lost reply.
-/// Methods suspend the calling fiber. Both references outlive it.
+/// Submits, cancels and polls the jobs of a trace. Every call is idempotent or
+/// carries an idempotency key, and is retried after a lost reply. Methods
+/// suspend the calling fiber. `aContext` and `aTracker` must outlive the
+/// replayer.
 class JobReplayer
 {
 public:
-  JobReplayer(ReplayContext& aContext, JobBook& aBook)
+  JobReplayer(ReplayContext& aContext, JobTracker& aTracker)
     : mContext(aContext)
-    , mBook(aBook)
+    , mTracker(aTracker)
   {
   }
 
   void Submit(const TraceJob& aLine);
   void Cancel(const TraceCancel& aLine);
 
-  /// Asks for each job that has not ended as stated.
-  void LookAtOpenJobs();
+  /// Polls each job that is not in its expected end state.
+  void PollOpenJobs();
 
-  /// Until every job has ended as stated, `aUntil` at the latest.
-  void Follow(Instant aUntil);
+  /// Polls until every job is in its expected end state or `aUntil`.
+  void PollUntilEnded(Instant aUntil);
 
 private:
-  absl::StatusOr<net::HttpResponse> CallUntilAnswered(
+  absl::StatusOr<net::HttpResponse> CallWithRetries(
     const net::HttpRequest& aRequest);
-  void LookAt(const ReplayedJob& aJob);
+  void Poll(const ReplayedJob& aJob);
 
   ReplayContext& mContext;
-  JobBook& mBook;
+  JobTracker& mTracker;
 };
 
 } // namespace foxtailbarrow::replay
--- a/soak/Fleet.h
+++ b/soak/Fleet.h
@@ -8,7 +8,7 @@
 
 #include "soak/Child.h"
 #include "soak/LinkProxy.h"
-#include "soak/PromiseBook.h"
+#include "soak/PromiseChecker.h"
 #include "src/net/FiberRuntime.h"
 #include "standins/kv/KvService.h"
 #include "standins/taskworker/TaskWorkerService.h"
@@ -24,40 +24,40 @@
   unsigned mWorkers = 5;
 };
 
-/// The system under test: its programs as processes, the stand-ins of the
-/// platform in this one, and a link that can be harmed between any two of them.
-/// All methods run on the runtime's one thread.
+/// The system under test: its programs as child processes, the platform's
+/// stand-ins in this process, and a fault-injecting link between any two of
+/// them. All methods run on the single thread of the runtime.
 class Fleet
 {
 public:
   static absl::StatusOr<std::unique_ptr<Fleet>> Start(
     net::FiberRuntime& aRuntime,
     FleetSettings aSettings,
-    PromiseBook& aBook);
+    PromiseChecker& aChecker);
 
-  Child& Scheduler(unsigned aIndex) { return *Of(mSchedulers, aIndex); }
-  Child& Agent(unsigned aIndex) { return *Of(mAgents, aIndex); }
+  Child& Scheduler(unsigned aIndex) { return *ItemAt(mSchedulers, aIndex); }
+  Child& Agent(unsigned aIndex) { return *ItemAt(mAgents, aIndex); }
   standin::TaskWorkerService& Worker(unsigned aIndex)
   {
-    return *Of(mWorkers, aIndex);
+    return *ItemAt(mWorkers, aIndex);
   }
   standin::KvService& Store() { return *mStore; }
-  LinkProxy& StoreLink(unsigned aIndex) { return *Of(mStoreLinks, aIndex); }
+  LinkProxy& StoreLink(unsigned aIndex) { return *ItemAt(mStoreLinks, aIndex); }
   LinkProxy& SchedulerLink(unsigned aIndex)
   {
-    return *Of(mSchedulerLinks, aIndex);
+    return *ItemAt(mSchedulerLinks, aIndex);
   }
-  LinkProxy& AgentLink(unsigned aIndex) { return *Of(mAgentLinks, aIndex); }
+  LinkProxy& AgentLink(unsigned aIndex) { return *ItemAt(mAgentLinks, aIndex); }
 
-  /// Every process is started if it does not run.
+  /// Starts every process that is not running.
   void StartAll();
   void KillAll();
   /// Writes the next version of the operator's configuration.
   void Configure();
 
-  /// Where callers reach the scheduler.
-  Endpoint Door(unsigned aIndex) const;
-  /// Where the agent takes heartbeats.
+  /// Address of the scheduler for callers.
+  Endpoint CallerEndpoint(unsigned aIndex) const;
+  /// Address of the agent for heartbeats of its worker.
   Endpoint AgentControl(unsigned aIndex) const;
   unsigned Schedulers() const { return mSettings.mSchedulers; }
 
@@ -65,22 +65,23 @@
   Fleet(FleetSettings aSettings);
 
   template<typename Item>
-  static Item& Of(std::vector<Item>& aItems, unsigned aIndex)
+  static Item& ItemAt(std::vector<Item>& aItems, unsigned aIndex)
   {
     return aItems[aIndex % aItems.size()];
   }
 
-  absl::Status StartStandIns(net::FiberRuntime& aRuntime, PromiseBook& aBook);
+  absl::Status StartStandIns(net::FiberRuntime& aRuntime,
+                             PromiseChecker& aChecker);
   absl::Status AddLink(std::vector<std::unique_ptr<LinkProxy>>& aLinks,
                        const Endpoint& aListen,
                        const Endpoint& aServer);
   absl::Status AddSchedulers();
   absl::Status AddAgents();
-  Endpoint At(unsigned aHost, std::uint16_t aPort) const;
+  Endpoint EndpointAt(unsigned aHost, std::uint16_t aPort) const;
   std::string Seeds() const;
 
   FleetSettings mSettings;
-  std::string mNetwork; ///< First three numbers of all addresses.
+  std::string mNetwork; ///< First three octets of all addresses.
   std::int64_t mVersion = 0;
   std::unique_ptr<standin::KvService> mStore;
   std::vector<std::unique_ptr<standin::TaskWorkerService>> mWorkers;
--- a/soak/Injector.h
+++ b/soak/Injector.h
@@ -5,29 +5,29 @@
 
 namespace foxtailbarrow::soak {
 
-/// Brings about the faults of a plan. Runs on the runtime's one thread.
+/// Injects the faults of a plan. Runs on the single thread of the runtime.
 class Injector
 {
 public:
   Injector(net::FiberRuntime& aRuntime, Fleet& aFleet);
 
-  /// Returns after the last fault has begun; each ends in a fiber of its own.
-  void Play(const std::vector<Fault>& aFaults);
+  /// Returns after the last fault has begun; each ends in its own fiber.
+  void InjectAll(const std::vector<Fault>& aFaults);
 
-  /// Takes all faults back and starts every process that does not run.
-  void Heal();
+  /// Ends all faults and starts every process that is not running.
+  void EndAllFaults();
 
 private:
-  void Bring(const Fault& aFault);
-  void BringProcess(const Fault& aFault, Child& aChild, int aSignal);
-  void BringStore(const Fault& aFault);
-  void BringWorker(const Fault& aFault);
-  void BringShrinkage(const Fault& aFault);
-  void BringLink(const Fault& aFault, LinkProxy& aLink);
+  void Inject(const Fault& aFault);
+  void InjectProcessFault(const Fault& aFault, Child& aChild, int aSignal);
+  void InjectStoreFault(const Fault& aFault);
+  void InjectWorkerFault(const Fault& aFault);
+  void InjectShrinking(const Fault& aFault);
+  void InjectLinkFault(const Fault& aFault, LinkProxy& aLink);
 
   net::FiberRuntime& mRuntime;
   Fleet& mFleet;
-  bool mHealed = false;
+  bool mAllEnded = false;
 };
 
 } // namespace foxtailbarrow::soak
--- a/src/core/trace/OutcomeCheck.cpp
+++ b/src/core/trace/OutcomeCheck.cpp
@@ -9,12 +9,14 @@
 
 namespace {
 
-OutcomeRow Told(std::string aName, std::int64_t aCount)
+OutcomeRow CountOnly(std::string aName, std::int64_t aCount)
 {
   return { std::move(aName), std::to_string(aCount), "", true };
 }
 
-OutcomeRow AtMost(std::string aName, std::int64_t aCount, std::int64_t aLimit)
+OutcomeRow ExpectAtMost(std::string aName,
+                        std::int64_t aCount,
+                        std::int64_t aLimit)
 {
   return { std::move(aName),
            std::to_string(aCount),
@@ -22,20 +24,20 @@
            aCount <= aLimit };
 }
 
-OutcomeRow Never(std::string aName, std::int64_t aCount)
+OutcomeRow ExpectZero(std::string aName, std::int64_t aCount)
 {
-  return AtMost(std::move(aName), aCount, 0);
+  return ExpectAtMost(std::move(aName), aCount, 0);
 }
 
-/// As Never(), of something that only the stand-ins can tell.
-OutcomeRow NeverAudited(std::string aName,
-                        std::int64_t aCount,
-                        const ReplayTotals& aTotals)
+/// As ExpectZero(), for a count that requires the audit of the stand-ins.
+OutcomeRow ExpectZeroAudited(std::string aName,
+                             std::int64_t aCount,
+                             const ReplayTotals& aTotals)
 {
   if (!aTotals.mAudited) {
     return { std::move(aName), "not checked", "", true };
   }
-  return Never(std::move(aName), aCount);
+  return ExpectZero(std::move(aName), aCount);
 }
 
 double Milliseconds(Duration aDuration)
@@ -50,10 +52,12 @@
   };
 }
 
-OutcomeRow LatencyAtMost(std::string aName, Duration aLatency, double aLimitMs)
+OutcomeRow ExpectLatencyAtMost(std::string aName,
+                               Duration aLatency,
+                               double aLimitMs)
 {
   OutcomeRow row = Latency(std::move(aName), aLatency);
-  row.mStated = absl::StrFormat("<= %.2f", aLimitMs);
+  row.mExpected = absl::StrFormat("<= %.2f", aLimitMs);
   row.mMet = Milliseconds(aLatency) <= aLimitMs;
   return row;
 }
@@ -69,10 +73,10 @@
   return absl::StrFormat("%d (%.2f%%)", aCount, 100.0 * aShare);
 }
 
-OutcomeRow ShareAtLeast(std::string aName,
-                        std::int64_t aCount,
-                        double aShare,
-                        double aLimit)
+OutcomeRow ExpectShareAtLeast(std::string aName,
+                              std::int64_t aCount,
+                              double aShare,
+                              double aLimit)
 {
   return { std::move(aName),
            CountAndShare(aCount, aShare),
@@ -80,66 +84,69 @@
            aShare >= aLimit };
 }
 
-OutcomeRow AnsweredRow(const StatedOutcomes& aStated,
+OutcomeRow AnsweredRow(const ExpectedOutcomes& aExpected,
                        const ReplayTotals& aTotals)
 {
   const double share =
     aTotals.mRequests == 0 ? 1.0 : Share(aTotals.mAnswered, aTotals.mRequests);
-  return ShareAtLeast(
-    "requests answered", aTotals.mAnswered, share, aStated.mMinAnswered);
+  return ExpectShareAtLeast(
+    "requests answered", aTotals.mAnswered, share, aExpected.mMinAnswered);
 }
 
-OutcomeRow NotRunRow(const StatedOutcomes& aStated, const ReplayTotals& aTotals)
+OutcomeRow NotRunRow(const ExpectedOutcomes& aExpected,
+                     const ReplayTotals& aTotals)
 {
   const double share = Share(aTotals.mNotRun, aTotals.mRequests);
   return { "requests told not run",
            CountAndShare(aTotals.mNotRun, share),
-           absl::StrFormat("<= %.2f%%", 100.0 * aStated.mMaxNotRunShare),
-           share <= aStated.mMaxNotRunShare };
+           absl::StrFormat("<= %.2f%%", 100.0 * aExpected.mMaxNotRunShare),
+           share <= aExpected.mMaxNotRunShare };
 }
 
-OutcomeRow JobsRow(const StatedOutcomes& aStated, const ReplayTotals& aTotals)
+OutcomeRow JobsRow(const ExpectedOutcomes& aExpected,
+                   const ReplayTotals& aTotals)
 {
   const std::int64_t submitted = aTotals.mJobs + aTotals.mJobsRefused;
   const double share =
-    submitted == 0 ? 1.0 : Share(aTotals.mJobsAsStated, submitted);
-  return ShareAtLeast("jobs ended as stated",
-                      aTotals.mJobsAsStated,
-                      share,
-                      aStated.mMinJobsAsStated);
+    submitted == 0 ? 1.0 : Share(aTotals.mJobsAsExpected, submitted);
+  return ExpectShareAtLeast("jobs ended as stated",
+                            aTotals.mJobsAsExpected,
+                            share,
+                            aExpected.mMinJobsAsExpected);
 }
 
 } // namespace
 
-std::vector<OutcomeRow> CheckOutcomes(const StatedOutcomes& aStated,
+std::vector<OutcomeRow> CheckOutcomes(const ExpectedOutcomes& aExpected,
                                       const ReplayTotals& aTotals)
 {
   std::vector<OutcomeRow> rows = {
-    Told("requests", aTotals.mRequests),
-    AnsweredRow(aStated, aTotals),
-    NotRunRow(aStated, aTotals),
-    Told("requests told may have run", aTotals.mMayHaveRun),
-    Told("requests failed by backend servers", aTotals.mErrors),
-    Told("retries", aTotals.mRetries),
-    Never("requests unanswered", aTotals.mUnanswered),
-    Never("wrong answers", aTotals.mWrongAnswers),
-    NeverAudited("told wrongly", aTotals.mToldWrongly, aTotals),
+    CountOnly("requests", aTotals.mRequests),
+    AnsweredRow(aExpected, aTotals),
+    NotRunRow(aExpected, aTotals),
+    CountOnly("requests told may have run", aTotals.mMayHaveRun),
+    CountOnly("requests failed by backend servers", aTotals.mErrors),
+    CountOnly("retries", aTotals.mRetries),
+    ExpectZero("requests unanswered", aTotals.mUnanswered),
+    ExpectZero("wrong answers", aTotals.mWrongAnswers),
+    ExpectZeroAudited("told wrongly", aTotals.mRanDespiteNotRun, aTotals),
     Latency("latency p50 (ms)", aTotals.mP50),
-    LatencyAtMost("latency p99 (ms)", aTotals.mP99, aStated.mMaxP99Ms),
+    ExpectLatencyAtMost("latency p99 (ms)", aTotals.mP99, aExpected.mMaxP99Ms),
     Latency("latency p99.9 (ms)", aTotals.mP999),
-    Told("contracts applied", aTotals.mContracts),
-    Told("jobs accepted", aTotals.mJobs),
-    Told("jobs refused", aTotals.mJobsRefused),
-    JobsRow(aStated, aTotals),
-    AtMost("evictions", aTotals.mEvictions, aStated.mMaxEvictions),
-    NeverAudited("lost requests", aTotals.mLostRequests, aTotals),
-    Never("lost jobs", aTotals.mLostJobs),
-    NeverAudited("doubled requests", aTotals.mDoubledRequests, aTotals),
-    NeverAudited("doubled jobs", aTotals.mDoubledJobs, aTotals),
-    NeverAudited("workers over-committed", aTotals.mOvercommitted, aTotals),
+    CountOnly("contracts applied", aTotals.mContracts),
+    CountOnly("jobs accepted", aTotals.mJobs),
+    CountOnly("jobs refused", aTotals.mJobsRefused),
+    JobsRow(aExpected, aTotals),
+    ExpectAtMost("evictions", aTotals.mEvictions, aExpected.mMaxEvictions),
+    ExpectZeroAudited("lost requests", aTotals.mLostRequests, aTotals),
+    ExpectZero("lost jobs", aTotals.mLostJobs),
+    ExpectZeroAudited("doubled requests", aTotals.mRepeatedRequests, aTotals),
+    ExpectZeroAudited("doubled jobs", aTotals.mOverlappingJobs, aTotals),
+    ExpectZeroAudited(
+      "workers over-committed", aTotals.mOvercommitted, aTotals),
   };
   for (const auto& [reason, count] : aTotals.mRefusals) {
-    rows.push_back(Told("attempts refused: " + reason, count));
+    rows.push_back(CountOnly("attempts refused: " + reason, count));
   }
   return rows;
 }
@@ -158,13 +165,13 @@
   std::string text;
   for (const OutcomeRow& row : aRows) {
     const char* verdict =
-      row.mStated.empty() ? "" : (row.mMet ? "met" : "MISSED");
+      row.mExpected.empty() ? "" : (row.mMet ? "met" : "MISSED");
     absl::StrAppendFormat(&text,
                           "%-*s  %14s  %14s  %s\n",
                           static_cast<int>(nameWidth),
                           row.mName,
                           row.mMeasured,
-                          row.mStated,
+                          row.mExpected,
                           verdict);
     absl::StripTrailingAsciiWhitespace(&text);
     text += '\n';
--- a/src/core/trace/QoimaShape.cpp
+++ b/src/core/trace/QoimaShape.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::int64_t kDurationMs = 22'000;
-constexpr std::int64_t kWiderAtMs = 7'000;
+constexpr std::int64_t kLimitChangeMs = 7'000;
 constexpr std::int64_t kFollowersEndMs = 19'000;
 
 Contract MakeContract(const char* aCustomer, const char* aTeam)
@@ -90,7 +90,7 @@
   return shape;
 }
 
-/// Asks for accelerators that no worker has.
+/// Declares accelerators that no worker has, and is therefore parked.
 JobShape ImpossibleScan()
 {
   JobShape shape = CatalogueScans(1);
@@ -107,7 +107,7 @@
   DeploymentShape shape;
   shape.mName = "qoima";
   shape.mDurationMs = kDurationMs;
-  shape.mRushFactor = 2.5;
+  shape.mPeakFactor = 2.5;
   shape.mOutcomes = { 250.0, 0.995, 0.005, 0.98, 2, 20'000 };
   shape.mCustomers = {
     { MakeContract("bank-alatau", "banks"),
@@ -124,7 +124,8 @@
       { CatalogueScans(10), ImpossibleScan() } },
   };
   shape.mCustomers.front().mContract.mUrgentAllowed = true;
-  shape.mChanges = { Doubled(shape.mCustomers.front().mContract, kWiderAtMs) };
+  shape.mChanges = { WithDoubledLimits(shape.mCustomers.front().mContract,
+                                       kLimitChangeMs) };
   return shape;
 }
 
--- a/src/core/trace/RequestAudit.cpp
+++ b/src/core/trace/RequestAudit.cpp
@@ -13,14 +13,14 @@
       const std::int64_t runs = found == aExecutions.end() ? 0 : found->second;
       allRuns += runs;
       if (attempt.mEnd == AttemptEnd::NotRun && runs > 0) {
-        ++audit.mToldWrongly;
+        ++audit.mRanDespiteNotRun;
       }
       if (attempt.mEnd == AttemptEnd::Answered && runs == 0) {
         ++audit.mLost;
       }
     }
     if (!request.mIdempotent && allRuns > 1) {
-      ++audit.mDoubled;
+      ++audit.mRepeated;
     }
   }
   return audit;
--- a/src/core/trace/detail/TraceFields.h
+++ b/src/core/trace/detail/TraceFields.h
@@ -7,7 +7,7 @@
 #include "src/core/trace/TraceEvents.h"
 #include "src/core/trace/TraceHeader.h"
 
-/// Tables of fields of a trace's lines, for the readers and writers of
+/// Field tables of the lines of a trace, for the readers and writers of
 /// src/core/message.
 namespace foxtailbarrow::detail {
 
@@ -21,7 +21,7 @@
 inline constexpr TraceNumber kPositiveTraceTime{ 1, kMaxTraceMs };
 inline constexpr NumberRule<double> kTraceShare{ 0, 1 };
 
-template<typename Visitor, Is<StatedOutcomes> Message>
+template<typename Visitor, Is<ExpectedOutcomes> Message>
 void Fields(Visitor& aVisitor, Message& aMessage)
 {
   aVisitor.Required("maxP99Ms",
@@ -29,7 +29,8 @@
                     NumberRule<double>{ 0, double{ kMaxTraceMs } });
   aVisitor.Required("minAnswered", aMessage.mMinAnswered, kTraceShare);
   aVisitor.Required("maxNotRunShare", aMessage.mMaxNotRunShare, kTraceShare);
-  aVisitor.Required("minJobsAsStated", aMessage.mMinJobsAsStated, kTraceShare);
+  aVisitor.Required(
+    "minJobsAsStated", aMessage.mMinJobsAsExpected, kTraceShare);
   aVisitor.Required("maxEvictions",
                     aMessage.mMaxEvictions,
                     TraceNumber{ 0, kMaxTraceEvictions });
@@ -87,7 +88,7 @@
   aVisitor.Required("job", aMessage.mJob, kPlainId);
 }
 
-/// The contract as an operator writes it.
+/// The contract document as operators write it.
 struct TraceContractDocument
 {
   Contract mContract;
@@ -99,7 +100,7 @@
   DocumentFields(aVisitor, aMessage.mContract);
 }
 
-/// A line as it stands in the text: exactly one member is set.
+/// A line of the text form; exactly one member is set.
 struct TraceContractLine
 {
   std::int64_t mAtMs = 0;
--- a/standins/backend/BackendService.cpp
+++ b/standins/backend/BackendService.cpp
@@ -20,8 +20,8 @@
 constexpr unsigned kInternalError = 500;
 constexpr unsigned kUnavailable = 503;
 
-/// HttpServer closes the connection without an answer.
-constexpr unsigned kNoAnswer = 0;
+/// HttpServer closes the connection without a response.
+constexpr unsigned kNoResponse = 0;
 
 std::string Header(const net::HttpRequest& aRequest, std::string_view aName)
 {
@@ -64,9 +64,9 @@
     return SetFaults(aRequest);
   }
   if (aRequest.mTarget == "/healthz") {
-    const bool isLeaving = mDraining || Faults().mDraining;
-    return net::JsonResponse(isLeaving ? kUnavailable : 200,
-                             isLeaving ? "draining" : "ok");
+    const bool isDraining = mDraining || Faults().mDraining;
+    return net::JsonResponse(isDraining ? kUnavailable : 200,
+                             isDraining ? "draining" : "ok");
   }
   return Serve(aRequest);
 }
@@ -80,42 +80,42 @@
       absl::SimpleAtoi(Header(aRequest, "Standin-Service-Us"), &micros)) {
     service = Duration(micros);
   }
-  Enter();
+  AcquireSlot();
   if (mSettings.mRecord) {
-    mBook.Add(Header(aRequest, "Foxtailbarrow-Request-Id"));
+    mExecutions.Add(Header(aRequest, "Foxtailbarrow-Request-Id"));
   }
   if (service + faults.mSlow > Duration{}) {
     boost::this_fiber::sleep_for(service + faults.mSlow);
   }
-  Leave();
+  ReleaseSlot();
   if (IsEvery(count, faults.mCutEvery)) {
-    return net::JsonResponse(kNoAnswer, {});
+    return net::JsonResponse(kNoResponse, {});
   }
   if (IsEvery(count, faults.mFailEvery)) {
-    return net::JsonResponse(kInternalError, "fault switched on");
+    return net::JsonResponse(kInternalError, "fault enabled");
   }
   return net::JsonResponse(200, Echo(aRequest));
 }
 
-void BackendService::Enter()
+void BackendService::AcquireSlot()
 {
-  const std::int32_t here = ++mHere;
+  const std::int32_t inProgress = ++mInProgress;
   std::int32_t peak = mPeak;
-  while (here > peak && !mPeak.compare_exchange_weak(peak, here)) {
+  while (inProgress > peak && !mPeak.compare_exchange_weak(peak, inProgress)) {
   }
   std::unique_lock lock(mSlotMutex);
-  mSlotFree.wait(lock, [this] { return mBusy < mSettings.mSlots; });
-  ++mBusy;
+  mSlotFree.wait(lock, [this] { return mUsedSlots < mSettings.mSlots; });
+  ++mUsedSlots;
 }
 
-void BackendService::Leave()
+void BackendService::ReleaseSlot()
 {
   {
     const std::lock_guard lock(mSlotMutex);
-    --mBusy;
+    --mUsedSlots;
   }
   mSlotFree.notify_one();
-  --mHere;
+  --mInProgress;
 }
 
 BackendFaults BackendService::Faults() const
@@ -141,13 +141,13 @@
 
 Json::Value BackendService::ExecutionsJson() const
 {
-  const ExecutionCounts counts = mBook.Counts();
+  const ExecutionCounts counts = mExecutions.Counts();
   Json::Value object(Json::objectValue);
   object["total"] = Json::UInt64{ counts.mTotal };
   object["distinct"] = Json::UInt64{ counts.mDistinct };
-  object["doubled"] = Json::UInt64{ counts.mDoubled };
+  object["doubled"] = Json::UInt64{ counts.mRepeated };
   object["doubledIds"] = Json::Value(Json::arrayValue);
-  for (const std::string& id : counts.mDoubledIds) {
+  for (const std::string& id : counts.mRepeatedIds) {
     object["doubledIds"].append(id);
   }
   object["peakInProgress"] = Json::Int{ mPeak.load() };
@@ -157,7 +157,7 @@
 Json::Value BackendService::IdsJson() const
 {
   Json::Value runs(Json::objectValue);
-  for (const auto& [id, count] : mBook.Runs()) {
+  for (const auto& [id, count] : mExecutions.Runs()) {
     runs[id] = Json::UInt{ count };
   }
   Json::Value object(Json::objectValue);
--- a/standins/backend/ExecutionBook.cpp
+++ b/standins/backend/ExecutionCounter.cpp
@@ -1,4 +1,4 @@
-#include "standins/backend/ExecutionBook.h"
+#include "standins/backend/ExecutionCounter.h"
 
 #include "absl/hash/hash.h"
 
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxIdsShown = 20;
+constexpr std::size_t kMaxListedIds = 20;
 
 } // namespace
 
-void ExecutionBook::Add(std::string_view aRequestId)
+void ExecutionCounter::Add(std::string_view aRequestId)
 {
   const std::string id(aRequestId);
   Shard& shard = mShards[(absl::HashOf(id) >> 40) % kShards];
@@ -18,7 +18,7 @@
   ++shard.mRuns[id];
 }
 
-ExecutionCounts ExecutionBook::Counts() const
+ExecutionCounts ExecutionCounter::Counts() const
 {
   ExecutionCounts counts;
   for (const Shard& shard : mShards) {
@@ -29,16 +29,16 @@
       if (runs < 2) {
         continue;
       }
-      ++counts.mDoubled;
-      if (counts.mDoubledIds.size() < kMaxIdsShown) {
-        counts.mDoubledIds.push_back(id);
+      ++counts.mRepeated;
+      if (counts.mRepeatedIds.size() < kMaxListedIds) {
+        counts.mRepeatedIds.push_back(id);
       }
     }
   }
   return counts;
 }
 
-std::map<std::string, std::uint32_t> ExecutionBook::Runs() const
+std::map<std::string, std::uint32_t> ExecutionCounter::Runs() const
 {
   std::map<std::string, std::uint32_t> runs;
   for (const Shard& shard : mShards) {
--- a/standins/kv/KvService.cpp
+++ b/standins/kv/KvService.cpp
@@ -25,9 +25,9 @@
 constexpr std::size_t kPageItems = 500;
 constexpr std::int64_t kAnyNumber = std::numeric_limits<std::int64_t>::max();
 constexpr std::size_t kMaxText = std::size_t{ 2 } * 1024 * 1024;
-constexpr Duration kPoll = std::chrono::milliseconds(5);
-/// An unanswered connection is closed after this, as nobody waits longer.
-constexpr Duration kHang = std::chrono::seconds(4);
+constexpr Duration kPollInterval = std::chrono::milliseconds(5);
+/// A silent connection is closed after this; all clients time out earlier.
+constexpr Duration kSilenceTimeout = std::chrono::seconds(4);
 
 net::HttpResponse Reply(unsigned aStatus, const Json::Value& aBody = {})
 {
@@ -185,7 +185,7 @@
     return Reply(kUnavailable);
   }
   if (mFaults.mOutage == KvOutage::Silent) {
-    boost::this_fiber::sleep_for(kHang);
+    boost::this_fiber::sleep_for(kSilenceTimeout);
     return Reply(net::kCloseWithoutAnswer);
   }
   if (mFaults.mDelay > Duration::zero()) {
@@ -197,12 +197,12 @@
       boost::this_fiber::sleep_for(late);
       Route(aRequest);
     });
-    boost::this_fiber::sleep_for(kHang);
+    boost::this_fiber::sleep_for(kSilenceTimeout);
     return Reply(net::kCloseWithoutAnswer);
   }
   net::HttpResponse response = Route(aRequest);
   if (write && Chance(mFaults.mLoseShare)) {
-    boost::this_fiber::sleep_for(kHang);
+    boost::this_fiber::sleep_for(kSilenceTimeout);
     return Reply(net::kCloseWithoutAnswer);
   }
   return response;
@@ -212,10 +212,10 @@
 {
   Expire();
   const std::string_view target = aRequest.mTarget;
-  const std::size_t mark = std::min(target.find('?'), target.size());
-  const std::string_view path = target.substr(0, mark);
+  const std::size_t queryStart = std::min(target.find('?'), target.size());
+  const std::string_view path = target.substr(0, queryStart);
   const std::string_view query =
-    target.substr(std::min(mark + 1, target.size()));
+    target.substr(std::min(queryStart + 1, target.size()));
   const auto after = [path](std::string_view aPrefix) {
     return path.substr(aPrefix.size());
   };
@@ -235,10 +235,10 @@
     return GrantLease(aRequest.mBody);
   }
   if (path.starts_with("/kv-keep/")) {
-    return KeepLease(after("/kv-keep/"));
+    return RenewLease(after("/kv-keep/"));
   }
   if (path.starts_with("/kv-lease-end/")) {
-    return EndLease(after("/kv-lease-end/"));
+    return RevokeLease(after("/kv-lease-end/"));
   }
   return Reply(kNotFound);
 }
@@ -286,7 +286,7 @@
   for (;;) {
     Expire();
     const auto events = mTable.EventsAfter(range, from);
-    if (!events.ok() || from < mForgotten) {
+    if (!events.ok() || from < mCompactedRevision) {
       return Reply(kGone);
     }
     if (!events->empty() || MonotonicNow() >= end) {
@@ -306,7 +306,7 @@
       body["CurrentRev"] = Json::Int64{ mTable.LatestRevision() };
       return Reply(kOk, body);
     }
-    boost::this_fiber::sleep_for(kPoll);
+    boost::this_fiber::sleep_for(kPollInterval);
     if (mFaults.mOutage != KvOutage::None) {
       return Reply(net::kCloseWithoutAnswer);
     }
@@ -354,7 +354,7 @@
   return lease.ok() ? Reply(kOk, reply) : Reply(kBadRequest);
 }
 
-net::HttpResponse KvService::KeepLease(std::string_view aLease)
+net::HttpResponse KvService::RenewLease(std::string_view aLease)
 {
   const auto ttl = mTable.KeepAlive(Number(aLease), LeaseClock());
   Json::Value reply;
@@ -366,7 +366,7 @@
   return ttl.ok() ? Reply(kOk, reply) : Reply(kNotFound);
 }
 
-net::HttpResponse KvService::EndLease(std::string_view aLease)
+net::HttpResponse KvService::RevokeLease(std::string_view aLease)
 {
   return Reply(mTable.RevokeLease(Number(aLease)).ok() ? kOk : kNotFound,
                Json::objectValue);
--- a/standins/taskworker/ServingMeter.cpp
+++ b/standins/taskworker/ServingMeter.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr double kCalmShare = 0.47; ///< Of the target, in mid swing.
+constexpr double kBaselineShare = 0.47; ///< Of the target, at zero swing.
 constexpr double kSwing = 0.5;
 constexpr double kSwingPeriod = 12; ///< Seconds.
-constexpr double kHeavy = 0.7;
-constexpr double kLight = 0.04;
-constexpr unsigned kHeavyOneIn = 3;
-constexpr double kWeightsLast = 10; ///< Seconds.
+constexpr double kHeavyInterference = 0.7;
+constexpr double kLightInterference = 0.04;
+constexpr unsigned kHeavyEvery = 3;
+constexpr double kRedrawInterval = 10; ///< Seconds.
 constexpr double kNoise = 0.1;
-constexpr Duration kFigureSpan = std::chrono::milliseconds(500);
+constexpr Duration kReportInterval = std::chrono::milliseconds(500);
 
 double SecondsOf(Duration aDuration)
 {
@@ -25,43 +25,48 @@
 
 } // namespace
 
-double OwnLatency(int aServing, Instant aNow)
+double BaselineLatency(int aServingImage, Instant aNow)
 {
-  const double turns =
-    SecondsOf(aNow.time_since_epoch()) / kSwingPeriod + 0.37 * aServing;
-  return std::log(kCalmShare) + kSwing * std::sin(2 * std::numbers::pi * turns);
+  const double periods =
+    SecondsOf(aNow.time_since_epoch()) / kSwingPeriod + 0.37 * aServingImage;
+  return std::log(kBaselineShare) +
+         kSwing * std::sin(2 * std::numbers::pi * periods);
 }
 
-double PressureOf(int aServing, int aLeftover, Instant aNow)
+double BestEffortInterference(int aServingImage,
+                              int aBestEffortImage,
+                              Instant aNow)
 {
   const auto epoch =
-    static_cast<unsigned>(SecondsOf(aNow.time_since_epoch()) / kWeightsLast);
-  std::minstd_rand weights(1 + epoch * 64 +
-                           static_cast<unsigned>(aServing * 8 + aLeftover));
+    static_cast<unsigned>(SecondsOf(aNow.time_since_epoch()) / kRedrawInterval);
+  std::minstd_rand weights(
+    1 + epoch * 64 +
+    static_cast<unsigned>(aServingImage * 8 + aBestEffortImage));
   weights.discard(4);
-  return weights() % kHeavyOneIn == 0 ? kHeavy : kLight;
+  return weights() % kHeavyEvery == 0 ? kHeavyInterference : kLightInterference;
 }
 
-void ServingMeter::Take(double aOwn,
-                        double aPressure,
-                        Instant aNow,
-                        std::mt19937& aRandom)
+void ServingMeter::Update(double aBaseline,
+                          double aInterference,
+                          Instant aNow,
+                          std::mt19937& aRandom)
 {
-  const Duration passed = mTakenAt ? Duration(aNow - *mTakenAt) : Duration();
-  mTakenAt = aNow;
-  mSum += (aOwn + aPressure) * SecondsOf(passed);
-  mCovered += passed;
-  if (mCovered >= kFigureSpan) {
+  const Duration elapsed =
+    mUpdatedAt ? Duration(aNow - *mUpdatedAt) : Duration();
+  mUpdatedAt = aNow;
+  mSum += (aBaseline + aInterference) * SecondsOf(elapsed);
+  mCovered += elapsed;
+  if (mCovered >= kReportInterval) {
     const double noise = std::normal_distribution<double>(0, kNoise)(aRandom);
-    mFigure = std::lround(static_cast<double>(kServingTargetMs) *
-                          std::exp(mSum / SecondsOf(mCovered) + noise));
+    mReportedMs = std::lround(static_cast<double>(kServingTargetMs) *
+                              std::exp(mSum / SecondsOf(mCovered) + noise));
     mSum = 0;
     mCovered = {};
   }
-  if (aOwn > 0 || aOwn + aPressure <= 0) {
+  if (aBaseline > 0 || aBaseline + aInterference <= 0) {
     mOverSince.reset();
   } else if (!mOverSince) {
-    mOverSince = aNow - passed;
+    mOverSince = aNow - elapsed;
   }
 }
 
--- a/standins/taskworker/TaskWorkerService.h
+++ b/standins/taskworker/TaskWorkerService.h
@@ -15,8 +15,8 @@
 
 namespace foxtailbarrow::standin {
 
-/// A heartbeat on its way to the agent, or answered.
-struct BeatMark
+/// A heartbeat that was sent to the agent or accepted by it.
+struct HeartbeatEvent
 {
   std::string mIncarnation;
   std::int64_t mSequence = 0;
@@ -24,47 +24,48 @@
   bool mAnswered = false;
 };
 
-/// A worker of the users' platform over its HTTP calls: takes orders, tells its
-/// agent about itself, crashes, leaves and comes back as another incarnation.
-/// The runtime must have one thread, on which all methods are called.
+/// Stand-in of a worker of the users' platform with its HTTP API: executes the
+/// agent's commands, sends it heartbeats, crashes, leaves and restarts as a new
+/// incarnation. All methods must be called on the single thread of the runtime.
 class TaskWorkerService
 {
 public:
-  struct Place
+  struct Registration
   {
-    Endpoint mListen; ///< For orders.
+    Endpoint mListen; ///< For commands.
     Endpoint mAgent;  ///< For heartbeats.
     std::string mName;
     std::string mService;
     std::string mRack;
   };
 
-  /// `aSink` is told of every run, with the incarnation that it is of.
-  using MarkSink =
-    std::function<void(const std::string& aIncarnation, const RunMark&)>;
+  /// Receives every run event with the incarnation of the worker.
+  using RunEventSink =
+    std::function<void(const std::string& aIncarnation, const RunEvent&)>;
 
   static absl::StatusOr<std::unique_ptr<TaskWorkerService>> Start(
     net::FiberRuntime& aRuntime,
-    Place aPlace,
+    Registration aRegistration,
     TaskWorkerSettings aSettings,
     unsigned aSeed,
-    MarkSink aSink);
+    RunEventSink aSink);
 
-  void OnBeat(std::function<void(const BeatMark&)> aSink)
+  void SetHeartbeatSink(std::function<void(const HeartbeatEvent&)> aSink)
   {
-    mOnBeat = std::move(aSink);
+    mHeartbeatSink = std::move(aSink);
   }
 
   void SetFaults(const TaskWorkerFaults& aFaults);
-  /// The next heartbeats tell it. What runs goes on.
+  /// Later heartbeats report the capacity. Running tasks continue.
   void Resize(const Resources& aCapacity) { mCapacity = aCapacity; }
-  /// Gone from now on; what runs is lost. Every second life its machine goes
-  /// with it and answers nothing, else connections are refused.
+  /// Crashes the worker; all runs are lost. Even-numbered incarnations refuse
+  /// connections afterwards, odd-numbered ones accept them without a response,
+  /// like a lost machine.
   void Crash();
-  /// After Crash(), or after it has left: the next incarnation.
-  void Rise();
-  /// Tells that it drains, serves on for a while, says good-bye, and is gone.
-  /// Suspends the calling fiber meanwhile.
+  /// Starts the next incarnation after Crash() or Leave().
+  void Restart();
+  /// Reports that it is draining, keeps running for a while, deregisters and
+  /// stops. Suspends the calling fiber meanwhile.
   void Leave();
 
   bool Up() const { return mUp; }
@@ -72,39 +73,41 @@
 
 private:
   TaskWorkerService(net::FiberRuntime& aRuntime,
-                    Place aPlace,
+                    Registration aRegistration,
                     TaskWorkerSettings aSettings,
                     unsigned aSeed,
-                    MarkSink aSink);
+                    RunEventSink aSink);
 
   net::HttpResponse Handle(const net::HttpRequest& aRequest);
-  net::HttpResponse CarryOut(const net::HttpRequest& aRequest);
-  void SendBeat();
+  net::HttpResponse Execute(const net::HttpRequest& aRequest);
+  void SendHeartbeat();
   net::HttpResponse Poll(const Json::Value& aBody);
-  net::HttpResponse Hang();
+  net::HttpResponse LeaveUnanswered();
   absl::Status Listen();
-  void Beat();
+  void RunHeartbeats();
   void Tick();
-  void CrashAndRise();
+  void CrashAndRestart();
 
   net::FiberRuntime& mRuntime;
-  Place mPlace;
+  Registration mRegistration;
   TaskWorkerSettings mSettings;
   Resources mCapacity;
-  std::function<void(const BeatMark&)> mOnBeat = [](const BeatMark&) {};
+  std::function<void(const HeartbeatEvent&)> mHeartbeatSink =
+    [](const HeartbeatEvent&) {};
   std::mt19937 mRandom;
-  MarkSink mSink;
+  RunEventSink mSink;
   TaskWorkerFaults mFaults;
   std::shared_ptr<TaskWorkerModel> mModel;
   std::string mIncarnation;
-  int mLives = 0;
+  int mIncarnations = 0;
   std::int64_t mSequence = 0;
   bool mUp = false;
   bool mDraining = false;
-  bool mCarriesOutLate = false;
+  bool mExecutesLate = false;
   net::HttpClient mClient;
-  std::unique_ptr<net::HttpServer> mServer; ///< Null: connections are refused.
-  /// Of earlier lives, while their last handlers end.
+  std::unique_ptr<net::HttpServer>
+    mServer; ///< Null while connections are refused.
+  /// Server of an earlier incarnation, until its last handlers have ended.
   std::unique_ptr<net::HttpServer> mClosedServer;
 };
 
--- a/standins/worker/TaskRunner.cpp
+++ b/standins/worker/TaskRunner.cpp
@@ -63,7 +63,7 @@
     } else if (run.mLeaseUntil <= aNow) {
       End(run, TaskState::Stopped, TaskEventKind::Lapsed, run.mLeaseUntil);
     } else {
-      Progress(run, aNow);
+      UpdateProgress(run, aNow);
     }
   }
 }
@@ -73,15 +73,15 @@
   if (!aRun.mProgram.mRun) {
     return std::nullopt;
   }
-  const Duration left = *aRun.mProgram.mRun - aRun.mDone;
-  const auto slowed = static_cast<std::int64_t>(
-    static_cast<double>(left.count()) / aRun.mFraction);
-  return aRun.mAsOf + std::max(Duration{}, Duration(slowed));
+  const Duration work = *aRun.mProgram.mRun - aRun.mDone;
+  const auto remaining = static_cast<std::int64_t>(
+    static_cast<double>(work.count()) / aRun.mFraction);
+  return aRun.mUpdatedAt + std::max(Duration{}, Duration(remaining));
 }
 
-void TaskRunner::Progress(Run& aRun, Instant aUntil) const
+void TaskRunner::UpdateProgress(Run& aRun, Instant aUntil) const
 {
-  const Duration span = aUntil - aRun.mAsOf;
+  const Duration span = aUntil - aRun.mUpdatedAt;
   if (span <= Duration{}) {
     return;
   }
@@ -90,9 +90,9 @@
   Resources used = aRun.mProgram.mUsed;
   used.mMillicores = static_cast<std::int64_t>(
     static_cast<double>(used.mMillicores) * aRun.mFraction);
-  aRun.mUsage.push_back({ aRun.mAsOf + span / 2, used });
-  aRun.mAsOf = aUntil;
-  // Only the newest sample older than the lag is ever reported.
+  aRun.mUsage.push_back({ aRun.mUpdatedAt + span / 2, used });
+  aRun.mUpdatedAt = aUntil;
+  // Only the newest sample older than the lag is reported.
   while (aRun.mUsage.size() > 1 &&
          aRun.mUsage[1].mMiddle + mSettings.mUsageLag <= aUntil) {
     aRun.mUsage.pop_front();
@@ -104,12 +104,12 @@
                      TaskEventKind aKind,
                      Instant aAt)
 {
-  Progress(aRun, aAt);
+  UpdateProgress(aRun, aAt);
   aRun.mStatus.mState = aState;
   if (aState != TaskState::Finished) {
     aRun.mStatus.mReason = std::string(ToString(aKind));
   }
-  mOver.insert(aRun.mStatus.mKey);
+  mEndedKeys.insert(aRun.mStatus.mKey);
   Record(aRun, aKind, aAt);
 }
 
@@ -140,14 +140,15 @@
   if (highest != mHighest.end() && aStart.mKey.mEpoch < highest->second) {
     return NotRun(absl::FailedPreconditionError("stale-epoch"));
   }
-  if (mOver.contains(aStart.mKey)) {
+  if (mEndedKeys.contains(aStart.mKey)) {
     return NotRun(absl::FailedPreconditionError("task-is-over"));
   }
   if (aStart.mProgram != kProgram || !ParseFakeProgram(aStart)) {
-    return NotRun(absl::InvalidArgumentError("unknown program or arguments"));
+    return NotRun(
+      absl::InvalidArgumentError("unknown program or invalid arguments"));
   }
   if (!aStart.mCheckpoint.empty() && !ParseCheckpoint(aStart.mCheckpoint)) {
-    return NotRun(absl::InvalidArgumentError("unknown checkpoint"));
+    return NotRun(absl::InvalidArgumentError("invalid checkpoint"));
   }
   return absl::OkStatus();
 }
@@ -163,7 +164,7 @@
     return status;
   }
   mHighest[key.mJob] = key.mEpoch;
-  mDoubled += RunsElsewhere(key) ? 1 : 0;
+  mOverlapping += RunsOtherEpoch(key) ? 1 : 0;
   Run& run = mRuns[key];
   run.mStatus.mKey = key;
   run.mStatus.mCustomer = aStart.mCustomer;
@@ -171,7 +172,7 @@
   run.mStatus.mReserved = aStart.mResources;
   run.mProgram = *ParseFakeProgram(aStart);
   run.mDone = ParseCheckpoint(aStart.mCheckpoint).value_or(Duration{});
-  run.mAsOf = aNow;
+  run.mUpdatedAt = aNow;
   run.mLeaseUntil = aNow + aStart.mLease;
   mOvercommitted += IsOvercommitted() ? 1 : 0;
   Record(run, TaskEventKind::Started, aNow);
@@ -181,7 +182,7 @@
   return absl::OkStatus();
 }
 
-bool TaskRunner::RunsElsewhere(const TaskKey& aKey) const
+bool TaskRunner::RunsOtherEpoch(const TaskKey& aKey) const
 {
   return std::any_of(mRuns.begin(), mRuns.end(), [&aKey](const auto& aEntry) {
     return aEntry.first.mJob == aKey.mJob && aEntry.first != aKey &&
@@ -218,7 +219,7 @@
 {
   Advance(aNow);
   if (Run* const run = FindRunning(aKey)) {
-    Progress(*run, aNow);
+    UpdateProgress(*run, aNow);
     run->mStatus.mCheckpoint = CheckpointText(aKey, run->mDone);
     End(*run, TaskState::Checkpointed, TaskEventKind::Checkpointed, aNow);
   }
@@ -256,8 +257,8 @@
     End(*run, TaskState::Stopped, TaskEventKind::Stopped, aNow);
     return absl::OkStatus();
   }
-  // A start of this key that is still on its way must not run any more.
-  mOver.insert(aKey);
+  // A delayed start of this key must not run any more.
+  mEndedKeys.insert(aKey);
   return mRuns.contains(aKey) ? absl::OkStatus() : NoSuchTask();
 }
 
--- a/standins/worker/TaskRunner.h
+++ b/standins/worker/TaskRunner.h
@@ -25,18 +25,18 @@
   Duration mUsageLag = std::chrono::seconds(2);
 };
 
-/// A worker that only pretends to run its tasks: the promises of
-/// foxtailbarrow::Worker, over timers. The time is passed in; a call first
-/// brings everything up to it. Not safe for use by several threads.
+/// A worker that simulates its tasks with timers and keeps the guarantees of
+/// foxtailbarrow::Worker. The time is passed in; each call first advances all
+/// tasks to it. Not thread-safe.
 class TaskRunner
 {
 public:
   explicit TaskRunner(TaskRunnerSettings aSettings);
 
-  /// Every task started from now on fails at once.
+  /// Makes every task that starts from now on fail immediately.
   void FailAll(bool aFailAll) { mFailAll = aFailAll; }
 
-  /// Ends what has run its time, stops what has outlived its lease.
+  /// Ends tasks whose work is done and stops tasks whose lease has expired.
   void Advance(Instant aNow);
 
   WorkerView View(Instant aNow);
@@ -51,10 +51,10 @@
 
   const std::vector<TaskEvent>& Events() const { return mEvents; }
 
-  /// Times that a job started while another epoch of it ran here.
-  std::size_t Doubled() const { return mDoubled; }
+  /// How often a job started while another epoch of it was running here.
+  std::size_t Overlapping() const { return mOverlapping; }
 
-  /// Times that a start brought the running tasks beyond the capacity.
+  /// How often a start made the running tasks exceed the capacity.
   std::size_t Overcommitted() const { return mOvercommitted; }
 
 private:
@@ -69,7 +69,7 @@
     TaskStatus mStatus;
     FakeProgram mProgram;
     Duration mDone{};
-    Instant mAsOf{}; ///< Of mDone.
+    Instant mUpdatedAt{}; ///< Of mDone.
     Instant mLeaseUntil{};
     double mFraction = 1.0;
     std::deque<Usage> mUsage;
@@ -77,20 +77,20 @@
 
   absl::Status CheckStart(const TaskStart& aStart) const;
   std::optional<Instant> EndOf(const Run& aRun) const;
-  void Progress(Run& aRun, Instant aUntil) const;
+  void UpdateProgress(Run& aRun, Instant aUntil) const;
   void End(Run& aRun, TaskState aState, TaskEventKind aKind, Instant aAt);
   void Record(const Run& aRun, TaskEventKind aKind, Instant aAt);
-  bool RunsElsewhere(const TaskKey& aKey) const;
+  bool RunsOtherEpoch(const TaskKey& aKey) const;
   bool IsOvercommitted() const;
   Run* FindRunning(const TaskKey& aKey);
 
   const TaskRunnerSettings mSettings;
   bool mFailAll = false;
   std::map<TaskKey, Run> mRuns;
-  std::map<JobId, Epoch> mHighest; ///< Kept for ever: fences late starts.
-  std::set<TaskKey> mOver;         ///< Keys that must never run again.
+  std::map<JobId, Epoch> mHighest; ///< Never erased: fences late starts.
+  std::set<TaskKey> mEndedKeys;    ///< Keys that must not run again.
   std::vector<TaskEvent> mEvents;
-  std::size_t mDoubled = 0;
+  std::size_t mOverlapping = 0;
   std::size_t mOvercommitted = 0;
 };
 
--- a/standins/worker/WorkerService.cpp
+++ b/standins/worker/WorkerService.cpp
@@ -16,8 +16,8 @@
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kNotFound = 404;
 
-/// HttpServer closes the connection without an answer.
-constexpr unsigned kNoAnswer = 0;
+/// HttpServer closes the connection without a response.
+constexpr unsigned kNoResponse = 0;
 
 absl::StatusOr<Json::Value> Done(const absl::Status& aStatus)
 {
@@ -122,7 +122,7 @@
     if (mFaults.mLoseReplies > 0) {
       --mFaults.mLoseReplies;
       response = {};
-      response.mStatus = kNoAnswer;
+      response.mStatus = kNoResponse;
     }
   }
   if (delay > Duration{}) {
@@ -175,7 +175,7 @@
   mRunner.Advance(MonotonicNow());
   Json::Value object(Json::objectValue);
   object["events"] = Json::UInt64{ mRunner.Events().size() };
-  object["doubled"] = Json::UInt64{ mRunner.Doubled() };
+  object["doubled"] = Json::UInt64{ mRunner.Overlapping() };
   object["overcommitted"] = Json::UInt64{ mRunner.Overcommitted() };
   return object;
 }
