--- a/apps/agent/BackendProbe.cpp
+++ b/apps/agent/BackendProbe.cpp
@@ -27,7 +27,7 @@
 
 void BackendProbe::Start()
 {
-  mFibers.Repeat(mPoke, mSettings.mBackendProbe, [this] { Probe(); });
+  mFibers.Repeat(mWaker, mSettings.mBackendProbe, [this] { Probe(); });
 }
 
 void BackendProbe::Probe()
--- a/apps/agent/BackendProbe.h
+++ b/apps/agent/BackendProbe.h
@@ -7,7 +7,7 @@
 #include "src/net/FiberGroup.h"
 #include "src/net/FiberRuntime.h"
 #include "src/net/HttpClient.h"
-#include "src/net/Poke.h"
+#include "src/net/Waker.h"
 
 namespace foxtailbarrow {
 
@@ -39,7 +39,7 @@
   const AgentSettings& mSettings;
   net::HttpClient& mClient;
   const OnChange mOnChange;
-  Poke mPoke;
+  Waker mWaker;
   FiberGroup mFibers;
   std::atomic<bool> mIsUp{ false };
   int mFailures = 0;
--- a/apps/agent/ColocationControl.cpp
+++ b/apps/agent/ColocationControl.cpp
@@ -33,7 +33,7 @@
 
 void ColocationControl::Start()
 {
-  mFibers.Repeat(mPoke, kWindow, [this] { Evaluate(); });
+  mFibers.Repeat(mWaker, kWindow, [this] { Evaluate(); });
 }
 
 void ColocationControl::OnUsage(const TaskKey& aKey,
--- a/apps/agent/ColocationControl.h
+++ b/apps/agent/ColocationControl.h
@@ -10,7 +10,7 @@
 #include "src/core/colocation/ColocationGuard.h"
 #include "src/core/colocation/LatencyRecorder.h"
 #include "src/net/FiberGroup.h"
-#include "src/net/Poke.h"
+#include "src/net/Waker.h"
 #include "src/telemetry/Metrics.h"
 
 namespace foxtailbarrow {
@@ -57,7 +57,7 @@
 
   const Hooks mHooks;
   LatencyRecorder mRecorder;
-  Poke mPoke;
+  Waker mWaker;
   FiberGroup mFibers;
   mutable std::mutex mMutex; ///< Guards what follows.
   ColocationGuard mGuard;
--- a/apps/agent/HeartbeatSender.cpp
+++ b/apps/agent/HeartbeatSender.cpp
@@ -61,7 +61,7 @@
 
 void HeartbeatSender::Start()
 {
-  mFibers.Repeat(mPoke, [this] {
+  mFibers.Repeat(mWaker, [this] {
     SendRound();
     return NextDelay();
   });
@@ -77,7 +77,7 @@
 void HeartbeatSender::SendNow()
 {
   mSendToAll = true;
-  mPoke.Now();
+  mWaker.Wake();
 }
 
 bool HeartbeatSender::Reported(std::uint64_t aSequence) const
--- a/apps/agent/HeartbeatSender.h
+++ b/apps/agent/HeartbeatSender.h
@@ -15,8 +15,8 @@
 #include "src/core/membership/HeartbeatSchedule.h"
 #include "src/net/FiberGroup.h"
 #include "src/net/FiberRuntime.h"
-#include "src/net/Poke.h"
 #include "src/net/Rpc.h"
+#include "src/net/Waker.h"
 #include "src/telemetry/Metrics.h"
 
 namespace foxtailbarrow {
@@ -96,7 +96,7 @@
   const AgentSettings& mSettings;
   net::RpcClient mRpc;
   const Hooks mHooks;
-  Poke mPoke;
+  Waker mWaker;
   FiberGroup mFibers;
   std::atomic<std::uint64_t> mSequence{ 0 };
   std::atomic<bool> mSendToAll{ false };
--- a/apps/agent/TaskControl.cpp
+++ b/apps/agent/TaskControl.cpp
@@ -63,9 +63,9 @@
 
 void TaskControl::Start()
 {
-  mFibers.Repeat(mCallPoke, kMaxCallInterval, [this] { MakeCalls(); });
-  mFibers.Repeat(mViewPoke, mSettings.mViewInterval, [this] { Poll(); });
-  mFibers.Repeat(mRenewPoke, kRenewalInterval, [this] { Renew(); });
+  mFibers.Repeat(mCallWaker, kMaxCallInterval, [this] { MakeCalls(); });
+  mFibers.Repeat(mViewWaker, mSettings.mViewInterval, [this] { Poll(); });
+  mFibers.Repeat(mRenewWaker, kRenewalInterval, [this] { Renew(); });
 }
 
 AssignReply TaskControl::Assign(const foxtailbarrow::Assign& aAssign)
@@ -76,7 +76,7 @@
     reply = mTable.Assign(aAssign, MonotonicNow());
   }
   (reply.mGranted ? mGranted : mRefused).Increment();
-  mCallPoke.Now();
+  mCallWaker.Wake();
   return reply;
 }
 
@@ -92,11 +92,11 @@
     }
     if (aControl.mAction == TaskAction::Throttle ||
         status->mState != TaskState::Running) {
-      mCallPoke.Now();
+      mCallWaker.Wake();
       return ControlReply{ *std::move(status) };
     }
   }
-  mCallPoke.Now();
+  mCallWaker.Wake();
   WaitForEnd(aControl.mKey, mSettings.mWorkerTimeout);
   const std::lock_guard lock(mMutex);
   auto status = mTable.StatusOf(aControl.mKey);
@@ -137,7 +137,7 @@
     mTable.ApplyReply(aSequence, aReply, MonotonicNow());
   }
   if (!aReply.mAcknowledged.empty() || !aReply.mUnknown.empty()) {
-    mCallPoke.Now();
+    mCallWaker.Wake();
   }
 }
 
@@ -195,7 +195,7 @@
     const std::lock_guard lock(mMutex);
     mTable.Throttle(aKey, aFraction);
   }
-  mCallPoke.Now();
+  mCallWaker.Wake();
 }
 
 void TaskControl::Evict(const TaskKey& aKey, Reason aReason)
@@ -204,7 +204,7 @@
     const std::lock_guard lock(mMutex);
     mTable.Evict(aKey, aReason);
   }
-  mCallPoke.Now();
+  mCallWaker.Wake();
 }
 
 void TaskControl::Drain()
@@ -213,7 +213,7 @@
     const std::lock_guard lock(mMutex);
     mTable.Drain();
   }
-  mCallPoke.Now();
+  mCallWaker.Wake();
 }
 
 bool TaskControl::Empty() const
--- a/apps/agent/TaskControl.h
+++ b/apps/agent/TaskControl.h
@@ -15,7 +15,7 @@
 #include "src/core/colocation/PlacementHistory.h"
 #include "src/net/FiberGroup.h"
 #include "src/net/FiberRuntime.h"
-#include "src/net/Poke.h"
+#include "src/net/Waker.h"
 #include "src/telemetry/Metrics.h"
 
 namespace foxtailbarrow {
@@ -105,9 +105,9 @@
   CapacityLedger mLedger;
   TaskTable mTable;
   std::atomic<bool> mReady{ false };
-  Poke mCallPoke;
-  Poke mViewPoke;
-  Poke mRenewPoke;
+  Waker mCallWaker;
+  Waker mViewWaker;
+  Waker mRenewWaker;
   FiberGroup mFibers;
   prometheus::Counter& mGranted;
   prometheus::Counter& mRefused;
--- a/apps/agent/TaskControlWorker.cpp
+++ b/apps/agent/TaskControlWorker.cpp
@@ -85,7 +85,7 @@
     return;
   }
   std::visit([this](const auto& aOne) { Call(aOne); }, aCall);
-  mCallPoke.Now();
+  mCallWaker.Wake();
 }
 
 void TaskControl::Call(const CallStart& aCall)
@@ -102,7 +102,7 @@
     const std::lock_guard lock(mMutex);
     mTable.StopDone(aCall.mKey, result, MonotonicNow());
   }
-  mViewPoke.Now();
+  mViewWaker.Wake();
 }
 
 void TaskControl::Call(const CallCheckpoint& aCall)
@@ -115,7 +115,7 @@
   if (result.ok()) {
     mOnChange();
   } else {
-    mViewPoke.Now();
+    mViewWaker.Wake();
   }
 }
 
--- a/apps/scheduler/CellOwner.cpp
+++ b/apps/scheduler/CellOwner.cpp
@@ -184,10 +184,10 @@
     return;
   }
   LogChange("cell-released", { { "generation", mTerm.OwnGeneration() } });
-  mSchedulePoke.Now();
-  mSavePoke.Now();
+  mScheduleWaker.Wake();
+  mSaveWaker.Wake();
   for (auto& [agent, link] : mAgentLinks) {
-    link->mPoke.Now();
+    link->mWaker.Wake();
   }
 }
 
@@ -207,7 +207,7 @@
 void CellOwner::SetQueues(const std::vector<QueuePolicy>& aQueues)
 {
   ApplyQueues(aQueues);
-  mSchedulePoke.Now();
+  mScheduleWaker.Wake();
 }
 
 void CellOwner::Spawn(void (CellOwner::*aBody)())
@@ -259,14 +259,14 @@
     return;
   }
   mLogic.AddJob(aJob, {}, 0, Clock());
-  mSchedulePoke.Now();
-  mSavePoke.Now();
+  mScheduleWaker.Wake();
+  mSaveWaker.Wake();
 }
 
 void CellOwner::RunSchedule()
 {
   while (!mEnded) {
-    mSchedulePoke.Wait(kMaxRoundPause);
+    mScheduleWaker.Wait(kMaxRoundPause);
     const Instant due = MonotonicNow() + mPacing.Pause();
     if (mPacing.Stretched()) {
       mLoad.RecordDeferredRound();
@@ -290,11 +290,11 @@
   mLoad.RecordRound(took);
   for (const AgentId& agent : mLogic.AgentsWithOrders()) {
     if (const auto link = mAgentLinks.find(agent); link != mAgentLinks.end()) {
-      link->second->mPoke.Now();
+      link->second->mWaker.Wake();
     }
   }
   if (mLogic.HasUnsavedJobs()) {
-    mSavePoke.Now();
+    mSaveWaker.Wake();
   }
 }
 
--- a/apps/scheduler/CellOwner.h
+++ b/apps/scheduler/CellOwner.h
@@ -15,8 +15,8 @@
 #include "src/core/cell/OwnerTerm.h"
 #include "src/core/cell/RoundPacing.h"
 #include "src/net/FiberRuntime.h"
-#include "src/net/Poke.h"
 #include "src/net/Rpc.h"
+#include "src/net/Waker.h"
 
 namespace foxtailbarrow::scheduler {
 
@@ -96,7 +96,7 @@
   struct AgentLink
   {
     Endpoint mEndpoint;
-    Poke mPoke;
+    Waker mWaker;
     Instant mLastContactAt{};
     Instant mAttachedAt{};
     Instant mWeightsSentAt{};
@@ -161,8 +161,8 @@
   /// Jobs with unreadable progress. Nothing of them is started, since it is not
   /// known which of their tasks have run.
   std::set<JobId> mUnreadableJobs;
-  Poke mSchedulePoke;
-  Poke mSavePoke;
+  Waker mScheduleWaker;
+  Waker mSaveWaker;
   OwnerCounters mCounters;
   bool mAdviceWanted = false; ///< A service chooses workers for some queue.
   bool mLoaded = false;
--- a/apps/scheduler/CellOwnerAdvice.cpp
+++ b/apps/scheduler/CellOwnerAdvice.cpp
@@ -39,7 +39,7 @@
     }
     mLogic.OnAdvice(
       *query, reply.ok() ? std::optional(*reply) : std::nullopt, Clock());
-    mSchedulePoke.Now();
+    mScheduleWaker.Wake();
   }
 }
 
--- a/apps/scheduler/CellOwnerAgents.cpp
+++ b/apps/scheduler/CellOwnerAgents.cpp
@@ -61,7 +61,7 @@
     if (Attached(aReport.mAgent) && !sentBefore) {
       Detach(aReport.mAgent); // The agent restarted without a session.
     }
-    link.mPoke.Now();
+    link.mWaker.Wake();
     return reply;
   }
   reply.mSendFullState = mLogic.NeedsFullState(aReport.mAgent);
@@ -75,13 +75,13 @@
   }
   // Most reports need no placement round.
   if (mLogic.NeedsPlacement()) {
-    mSchedulePoke.Now();
+    mScheduleWaker.Wake();
   }
   if (mLogic.HasUnsavedJobs()) {
-    mSavePoke.Now();
+    mSaveWaker.Wake();
   }
   if (mLogic.HasOrders(aReport.mAgent)) {
-    link.mPoke.Now();
+    link.mWaker.Wake();
   }
   return reply;
 }
@@ -114,7 +114,7 @@
 void CellOwner::Detach(const AgentId& aAgent)
 {
   mLogic.DetachWorker(aAgent, Clock());
-  mSchedulePoke.Now();
+  mScheduleWaker.Wake();
 }
 
 void CellOwner::RunAgentLink(const AgentId& aAgent, AgentLink& aLink)
@@ -127,7 +127,7 @@
     const Duration pause =
       Attached(aAgent) ? OrderRound(aAgent, aLink) : AttachRound(aAgent, aLink);
     if (!mEnded && pause > Duration::zero()) {
-      aLink.mPoke.Wait(pause);
+      aLink.mWaker.Wait(pause);
     }
   }
 }
@@ -215,7 +215,7 @@
   aLink.mAttachedAt = aLink.mLastContactAt;
   aLink.mWeightsSentAt = {}; // The agent may have restarted.
   mLogic.AttachWorker(aAgent, aLink.mEndpoint, session, reply->mState, Clock());
-  mSchedulePoke.Now();
+  mScheduleWaker.Wake();
   return Duration::zero();
 }
 
@@ -227,7 +227,7 @@
   }
   const OrderRequest orders = mLogic.TakeOrders(aAgent);
   if (mLogic.HasUnsavedJobs()) {
-    mSavePoke.Now();
+    mSaveWaker.Wake();
   }
   if (orders.mStarts.empty() && orders.mStops.empty() &&
       orders.mMetadata.empty()) {
@@ -258,7 +258,7 @@
   }
   mLoad.RecordWait(OwnerWait::Order, MonotonicNow() - oldest);
   mLogic.OnStartResults(aAgent, orders.mSession, reply->mStarts, Clock());
-  mSchedulePoke.Now();
+  mScheduleWaker.Wake();
   return Duration::zero();
 }
 
--- a/apps/scheduler/CellOwnerRecords.cpp
+++ b/apps/scheduler/CellOwnerRecords.cpp
@@ -33,7 +33,7 @@
 {
   while (!mEnded) {
     if (!mLogic.HasUnsavedJobs()) {
-      mSavePoke.Wait(std::chrono::seconds(1));
+      mSaveWaker.Wait(std::chrono::seconds(1));
       continue;
     }
     boost::this_fiber::sleep_for(kSaveBatchDelay);
@@ -82,7 +82,7 @@
   for (const UnsavedProgress& job : batch) {
     mLogic.OnProgressSaved(job.mJob, job.mVersion, result->mRevision);
   }
-  mSchedulePoke.Now();
+  mScheduleWaker.Wake();
   return true;
 }
 
--- a/apps/scheduler/Election.cpp
+++ b/apps/scheduler/Election.cpp
@@ -289,7 +289,7 @@
     owner->End();
   }
   mOwnerAt.reset();
-  mPoke.Now();
+  mWaker.Wake();
 }
 
 void Election::Resign()
--- a/apps/scheduler/Election.h
+++ b/apps/scheduler/Election.h
@@ -11,7 +11,7 @@
 #include "foxtailbarrow/Store.h"
 #include "src/core/cell/Candidacy.h"
 #include "src/core/cell/CellRecords.h"
-#include "src/net/Poke.h"
+#include "src/net/Waker.h"
 
 namespace foxtailbarrow::scheduler {
 
@@ -37,7 +37,7 @@
 
   /// One step of the election. Returns the pause before the next.
   Duration Round();
-  Poke& RoundPoke() { return mPoke; }
+  Waker& RoundWaker() { return mWaker; }
 
   /// Gives up the cell, so that another scheduler can take it at once, and
   /// leaves the election.
@@ -84,7 +84,7 @@
   cell::CellSettings mCellSettings;
   Store& mStore;
   MakeOwner mMakeOwner;
-  Poke mPoke;
+  Waker mWaker;
   std::mt19937_64 mRandom{ std::random_device{}() };
   std::shared_ptr<CellOwner> mOwner;
   StoreLease mLease = 0;
--- a/apps/scheduler/JobRequestHandler.cpp
+++ b/apps/scheduler/JobRequestHandler.cpp
@@ -31,7 +31,7 @@
 struct PendingWrite
 {
   std::optional<absl::StatusOr<StoreTransactionResult>> mResult;
-  Poke mDone;
+  Waker mDone;
 };
 
 bool ChangesJob(const JobRequest& aRequest)
--- a/apps/scheduler/Scheduler.cpp
+++ b/apps/scheduler/Scheduler.cpp
@@ -27,8 +27,8 @@
 /// two watches of an idle scheduler yield two answers a second.
 constexpr Duration kProbeInterval = std::chrono::milliseconds(300);
 constexpr Duration kProbeCheck = std::chrono::milliseconds(100);
-/// Pause of a fiber that waits for its poke.
-constexpr Duration kUntilPoked = std::chrono::hours(1);
+/// Pause of a fiber that waits for its waker.
+constexpr Duration kUntilWoken = std::chrono::hours(1);
 /// Interval of checks for the first configuration. Until it is read, this
 /// scheduler takes no part in the election: an owner would have no policies for
 /// its jobs.
@@ -134,8 +134,8 @@
                       mSettings.mAdvice.mPort == 0 ? nullptr : &mAdvice,
                       [this] { mElection.Superseded(); },
                       [this] {
-                        return mDispatcher.TextWork().Total() +
-                               mRpc.TextWork().Total();
+                        return mDispatcher.CodecTime().Total() +
+                               mRpc.CodecTime().Total();
                       } },
     aTerm,
     mCellSettings,
@@ -194,15 +194,16 @@
   if (absl::Status status = ListenAll(); !status.ok()) {
     return status;
   }
-  mFibers.Repeat(mConfigurationPoke, [this] { return mConfiguration.Round(); });
-  mFibers.Repeat(mElection.RoundPoke(), [this] {
+  mFibers.Repeat(mConfigurationWaker,
+                 [this] { return mConfiguration.Round(); });
+  mFibers.Repeat(mElection.RoundWaker(), [this] {
     return mConfiguration.Newest() ? mElection.Round() : kConfigurationPoll;
   });
-  mFibers.Repeat(mResumePoke, [this] {
+  mFibers.Repeat(mResumeWaker, [this] {
     const Duration pause = mConfiguration.Confirm();
-    return pause > Duration::zero() ? pause : kUntilPoked;
+    return pause > Duration::zero() ? pause : kUntilWoken;
   });
-  mFibers.Repeat(mProbePoke, kProbeCheck, [this] {
+  mFibers.Repeat(mProbeWaker, kProbeCheck, [this] {
     OnResume();
     absl::Status status;
     if (mStore.SinceAnswer() >= kProbeInterval || !mStore.Answers()) {
@@ -277,7 +278,7 @@
   }
   LogWarning("resumed", { { "ms", WholeMilliseconds(*suspended) } });
   mConfiguration.MarkStale();
-  mResumePoke.Now();
+  mResumeWaker.Wake();
 }
 
 absl::Status Scheduler::Readiness() const
--- a/apps/scheduler/Scheduler.h
+++ b/apps/scheduler/Scheduler.h
@@ -78,9 +78,9 @@
   bool mDraining = false;
   bool mLoggedReady = false;
   bool mLoggedStoreAnswers = true;
-  Poke mConfigurationPoke;
-  Poke mProbePoke;
-  Poke mResumePoke;
+  Waker mConfigurationWaker;
+  Waker mProbeWaker;
+  Waker mResumeWaker;
   SuspendDetector mResume;
   std::unique_ptr<net::HttpServer> mCallers;
   std::unique_ptr<net::HttpServer> mReady;
--- a/apps/taskagent/OwnerLink.cpp
+++ b/apps/taskagent/OwnerLink.cpp
@@ -71,7 +71,7 @@
     if (mPendingReport == session) {
       mPendingReport.reset();
       if (mReportRequested) {
-        mPoke.Now();
+        mWaker.Wake();
       }
     }
   });
--- a/apps/taskagent/OwnerLink.h
+++ b/apps/taskagent/OwnerLink.h
@@ -9,8 +9,8 @@
 #include "foxtailbarrow/Store.h"
 #include "src/core/cell/CellMessages.h"
 #include "src/core/cell/ReportEncoder.h"
-#include "src/net/Poke.h"
 #include "src/net/Rpc.h"
+#include "src/net/Waker.h"
 
 namespace foxtailbarrow::taskagent {
 
@@ -30,9 +30,9 @@
   void RequestReport()
   {
     mReportRequested = true;
-    mPoke.Now();
+    mWaker.Wake();
   }
-  Poke& RoundPoke() { return mPoke; }
+  Waker& RoundWaker() { return mWaker; }
 
   /// Starts a report and searches for the owner if it is lost. Returns the
   /// pause before the next round.
@@ -66,7 +66,7 @@
   WorkerControl& mWorker;
   Store& mStore;
   net::RpcClient& mRpc;
-  Poke mPoke;
+  Waker mWaker;
   std::optional<Endpoint> mOwner;
   cell::Generation mGeneration = 0;
   cell::Session mReportedSession = 0;
--- a/apps/taskagent/TaskAgent.cpp
+++ b/apps/taskagent/TaskAgent.cpp
@@ -88,11 +88,11 @@
   if (!status.ok()) {
     return status;
   }
-  mFibers.Repeat(mPollPoke, [this] {
+  mFibers.Repeat(mPollWaker, [this] {
     OnResume();
     return mWorker.Poll();
   });
-  mFibers.Repeat(mOwner.RoundPoke(), [this] { return mOwner.Round(); });
+  mFibers.Repeat(mOwner.RoundWaker(), [this] { return mOwner.Round(); });
   return absl::OkStatus();
 }
 
--- a/apps/taskagent/TaskAgent.h
+++ b/apps/taskagent/TaskAgent.h
@@ -63,7 +63,7 @@
   std::unique_ptr<net::HttpServer> mWorkerServer;
   std::unique_ptr<net::HttpServer> mOwnerServer;
   std::unique_ptr<net::HttpServer> mAdminServer;
-  Poke mPollPoke;
+  Waker mPollWaker;
   SuspendDetector mResume;
   FiberGroup mFibers;
 };
--- a/bench/admission/Decision.cpp
+++ b/bench/admission/Decision.cpp
@@ -29,7 +29,7 @@
   return contract;
 }
 
-ShareAllocation ThreeEntries()
+ShareAllocation ShareOfOneEntry()
 {
   ShareAllocation basis;
   basis.mStandingPermille = 500;
@@ -49,7 +49,7 @@
   const auto own = static_cast<std::size_t>(aState.thread_index());
   CustomerAdmission& admission = sSlots[isShared ? 0 : own].mAdmission;
   const Contract contract = ContractOf(aState.range(1) != 0);
-  const ShareAllocation basis = ThreeEntries();
+  const ShareAllocation basis = ShareOfOneEntry();
   std::int64_t admitted = 0;
   for (auto _ : aState) {
     const Instant now = MonotonicNow();
--- a/bench/admission/Overload.cpp
+++ b/bench/admission/Overload.cpp
@@ -15,11 +15,11 @@
 namespace foxtailbarrow {
 namespace {
 
-constexpr int kSlots = 88;          // 11 runners of 8 slots
-constexpr double kServiceMs = 10.0; // mean, exponential
-constexpr int kCustomers = 10;      // customer 0 floods
-constexpr double kCalmPerMs = 0.6;  // of the 8.8 that the slots serve
-constexpr double kFloodPerMs = 8.8; // ten times its fair part
+constexpr int kSlots = 88;           // 11 runners of 8 slots
+constexpr double kServiceMs = 10.0;  // mean, exponential
+constexpr int kCustomers = 10;       // customer 0 floods
+constexpr double kNormalPerMs = 0.6; // of the 8.8 that the slots serve
+constexpr double kFloodPerMs = 8.8;  // ten times its fair part
 constexpr Duration kDeadline = std::chrono::milliseconds(500);
 constexpr Duration kRun = std::chrono::seconds(60);
 constexpr Duration kSweepInterval = std::chrono::milliseconds(5);
@@ -28,24 +28,24 @@
 
 struct Outcome
 {
-  double mCalmServed = 0; ///< Part of what the others offered.
-  double mFloodPart = 0;  ///< Of all that was served.
-  double mCalmP50Ms = 0;  ///< From arrival to answer.
-  double mCalmP99Ms = 0;
+  double mNormalServed = 0; ///< Part of what the others offered.
+  double mFloodShare = 0;   ///< Of all that was served.
+  double mNormalP50Ms = 0;  ///< From arrival to answer.
+  double mNormalP99Ms = 0;
   double mRefusalP99Ms = 0; ///< From arrival to being given up.
   double mRefusedLate = 0;  ///< Part of the refusals, after 5 ms.
   double mUtilization = 0;
 };
 
-double Quantile(std::vector<double>& aValues, double aPart)
+double Quantile(std::vector<double>& aValues, double aQuantile)
 {
   if (aValues.empty()) {
     return 0;
   }
-  const auto place = static_cast<std::ptrdiff_t>(
-    aPart * static_cast<double>(aValues.size() - 1));
-  std::nth_element(aValues.begin(), aValues.begin() + place, aValues.end());
-  return aValues[static_cast<std::size_t>(place)];
+  const auto index = static_cast<std::ptrdiff_t>(
+    aQuantile * static_cast<double>(aValues.size() - 1));
+  std::nth_element(aValues.begin(), aValues.begin() + index, aValues.end());
+  return aValues[static_cast<std::size_t>(index)];
 }
 
 template<typename Queue>
@@ -72,7 +72,7 @@
         Arrive();
         arrival = NextArrival();
       } else {
-        GiveUp(mQueue.Sweep(mNow));
+        RecordRefusals(mQueue.Sweep(mNow));
         sweep = mNow + kSweepInterval;
       }
     }
@@ -83,7 +83,7 @@
   static constexpr Instant kBegin{ std::chrono::seconds(1) };
   static constexpr Instant kEnd = kBegin + kRun;
 
-  double Rate() const { return mFloodPerMs + (kCustomers - 1) * kCalmPerMs; }
+  double Rate() const { return mFloodPerMs + (kCustomers - 1) * kNormalPerMs; }
 
   Instant NextArrival()
   {
@@ -98,7 +98,7 @@
     const int customer =
       draw < mFloodPerMs
         ? 0
-        : 1 + static_cast<int>((draw - mFloodPerMs) / kCalmPerMs);
+        : 1 + static_cast<int>((draw - mFloodPerMs) / kNormalPerMs);
     QueuedRequest request;
     request.mHandle = mArrived.size();
     request.mCustomer =
@@ -106,8 +106,8 @@
     request.mDeadline = mNow + kDeadline;
     request.mJitter = uniform(mRandom);
     mArrived.push_back(mNow);
-    mCalmOffered += customer == 0 ? 0 : 1;
-    GiveUp(mQueue.Offer(mNow, std::move(request)));
+    mNormalOffered += customer == 0 ? 0 : 1;
+    RecordRefusals(mQueue.Offer(mNow, std::move(request)));
     Fill();
   }
 
@@ -115,7 +115,7 @@
   {
     while (mEnds.size() < kSlots && mQueue.Size() > 0) {
       QueuePop pop = mQueue.Pop(mNow);
-      GiveUp(pop.mRefused);
+      RecordRefusals(pop.mRefused);
       if (pop.mNext) {
         Serve(*pop.mNext);
       }
@@ -132,11 +132,11 @@
     mBusyMs += took;
     ++mServed;
     if (aRequest.mCustomer != mNames[0]) {
-      mCalmMs.push_back(Since(aRequest.mHandle, ends));
+      mNormalMs.push_back(Since(aRequest.mHandle, ends));
     }
   }
 
-  void GiveUp(const std::vector<QueueRefusal>& aRefusals)
+  void RecordRefusals(const std::vector<QueueRefusal>& aRefusals)
   {
     for (const QueueRefusal& refusal : aRefusals) {
       mRefusalMs.push_back(Since(refusal.mHandle, mNow));
@@ -150,12 +150,12 @@
 
   Outcome Summary()
   {
-    const auto calm = static_cast<double>(mCalmMs.size());
+    const auto normal = static_cast<double>(mNormalMs.size());
     Outcome outcome;
-    outcome.mCalmServed = calm / mCalmOffered;
-    outcome.mFloodPart = 1 - calm / mServed;
-    outcome.mCalmP50Ms = Quantile(mCalmMs, 0.5);
-    outcome.mCalmP99Ms = Quantile(mCalmMs, 0.99);
+    outcome.mNormalServed = normal / mNormalOffered;
+    outcome.mFloodShare = 1 - normal / mServed;
+    outcome.mNormalP50Ms = Quantile(mNormalMs, 0.5);
+    outcome.mNormalP99Ms = Quantile(mNormalMs, 0.99);
     outcome.mRefusalP99Ms = Quantile(mRefusalMs, 0.99);
     outcome.mRefusedLate = mRefusalMs.empty()
                              ? 0
@@ -182,9 +182,9 @@
   Instant mNow = kBegin;
   std::priority_queue<Instant, std::vector<Instant>, std::greater<>> mEnds;
   std::vector<Instant> mArrived;
-  std::vector<double> mCalmMs;
+  std::vector<double> mNormalMs;
   std::vector<double> mRefusalMs;
-  double mCalmOffered = 0;
+  double mNormalOffered = 0;
   double mServed = 0;
   double mBusyMs = 0;
 };
@@ -208,7 +208,7 @@
 template<typename Queue>
 void Overload(benchmark::State& aState)
 {
-  const double flood = aState.range(0) != 0 ? kFloodPerMs : kCalmPerMs;
+  const double flood = aState.range(0) != 0 ? kFloodPerMs : kNormalPerMs;
   std::vector<Outcome> outcomes;
   for (auto _ : aState) {
     outcomes.clear();
@@ -216,10 +216,10 @@
       outcomes.push_back(Simulation<Queue>(seed, flood).Run());
     }
   }
-  Report(aState, "calm_served", outcomes, &Outcome::mCalmServed);
-  Report(aState, "flood_part", outcomes, &Outcome::mFloodPart);
-  Report(aState, "calm_p50_ms", outcomes, &Outcome::mCalmP50Ms);
-  Report(aState, "calm_p99_ms", outcomes, &Outcome::mCalmP99Ms);
+  Report(aState, "calm_served", outcomes, &Outcome::mNormalServed);
+  Report(aState, "flood_part", outcomes, &Outcome::mFloodShare);
+  Report(aState, "calm_p50_ms", outcomes, &Outcome::mNormalP50Ms);
+  Report(aState, "calm_p99_ms", outcomes, &Outcome::mNormalP99Ms);
   Report(aState, "refusal_p99_ms", outcomes, &Outcome::mRefusalP99Ms);
   Report(aState, "refused_late", outcomes, &Outcome::mRefusedLate);
   Report(aState, "utilization", outcomes, &Outcome::mUtilization);
--- a/bench/cell/ScheduleRound.cpp
+++ b/bench/cell/ScheduleRound.cpp
@@ -14,7 +14,7 @@
 using std::chrono::seconds;
 
 constexpr int kServingImages = 5;
-constexpr int kLeftoverImages = 9;
+constexpr int kBestEffortImages = 9;
 constexpr int kServingPerWorker = 4;
 constexpr int kTasksPerJob = 20;
 
@@ -36,7 +36,7 @@
       Add(i, Serving(i % kServingImages));
     }
     for (int i = 0; i < aWorkers; ++i) {
-      Add(aWorkers + i, BestEffort(i % kLeftoverImages));
+      Add(aWorkers + i, BestEffort(i % kBestEffortImages));
     }
     Round();
     Learn();
--- a/bench/colocation/ColocationModel.h
+++ b/bench/colocation/ColocationModel.h
@@ -90,7 +90,7 @@
   {
     TaskKey mKey;
     double mUsed = 0.0;
-    int mTakenAt = 0;
+    int mSampledAt = 0;
   };
 
   static constexpr std::size_t kMaxTasks = 10;
@@ -143,10 +143,10 @@
       task.mLeft = kTaskSeconds * (0.5 + Uniform());
       mTasks.push_back(task);
     }
-    TellTasks(aSecond);
+    UpdateTasks(aSecond);
   }
 
-  void TellTasks(int aSecond)
+  void UpdateTasks(int aSecond)
   {
     std::vector<ColocatedTask> tasks;
     for (const Task& task : mTasks) {
@@ -196,13 +196,14 @@
     for (const Task& task : mTasks) {
       mUsage.push_back({ task.mKey, kTaskSize * task.mFraction, aSecond });
     }
-    while (!mUsage.empty() && mUsage.front().mTakenAt + kUsageLag <= aSecond) {
+    while (!mUsage.empty() &&
+           mUsage.front().mSampledAt + kUsageLag <= aSecond) {
       const LateUsage& usage = mUsage.front();
-      OnUsage(mPolicy, usage.mKey, usage.mUsed, At(usage.mTakenAt));
+      OnUsage(mPolicy, usage.mKey, usage.mUsed, At(usage.mSampledAt));
       mUsage.pop_front();
     }
     OnLatencies(mPolicy, mRecorder.Take(At(aSecond + 1)));
-    TellTasks(aSecond + 1);
+    UpdateTasks(aSecond + 1);
     for (const ColocationAction& act : Advance(mPolicy, At(aSecond + 1))) {
       std::visit([&](const auto& aOne) { Apply(aOne, aSecond); }, act);
     }
@@ -234,9 +235,9 @@
   Outcome Collect()
   {
     std::sort(mLatencies.begin(), mLatencies.end());
-    const auto quantile = [this](double aPart) {
+    const auto quantile = [this](double aQuantile) {
       return mLatencies[static_cast<std::size_t>(
-        aPart * static_cast<double>(mLatencies.size() - 1))];
+        aQuantile * static_cast<double>(mLatencies.size() - 1))];
     };
     mOutcome.mP50Ms = quantile(0.5);
     mOutcome.mP99Ms = quantile(0.99);
--- a/bench/placement/Placement.cpp
+++ b/bench/placement/Placement.cpp
@@ -87,12 +87,12 @@
       contract.mBatch = { { 1LL << 50, 1LL << 50, 0 }, 1 << 30, 1.0 };
       contracts.mChanged.push_back(contract);
     }
-    Tell(contracts);
+    HandleEvent(contracts);
     ShardAcquired acquired{ 0, 1, {} };
     for (int i = 0; i < aWorkers * kTasksPerWorker; ++i) {
       acquired.mJobs.push_back({ RecordOf(i), 1 });
     }
-    Tell(acquired);
+    HandleEvent(acquired);
   }
 
   JobRecord RecordOf(int aNumber) const
@@ -110,7 +110,7 @@
     return record;
   }
 
-  void Beat(int aWorker)
+  void PrepareHeartbeat(int aWorker)
   {
     Heartbeat heartbeat = HeartbeatOf(aWorker, ++mSequence);
     heartbeat.mLoad.mReserved = { kTaskSize.mMillicores * kTasksPerWorker,
@@ -128,14 +128,14 @@
     mPrepared = { std::move(heartbeat) };
   }
 
-  void TakePrepared()
+  void DeliverHeartbeat()
   {
-    Tell(mPrepared);
-    Tell(HeartbeatReplySent{
+    HandleEvent(mPrepared);
+    HandleEvent(HeartbeatReplySent{
       mPrepared.mHeartbeat.mAgent, 1, mSequence, mNow + 20s });
   }
 
-  JobScheduler::Actions Tell(const JobEvent& aEvent)
+  JobScheduler::Actions HandleEvent(const JobEvent& aEvent)
   {
     return mScheduler.Handle(aEvent, mNow, mRandom);
   }
@@ -162,18 +162,18 @@
   const std::size_t before = HeapInUse();
   BusyScheduler scheduler(workers);
   for (int i = 0; i < workers; ++i) {
-    scheduler.Beat(i);
-    scheduler.TakePrepared();
+    scheduler.PrepareHeartbeat(i);
+    scheduler.DeliverHeartbeat();
   }
   aState.counters["bytes/task"] =
     static_cast<double>(HeapInUse() - before) / (workers * kTasksPerWorker);
   int worker = 0;
   for (auto _ : aState) {
     aState.PauseTiming();
-    scheduler.Beat(worker);
+    scheduler.PrepareHeartbeat(worker);
     worker = (worker + 1) % workers;
     aState.ResumeTiming();
-    scheduler.TakePrepared();
+    scheduler.DeliverHeartbeat();
   }
 }
 BENCHMARK(TakeHeartbeat)->Arg(11)->Arg(100)->Arg(1'000)->Arg(6'100);
@@ -185,8 +185,8 @@
   const int workers = static_cast<int>(aState.range(0));
   BusyScheduler scheduler(workers);
   for (int i = 0; i < workers; ++i) {
-    scheduler.Beat(i);
-    scheduler.TakePrepared();
+    scheduler.PrepareHeartbeat(i);
+    scheduler.DeliverHeartbeat();
   }
   int number = workers * kTasksPerWorker;
   std::int64_t runs = 0;
@@ -197,28 +197,28 @@
       record.mState = JobState::Queued;
       record.mEpoch = 0;
       record.mAgent.reset();
-      scheduler.Tell(JobRead{ 0, { std::move(record), 1 } });
+      scheduler.HandleEvent(JobRead{ 0, { std::move(record), 1 } });
     }
     scheduler.mNow += 100us;
-    std::vector<JobAction> todo = scheduler.Tell(Tick{});
+    std::vector<JobAction> todo = scheduler.HandleEvent(Tick{});
     while (!todo.empty()) {
       std::vector<JobAction> next;
       for (const JobAction& action : todo) {
         JobScheduler::Actions more;
         if (const auto* commit = std::get_if<CommitRecord>(&action)) {
           runs += commit->mRecord.mState == JobState::Finished ? 1 : 0;
-          more = scheduler.Tell(CommitDone{
+          more = scheduler.HandleEvent(CommitDone{
             commit->mToken, CommitOutcome::Applied, commit->mExpected + 1 });
         } else if (const auto* sent = std::get_if<SendAssign>(&action)) {
           const TaskKey key = sent->mAssign.mTask.mKey;
           AssignReply granted;
           granted.mGranted = true;
-          scheduler.Tell(AssignDone{ key, granted });
+          scheduler.HandleEvent(AssignDone{ key, granted });
           ControlReply ended;
           ended.mStatus.mKey = key;
           ended.mStatus.mState = TaskState::Finished;
           ended.mStatus.mReserved = kTaskSize;
-          more = scheduler.Tell(ControlDone{ key, ended });
+          more = scheduler.HandleEvent(ControlDone{ key, ended });
         }
         next.insert(next.end(), more.begin(), more.end());
       }
--- a/bench/placement/Trial.h
+++ b/bench/placement/Trial.h
@@ -30,8 +30,8 @@
       contract.mUrgentAllowed = aVariant.mPreempt;
       contracts.mChanged.push_back(contract);
     }
-    Tell(contracts);
-    Tell(ShardAcquired{ 0, 1, {} });
+    HandleEvent(contracts);
+    HandleEvent(ShardAcquired{ 0, 1, {} });
   }
 
   Outcome Run()
@@ -40,13 +40,13 @@
     while (mNow < end) {
       mNow += kStep;
       Arrive();
-      Break();
+      InjectFaults();
       for (int i = 0; i < kWorkers; ++i) {
         StepWorker(i);
       }
-      Tell(Tick{});
+      HandleEvent(Tick{});
     }
-    return Sum();
+    return Summarize();
   }
 
 private:
@@ -83,7 +83,7 @@
     record.mSpec.mProgram = std::to_string(program);
     record.mSpec.mPriority =
       aUrgent ? JobPriority::Urgent : JobPriority::Normal;
-    Truth truth;
+    ActualJob truth;
     const std::int64_t cores = 1 + program % 6;
     truth.mSize = { cores * 1000, (2 + program % 5) * 4000 * cores / 3, 0 };
     truth.mWork = std::chrono::seconds(60 + mRandom() % 240);
@@ -98,8 +98,8 @@
       std::min<std::int64_t>(Scale(truth.mSize.mMemoryMb, error), 200'000),
       0
     };
-    mTruths[record.mSpec.mId] = truth;
-    Tell(JobRead{ 0, { record, 1 } });
+    mActualJobs[record.mSpec.mId] = truth;
+    HandleEvent(JobRead{ 0, { record, 1 } });
   }
 
   static std::int64_t Scale(std::int64_t aAmount, double aFactor)
@@ -107,7 +107,7 @@
     return static_cast<std::int64_t>(static_cast<double>(aAmount) * aFactor);
   }
 
-  void Break()
+  void InjectFaults()
   {
     const Duration elapsed = mNow - kBegin;
     const bool noisy =
@@ -124,7 +124,7 @@
         }
         worker = ModelWorker{};
         worker.mIncarnation = 2;
-        worker.mDeadUntil = mNow + 5min;
+        worker.mDownUntil = mNow + 5min;
       }
     }
   }
@@ -132,13 +132,13 @@
   void StepWorker(int aWorker)
   {
     ModelWorker& worker = mWorkers[static_cast<std::size_t>(aWorker)];
-    if (mNow < worker.mDeadUntil) {
+    if (mNow < worker.mDownUntil) {
       return;
     }
     std::vector<UsageSample> usage;
     for (auto& [key, task] : worker.mTasks) {
       Progress(key, task);
-      const Truth& truth = mTruths.at(key.mJob);
+      const ActualJob& truth = mActualJobs.at(key.mJob);
       UsageSample sample;
       sample.mKey = key;
       sample.mUsed = {
@@ -149,7 +149,7 @@
       usage.push_back(sample);
     }
     if ((mNow - kBegin) % 1s == Duration::zero()) {
-      Beat(aWorker, worker, std::move(usage));
+      SendHeartbeat(aWorker, worker, std::move(usage));
     }
   }
 
@@ -158,7 +158,7 @@
     if (aTask.mStatus.mState != TaskState::Running) {
       return;
     }
-    const Truth& truth = mTruths.at(aKey.mJob);
+    const ActualJob& truth = mActualJobs.at(aKey.mJob);
     const Resources& held = aTask.mStatus.mReserved;
     const Duration run = aTask.mDone - aTask.mFrom;
     if (truth.mSize.mMemoryMb > held.mMemoryMb && run > 10s) {
@@ -181,7 +181,7 @@
 
   double CoreHours(const TaskKey& aKey, Duration aSpan) const
   {
-    const Resources& size = mTruths.at(aKey.mJob).mSize;
+    const Resources& size = mActualJobs.at(aKey.mJob).mSize;
     return static_cast<double>(size.mMillicores) / 1000.0 *
            std::chrono::duration<double, std::ratio<3600>>(aSpan).count();
   }
@@ -191,7 +191,9 @@
     mOutcome.mWastedCoreHours += CoreHours(aKey, aSpan);
   }
 
-  void Beat(int aWorker, ModelWorker& aModel, std::vector<UsageSample> aUsage)
+  void SendHeartbeat(int aWorker,
+                     ModelWorker& aModel,
+                     std::vector<UsageSample> aUsage)
   {
     Heartbeat heartbeat;
     heartbeat.mAgent = AgentId(std::to_string(aWorker));
@@ -206,12 +208,12 @@
       heartbeat.mTasks.push_back({ 0, task.mStatus });
     }
     const std::uint64_t sequence = aModel.mSequence;
-    Tell(HeartbeatReceived{ heartbeat });
-    Tell(HeartbeatReplySent{
+    HandleEvent(HeartbeatReceived{ heartbeat });
+    HandleEvent(HeartbeatReplySent{
       heartbeat.mAgent, heartbeat.mIncarnation, sequence, mNow + 20s });
   }
 
-  void Tell(const JobEvent& aEvent)
+  void HandleEvent(const JobEvent& aEvent)
   {
     for (const JobAction& action : mScheduler.Handle(aEvent, mNow, mRandom)) {
       std::visit([this](const auto& aKind) { Do(aKind); }, action);
@@ -221,7 +223,7 @@
   void Do(const CommitRecord& aAction)
   {
     mOutcome.mEvictions += aAction.mRecord.mState == JobState::Suspended;
-    Tell(CommitDone{
+    HandleEvent(CommitDone{
       aAction.mToken, CommitOutcome::Applied, aAction.mExpected + 1 });
   }
 
@@ -229,10 +231,11 @@
   {
     const TaskStart& start = aAction.mAssign.mTask;
     ModelWorker& worker = WorkerOf(aAction.mAgent);
-    if (mNow < worker.mDeadUntil) {
-      Tell(AssignDone{ start.mKey,
-                       WithVerdict(absl::DeadlineExceededError("no answer"),
-                                   Verdict::MayHaveRun) });
+    if (mNow < worker.mDownUntil) {
+      HandleEvent(
+        AssignDone{ start.mKey,
+                    WithVerdict(absl::DeadlineExceededError("no answer"),
+                                Verdict::MayHaveRun) });
       return;
     }
     AssignReply reply;
@@ -241,27 +244,27 @@
     reply.mFree = free;
     reply.mReason = reply.mGranted ? Reason::None : Reason::CapacityTaken;
     if (reply.mGranted) {
-      Truth& truth = mTruths.at(start.mKey.mJob);
+      ActualJob& truth = mActualJobs.at(start.mKey.mJob);
       ModelTask& task = worker.mTasks[start.mKey];
       task.mStatus.mKey = start.mKey;
       task.mStatus.mReserved = start.mResources;
       task.mFrom = task.mDone = truth.mDone;
-      NoteStart(truth);
+      RecordStart(truth);
     }
-    Tell(AssignDone{ start.mKey, reply });
+    HandleEvent(AssignDone{ start.mKey, reply });
   }
 
-  void NoteStart(Truth& aTruth)
+  void RecordStart(ActualJob& aJob)
   {
-    if (aTruth.mUrgent && !std::exchange(aTruth.mStarted, true)) {
-      mUrgentWaits.push_back(WaitOf(aTruth));
+    if (aJob.mUrgent && !std::exchange(aJob.mStarted, true)) {
+      mUrgentWaits.push_back(WaitOf(aJob));
     }
   }
 
-  double WaitOf(const Truth& aTruth) const
+  double WaitOf(const ActualJob& aJob) const
   {
     // Commit and Assign take a round trip each, which no step here takes.
-    return std::chrono::duration<double>(mNow - aTruth.mSubmitted).count() +
+    return std::chrono::duration<double>(mNow - aJob.mSubmitted).count() +
            4.0 * mScenario.mNetworkMs / 1000.0;
   }
 
@@ -269,7 +272,7 @@
   {
     ModelWorker& worker = WorkerOf(aAction.mAgent);
     const auto found = worker.mTasks.find(aAction.mControl.mKey);
-    if (mNow < worker.mDeadUntil || found == worker.mTasks.end() ||
+    if (mNow < worker.mDownUntil || found == worker.mTasks.end() ||
         found->second.mStatus.mState != TaskState::Running) {
       return;
     }
@@ -277,7 +280,7 @@
     task.mStatus.mState = TaskState::Checkpointed;
     task.mStatus.mCheckpoint =
       "epoch-" + std::to_string(task.mStatus.mKey.mEpoch);
-    mTruths.at(task.mStatus.mKey.mJob).mDone = task.mDone;
+    mActualJobs.at(task.mStatus.mKey.mJob).mDone = task.mDone;
   }
 
   void Do(const AcknowledgeTasks& aAction)
@@ -302,9 +305,9 @@
     return mWorkers[std::stoul(aAgent.Value())];
   }
 
-  Outcome Sum()
+  Outcome Summarize()
   {
-    for (const auto& [job, truth] : mTruths) {
+    for (const auto& [job, truth] : mActualJobs) {
       if (truth.mUrgent && !truth.mStarted) {
         mUrgentWaits.push_back(WaitOf(truth));
       }
@@ -328,7 +331,7 @@
   Instant mNow = kBegin;
   JobScheduler mScheduler;
   std::vector<ModelWorker> mWorkers;
-  std::map<JobId, Truth> mTruths;
+  std::map<JobId, ActualJob> mActualJobs;
   std::vector<double> mUrgentWaits;
   Outcome mOutcome;
   int mJobs = 0;
--- a/bench/placement/TrialModel.h
+++ b/bench/placement/TrialModel.h
@@ -46,7 +46,7 @@
 };
 
 /// What a job truly needs, which nobody tells the scheduler.
-struct Truth
+struct ActualJob
 {
   Resources mSize;
   Duration mWork{};
@@ -67,7 +67,7 @@
 {
   std::map<TaskKey, ModelTask> mTasks;
   Resources mLost; ///< Taken by noise.
-  Instant mDeadUntil{};
+  Instant mDownUntil{};
   Incarnation mIncarnation = 1;
   std::uint64_t mSequence = 0;
 
--- a/bench/routing/EntryModel.h
+++ b/bench/routing/EntryModel.h
@@ -58,7 +58,7 @@
   {
   }
 
-  void Hear(const Heartbeat& aHeartbeat)
+  void OnHeartbeat(const Heartbeat& aHeartbeat)
   {
     mDirectory.Apply(aHeartbeat, mEvents.Now());
   }
@@ -155,7 +155,7 @@
     };
     const Instant deadline = aRequest->mArrived + kDeadline;
     mEvents.After(delay, [this, server, delay, deadline, finish] {
-      mServers[server]->Take(
+      mServers[server]->OnRequest(
         deadline,
         [this, delay, finish](ServerAnswer aAnswer, const LoadSnapshot& aLoad) {
           mEvents.After(delay, [=] { finish(aAnswer, aLoad); });
@@ -163,10 +163,11 @@
     });
     const Duration remaining = deadline - mEvents.Now();
     // A vanished server gives no sign of it; one that is there always answers.
-    const Duration patience = mServers[server]->IsLost()
-                                ? std::min(kSilentTimeout, remaining)
-                                : remaining;
-    mEvents.After(patience, [finish] { finish(ServerAnswer::Silence, {}); });
+    const Duration attemptTimeout = mServers[server]->IsLost()
+                                      ? std::min(kSilentTimeout, remaining)
+                                      : remaining;
+    mEvents.After(attemptTimeout,
+                  [finish] { finish(ServerAnswer::NoAnswer, {}); });
   }
 
   void Finish(const PendingPointer& aRequest,
@@ -188,7 +189,7 @@
         aInFlight.Finish(Outcome::Neutral, now, aLoad);
         Retry(aRequest, Verdict::NotRun, Reason::BackendServersBusy);
         return;
-      case ServerAnswer::Silence:
+      case ServerAnswer::NoAnswer:
         aInFlight.Finish(Report(Outcome::Failure), now);
         Retry(aRequest, Verdict::MayHaveRun, Reason::None);
         return;
--- a/bench/routing/PolicyExperiment.cpp
+++ b/bench/routing/PolicyExperiment.cpp
@@ -52,13 +52,13 @@
 }
 
 void PrintRow(const Scenario& aScenario,
-              const Contender& aContender,
+              const PolicyVariant& aVariant,
               int aSeeds)
 {
   Spread p50, p99, p999, refused, failed, retried, remote;
   for (int seed = 1; seed <= aSeeds; ++seed) {
     RunResult result =
-      Run(aScenario, aContender, static_cast<unsigned>(seed)).Execute();
+      Run(aScenario, aVariant, static_cast<unsigned>(seed)).Execute();
     p50.Add(result.Percentile(0.5));
     p99.Add(result.Percentile(0.99));
     p999.Add(result.Percentile(0.999));
@@ -71,7 +71,7 @@
               aScenario.mName.c_str(),
               static_cast<double>(aScenario.mBetweenDomains.count()) / 1000.0,
               aScenario.mSigma,
-              aContender.mName.c_str());
+              aVariant.mName.c_str());
   for (Spread* spread : { &p50, &p99, &p999 }) {
     spread->Print(1);
   }
@@ -104,7 +104,7 @@
 }
 
 void Compare(const std::vector<Scenario>& aScenarios,
-             const std::vector<Contender>& aContenders,
+             const std::vector<PolicyVariant>& aVariants,
              int aSeeds)
 {
   constexpr std::chrono::microseconds kDelays[] = {
@@ -116,8 +116,8 @@
       for (Scenario scenario : aScenarios) {
         scenario.mBetweenDomains = delay;
         scenario.mSigma = sigma;
-        for (const Contender& contender : aContenders) {
-          PrintRow(scenario, contender, aSeeds);
+        for (const PolicyVariant& variant : aVariants) {
+          PrintRow(scenario, variant, aSeeds);
         }
       }
     }
@@ -136,14 +136,14 @@
 
 void CompareMargins(int aSeeds)
 {
-  std::vector<Contender> contenders;
+  std::vector<PolicyVariant> variants;
   for (const double margin : { 0.0, 0.125, 0.25, 0.5, 1.0 }) {
-    contenders.push_back(
+    variants.push_back(
       { "margin " + std::to_string(margin).substr(0, 5), LeastLoaded(margin) });
   }
   Compare({ { .mName = "steady 60%" },
             { .mName = "steady 85%", .mLoad = 0.85, .mPeakLoad = 0.85 } },
-          contenders,
+          variants,
           aSeeds);
 }
 
--- a/bench/routing/Run.h
+++ b/bench/routing/Run.h
@@ -9,7 +9,7 @@
 namespace foxtailbarrow::bench {
 
 /// A policy under test.
-struct Contender
+struct PolicyVariant
 {
   std::string mName;
   RoutingPolicy mPolicy;
@@ -20,7 +20,7 @@
 class Run
 {
 public:
-  Run(const Scenario& aScenario, const Contender& aContender, unsigned aSeed)
+  Run(const Scenario& aScenario, const PolicyVariant& aVariant, unsigned aSeed)
     : mScenario(aScenario)
     , mRandom(aSeed)
   {
@@ -33,8 +33,8 @@
                                                       mServers,
                                                       mScenario,
                                                       i % kDomains,
-                                                      aContender.mPolicy,
-                                                      aContender.mEjects,
+                                                      aVariant.mPolicy,
+                                                      aVariant.mEjects,
                                                       aSeed * 1000 + 500 + i,
                                                       mResult));
     }
@@ -43,11 +43,11 @@
   RunResult Execute()
   {
     for (int i = 0; i < kServers; ++i) {
-      Beat(i, 1);
+      SendHeartbeat(i, 1);
     }
     mEvents.After(std::chrono::milliseconds(10), [this] { NextRequest(); });
     mEvents.After(std::chrono::seconds(1), [this] { Tick(); });
-    mEvents.After(kFaultBegin, [this] { Break(); });
+    mEvents.After(kFaultBegin, [this] { InjectFaults(); });
     mEvents.RunUntil(mEvents.Now() + kRunTime + kDeadline);
     return std::move(mResult);
   }
@@ -88,7 +88,7 @@
                   [this] { NextRequest(); });
   }
 
-  void Beat(int aServer, std::uint64_t aSequence)
+  void SendHeartbeat(int aServer, std::uint64_t aSequence)
   {
     if (mServers[aServer]->IsLost()) {
       return;
@@ -108,11 +108,12 @@
     heartbeat.mLoad.mWaiting = load.mWaiting;
     for (auto& entry : mEntries) {
       mEvents.After(mScenario.mBetweenDomains,
-                    [&entry, heartbeat] { entry->Hear(heartbeat); });
+                    [&entry, heartbeat] { entry->OnHeartbeat(heartbeat); });
     }
     std::uniform_int_distribution<int> jitter(900, 1100);
-    mEvents.After(std::chrono::milliseconds(jitter(mRandom)),
-                  [this, aServer, aSequence] { Beat(aServer, aSequence + 1); });
+    mEvents.After(
+      std::chrono::milliseconds(jitter(mRandom)),
+      [this, aServer, aSequence] { SendHeartbeat(aServer, aSequence + 1); });
   }
 
   void Tick()
@@ -123,7 +124,7 @@
     mEvents.After(std::chrono::seconds(1), [this] { Tick(); });
   }
 
-  void Break()
+  void InjectFaults()
   {
     mServers[0]->Slow(mScenario.mSlowFactor);
     if (mScenario.mFails) {
@@ -133,7 +134,7 @@
       const bool isInDomain = DomainOf(i) == DomainOf(0);
       if (RackOf(i) < mScenario.mLostRacks ||
           (mScenario.mLosesDomain && isInDomain)) {
-        mServers[i]->Vanish();
+        mServers[i]->MarkLost();
       }
     }
   }
--- a/bench/routing/ServerModel.h
+++ b/bench/routing/ServerModel.h
@@ -14,9 +14,9 @@
 enum class ServerAnswer
 {
   Done,
-  Failed,  ///< Ran, with status 500.
-  Refused, ///< Not run: no place to wait, or the deadline is too near.
-  Silence, ///< The server vanished.
+  Failed,   ///< Ran, with status 500.
+  Refused,  ///< Not run: no place to wait, or the deadline is too near.
+  NoAnswer, ///< The server vanished.
 };
 
 /// Queueing at one backend server and its agent: slots, a bounded queue, the
@@ -37,13 +37,13 @@
   void Fail() { mFails = true; }
   bool IsLost() const { return mIsLost; }
 
-  void Vanish()
+  void MarkLost()
   {
     mIsLost = true;
     mWaiting.clear();
   }
 
-  void Take(Instant aDeadline, OnAnswer aOnAnswer)
+  void OnRequest(Instant aDeadline, OnAnswer aOnAnswer)
   {
     if (mIsLost) {
       return;
--- a/bench/store/BatchWriter.cpp
+++ b/bench/store/BatchWriter.cpp
@@ -23,7 +23,7 @@
 constexpr Duration kLength = 4s;
 constexpr Duration kStoreDelay = 3ms;
 
-struct Way
+struct BatchingMode
 {
   const char* mName;
   unsigned mLanes;
@@ -31,7 +31,7 @@
   std::size_t mMaxOperations;
 };
 
-constexpr Way kWays[] = {
+constexpr BatchingMode kModes[] = {
   { "no batches", 1024, 0ms, 1 },       { "1 lane, 0 ms", 1, 0ms, 128 },
   { "1 lane, 10 ms", 1, 10ms, 128 },    { "1 lane, 20 ms", 1, 20ms, 128 },
   { "1 lane, 50 ms", 1, 50ms, 128 },    { "3 lanes, 20 ms", 3, 20ms, 128 },
@@ -64,7 +64,7 @@
   aRun.mMilliseconds.push_back(taken.count());
 }
 
-Run Measure(const Way& aWay)
+Run Measure(const BatchingMode& aMode)
 {
   MemoryStore store;
   store.SetFaults({ .mDelay = kStoreDelay });
@@ -74,9 +74,9 @@
   std::vector<boost::fibers::fiber> writes;
   {
     BatchWriter writer(store,
-                       { .mLanes = aWay.mLanes,
-                         .mLinger = aWay.mLinger,
-                         .mMaxOperations = aWay.mMaxOperations },
+                       { .mLanes = aMode.mLanes,
+                         .mLinger = aMode.mLinger,
+                         .mMaxOperations = aMode.mMaxOperations },
                        Spawn);
     const Instant start = MonotonicNow();
     for (Duration at{}; at < kLength;) {
@@ -100,13 +100,13 @@
   return aSorted[static_cast<std::size_t>(std::floor(aShare * last))];
 }
 
-void Print(const Way& aWay, Run& aRun)
+void Print(const BatchingMode& aMode, Run& aRun)
 {
   std::sort(aRun.mMilliseconds.begin(), aRun.mMilliseconds.end());
   const std::chrono::duration<double> length = kLength;
   const auto writes = static_cast<double>(aRun.mMilliseconds.size());
   std::printf("%-16s %9.0f %9.0f %8.1f %8.1f %8.1f %7zu\n",
-              aWay.mName,
+              aMode.mName,
               writes / length.count(),
               static_cast<double>(aRun.mCommits) / length.count(),
               writes / static_cast<double>(aRun.mCommits),
@@ -129,8 +129,8 @@
               "p50 ms",
               "p99 ms",
               "failed");
-  for (const Way& way : kWays) {
-    Run run = Measure(way);
-    Print(way, run);
+  for (const BatchingMode& mode : kModes) {
+    Run run = Measure(mode);
+    Print(mode, run);
   }
 }
--- a/src/net/TextTime.h
+++ b/src/net/CodecTimer.h
@@ -8,7 +8,7 @@
 
 /// Time that went into messages' text: parsing, formatting, checking fields.
 /// Callable from any thread.
-class TextTime
+class CodecTimer
 {
 public:
   void Add(Duration aSpent) { mSpent.fetch_add(aSpent.count()); }
--- a/src/net/FiberGroup.cpp
+++ b/src/net/FiberGroup.cpp
@@ -26,21 +26,21 @@
   });
 }
 
-void FiberGroup::Repeat(Poke& aPoke, std::function<Duration()> aRound)
+void FiberGroup::Repeat(Waker& aWaker, std::function<Duration()> aRound)
 {
-  mPokes.push_back(&aPoke);
-  Spawn([this, &aPoke, round = std::move(aRound)] {
+  mWakers.push_back(&aWaker);
+  Spawn([this, &aWaker, round = std::move(aRound)] {
     while (!mStopping) {
-      aPoke.Wait(round());
+      aWaker.Wait(round());
     }
   });
 }
 
-void FiberGroup::Repeat(Poke& aPoke,
+void FiberGroup::Repeat(Waker& aWaker,
                         Duration aPause,
                         std::function<void()> aRound)
 {
-  Repeat(aPoke, [aPause, round = std::move(aRound)] {
+  Repeat(aWaker, [aPause, round = std::move(aRound)] {
     round();
     return aPause;
   });
@@ -50,8 +50,8 @@
 {
   mStopping = true;
   while (mRunning > 0) {
-    for (Poke* const poke : mPokes) {
-      poke->Now();
+    for (Waker* const waker : mWakers) {
+      waker->Wake();
     }
     std::this_thread::sleep_for(kPoll);
   }
--- a/src/net/FiberGroup.h
+++ b/src/net/FiberGroup.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "src/net/FiberRuntime.h"
-#include "src/net/Poke.h"
+#include "src/net/Waker.h"
 
 namespace foxtailbarrow {
 
@@ -26,11 +26,11 @@
   void Spawn(std::function<void()> aBody);
 
   /// Runs `aRound` again and again until Stop(), after the pause that it
-  /// returned or when `aPoke` says so. The poke must outlive the fibers.
-  void Repeat(Poke& aPoke, std::function<Duration()> aRound);
+  /// returned or when `aWaker` says so. The waker must outlive the fibers.
+  void Repeat(Waker& aWaker, std::function<Duration()> aRound);
 
   /// As above, with one pause for all rounds.
-  void Repeat(Poke& aPoke, Duration aPause, std::function<void()> aRound);
+  void Repeat(Waker& aWaker, Duration aPause, std::function<void()> aRound);
 
   bool Stopping() const { return mStopping; }
 
@@ -42,7 +42,7 @@
   net::FiberRuntime& mRuntime;
   std::atomic<bool> mStopping{ false };
   std::atomic<int> mRunning{ 0 };
-  std::vector<Poke*> mPokes; ///< Filled before the first fiber ends.
+  std::vector<Waker*> mWakers; ///< Filled before the first fiber ends.
 };
 
 } // namespace foxtailbarrow
--- a/src/net/HttpStreamWriter.cpp
+++ b/src/net/HttpStreamWriter.cpp
@@ -19,7 +19,7 @@
 
 bool HttpStreamWriter::WriteLine(std::string_view aLine)
 {
-  if (Gone()) {
+  if (IsClosed()) {
     return false;
   }
   mChunk.clear();
@@ -27,14 +27,14 @@
   mChunk.append(aLine).append("\n\r\n");
   std::size_t written = 0;
   const auto deadline = std::chrono::steady_clock::now() + mTimeout;
-  mGone = static_cast<bool>(mConnection.Write(mChunk, {}, deadline, written));
-  return !mGone;
+  mClosed = static_cast<bool>(mConnection.Write(mChunk, {}, deadline, written));
+  return !mClosed;
 }
 
-bool HttpStreamWriter::Gone()
+bool HttpStreamWriter::IsClosed()
 {
-  mGone = mGone || mEnding() || mConnection.Stale();
-  return mGone;
+  mClosed = mClosed || mEnding() || mConnection.Stale();
+  return mClosed;
 }
 
 } // namespace foxtailbarrow::net
--- a/src/net/HttpStreamWriter.h
+++ b/src/net/HttpStreamWriter.h
@@ -28,14 +28,14 @@
 
   /// True when the peer has closed or the server drains. Does not wait; for a
   /// handler that waits long between lines.
-  bool Gone();
+  bool IsClosed();
 
 private:
   detail::Connection& mConnection;
   std::chrono::microseconds mTimeout;
   std::function<bool()> mEnding;
   std::string mChunk;
-  bool mGone = false;
+  bool mClosed = false;
 };
 
 } // namespace foxtailbarrow::net
--- a/src/net/Rpc.h
+++ b/src/net/Rpc.h
@@ -11,9 +11,9 @@
 
 #include "foxtailbarrow/Endpoint.h"
 #include "foxtailbarrow/Time.h"
+#include "src/net/CodecTimer.h"
 #include "src/net/HttpClient.h"
 #include "src/net/HttpMessage.h"
-#include "src/net/TextTime.h"
 
 namespace foxtailbarrow::net {
 
@@ -39,7 +39,7 @@
   HttpResponse Handle(const HttpRequest& aRequest);
 
   /// Spent on the text of all calls so far.
-  TextTime& TextWork();
+  CodecTimer& CodecTime();
 
 private:
   struct Impl;
@@ -59,11 +59,11 @@
                                    Duration aTimeout);
 
   /// Spent on the text of all calls so far.
-  TextTime& TextWork() { return mTextWork; }
+  CodecTimer& CodecTime() { return mCodecTime; }
 
 private:
   HttpClient& mClient;
-  TextTime mTextWork;
+  CodecTimer mCodecTime;
 };
 
 } // namespace foxtailbarrow::net
--- a/src/net/RpcClient.cpp
+++ b/src/net/RpcClient.cpp
@@ -105,7 +105,7 @@
   Instant textBegan = MonotonicNow();
   const auto transport = [&](const std::string& aRequest,
                              std::string& aResponse) {
-    mTextWork.Add(MonotonicNow() - textBegan);
+    mCodecTime.Add(MonotonicNow() - textBegan);
     auto response = mClient.Call(aEndpoint, ToRequest(aRequest), aTimeout);
     textBegan = MonotonicNow();
     if (!response.ok()) {
@@ -124,7 +124,7 @@
     if (!rpcshim::Call(transport, std::string(aMethod), aParams, result)) {
       return failure;
     }
-    mTextWork.Add(MonotonicNow() - textBegan);
+    mCodecTime.Add(MonotonicNow() - textBegan);
     return result;
   } catch (const RpcError& error) {
     return FromError(error);
--- a/src/net/RpcDispatcher.cpp
+++ b/src/net/RpcDispatcher.cpp
@@ -58,7 +58,7 @@
     }
     const Json::Value empty(Json::objectValue);
     const auto& method = mMethods.find(aName)->second;
-    mTextWork.Add(MonotonicNow() - sTextBegan);
+    mCodecTime.Add(MonotonicNow() - sTextBegan);
     absl::StatusOr<Json::Value> result =
       method(aParams.isNull() ? empty : aParams);
     sTextBegan = MonotonicNow();
@@ -70,7 +70,7 @@
 
   absl::flat_hash_map<std::string, Method> mMethods;
   rpcshim::Server mServer;
-  TextTime mTextWork;
+  CodecTimer mCodecTime;
 };
 
 RpcDispatcher::RpcDispatcher()
@@ -86,9 +86,9 @@
   mImpl->mMethods.insert_or_assign(std::move(aName), std::move(aMethod));
 }
 
-TextTime& RpcDispatcher::TextWork()
+CodecTimer& RpcDispatcher::CodecTime()
 {
-  return mImpl->mTextWork;
+  return mImpl->mCodecTime;
 }
 
 HttpResponse RpcDispatcher::Handle(const HttpRequest& aRequest)
@@ -102,7 +102,7 @@
   }
   response.mHeaders.Append("Content-Type", "application/json");
   sTextBegan = MonotonicNow();
-  if (rpcshim::NestsTooDeep(aRequest.mBody)) {
+  if (rpcshim::IsUnsafeToParse(aRequest.mBody)) {
     response.mBody = kTooDeepError;
     return response;
   }
@@ -111,7 +111,7 @@
   } catch (const std::exception&) {
     response.mBody = kInternalError;
   }
-  mImpl->mTextWork.Add(MonotonicNow() - sTextBegan);
+  mImpl->mCodecTime.Add(MonotonicNow() - sTextBegan);
   return response;
 }
 
--- a/src/net/TypedRpc.h
+++ b/src/net/TypedRpc.h
@@ -25,7 +25,7 @@
 {
   aDispatcher.Add(
     std::string(aName),
-    [handler = std::move(aHandler), &text = aDispatcher.TextWork()](
+    [handler = std::move(aHandler), &text = aDispatcher.CodecTime()](
       const Json::Value& aParams) -> absl::StatusOr<Json::Value> {
       absl::StatusOr<Request> request =
         text.Measure([&] { return FromJson<Request>(aParams); });
@@ -53,14 +53,14 @@
                                 Duration aTimeout)
 {
   const Json::Value params =
-    aClient.TextWork().Measure([&] { return ToJson(aRequest); });
+    aClient.CodecTime().Measure([&] { return ToJson(aRequest); });
   const absl::StatusOr<Json::Value> reply =
     aClient.Call(aEndpoint, aMethod, params, aTimeout);
   if (!reply.ok()) {
     return reply.status();
   }
   absl::StatusOr<Reply> typed =
-    aClient.TextWork().Measure([&] { return FromJson<Reply>(*reply); });
+    aClient.CodecTime().Measure([&] { return FromJson<Reply>(*reply); });
   if (!typed.ok()) {
     return WithVerdict(typed.status(), Verdict::MayHaveRun);
   }
--- a/src/net/Poke.h
+++ b/src/net/Waker.h
@@ -7,32 +7,32 @@
 
 namespace foxtailbarrow {
 
-/// Wakes a fiber that works in rounds. Pokes between two rounds count as one.
-class Poke
+/// Wakes a fiber that works in rounds. Calls between two rounds count as one.
+class Waker
 {
 public:
-  void Now()
+  void Wake()
   {
     {
       const std::lock_guard lock(mMutex);
-      mPoked = true;
+      mWoken = true;
     }
     mChanged.notify_one();
   }
 
-  /// Returns at the next poke, at once when one came since the last return, or
+  /// Returns at the next waker, at once when one came since the last return, or
   /// after `aLongest`.
   void Wait(Duration aLongest)
   {
     std::unique_lock lock(mMutex);
-    mChanged.wait_for(lock, aLongest, [this] { return mPoked; });
-    mPoked = false;
+    mChanged.wait_for(lock, aLongest, [this] { return mWoken; });
+    mWoken = false;
   }
 
 private:
   boost::fibers::mutex mMutex;
   boost::fibers::condition_variable mChanged;
-  bool mPoked = false;
+  bool mWoken = false;
 };
 
 } // namespace foxtailbarrow
--- a/src/net/detail/Acceptor.cpp
+++ b/src/net/detail/Acceptor.cpp
@@ -67,13 +67,13 @@
     AwaitState state;
     mAcceptor.async_wait(TcpAcceptor::wait_read, AwaitHandler(state));
     state.WaitUntil(AwaitState::TimePoint::max(), [] {});
-    AcceptWaiting(aOnSocket);
+    AcceptPending(aOnSocket);
   }
   ErrorCode ignored;
   mAcceptor.close(ignored);
 }
 
-void Acceptor::AcceptWaiting(const std::function<void(int)>& aOnSocket)
+void Acceptor::AcceptPending(const std::function<void(int)>& aOnSocket)
 {
   for (;;) {
     const int socket = ::accept4(mAcceptor.native_handle(),
--- a/src/net/detail/Acceptor.h
+++ b/src/net/detail/Acceptor.h
@@ -30,7 +30,7 @@
   void Stop();
 
 private:
-  void AcceptWaiting(const std::function<void(int)>& aOnSocket);
+  void AcceptPending(const std::function<void(int)>& aOnSocket);
 
   TcpAcceptor mAcceptor;
   bool mStopping = false;
--- a/src/net/detail/ServerConnection.cpp
+++ b/src/net/detail/ServerConnection.cpp
@@ -161,7 +161,7 @@
   }
   if (!keepAlive) {
     inProgress.End();
-    CloseGently();
+    LingeringClose();
   }
   return keepAlive;
 }
@@ -291,7 +291,7 @@
     return;
   }
   mConnection.Write("0\r\n\r\n", {}, Deadline(), written);
-  CloseGently();
+  LingeringClose();
 }
 
 void ServerConnection::Reject(unsigned aStatus)
@@ -303,11 +303,11 @@
     Count(mThread.mRejected);
   }
   if (Answer(HttpRequest(), response, false)) {
-    CloseGently();
+    LingeringClose();
   }
 }
 
-void ServerConnection::CloseGently()
+void ServerConnection::LingeringClose()
 {
   ErrorCode error;
   mConnection.Socket().shutdown(TcpSocket::shutdown_send, error);
--- a/src/net/detail/ServerConnection.h
+++ b/src/net/detail/ServerConnection.h
@@ -45,7 +45,7 @@
               bool aKeepAlive);
   void RunStream(HttpRequest& aRequest);
   void Reject(unsigned aStatus);
-  void CloseGently();
+  void LingeringClose();
   bool Ending() const;
   TimePoint Deadline() const;
 
--- a/src/net/rpcshim/Nesting.cpp
+++ b/src/net/rpcshim/Nesting.cpp
@@ -4,7 +4,7 @@
 namespace net {
 namespace rpcshim {
 
-bool NestsTooDeep(const std::string& aText)
+bool IsUnsafeToParse(const std::string& aText)
 {
   int depth = 0;
   bool quoted = false;
--- a/src/net/rpcshim/RpcShim.h
+++ b/src/net/rpcshim/RpcShim.h
@@ -59,7 +59,7 @@
 /// JSON has not. Checked before libjsonrpccpp parses a text, since jsoncpp
 /// recurses, and throws above 1,000 levels, which libjsonrpccpp's client turns
 /// into the end of the process.
-bool NestsTooDeep(const std::string& aText);
+bool IsUnsafeToParse(const std::string& aText);
 
 /// Server side: parses, checks and encodes by libjsonrpccpp.
 class Server
--- a/src/net/rpcshim/RpcShimClient.cpp
+++ b/src/net/rpcshim/RpcShimClient.cpp
@@ -30,7 +30,7 @@
     if (!mAnswered) {
       throw jsonrpc::JsonRpcException(jsonrpc::Errors::ERROR_CLIENT_CONNECTOR);
     }
-    if (NestsTooDeep(aResponse)) {
+    if (IsUnsafeToParse(aResponse)) {
       throw jsonrpc::JsonRpcException(
         jsonrpc::Errors::ERROR_CLIENT_INVALID_RESPONSE);
     }
--- a/standins/store/Gateway.cpp
+++ b/standins/store/Gateway.cpp
@@ -144,7 +144,7 @@
                       kWatchCheck,
                       [&](const std::vector<StoreEvent>& aEvents) {
                         return aEvents.empty()
-                                 ? !aWriter.Gone()
+                                 ? !aWriter.IsClosed()
                                  : aWriter.WriteLine(etcd::WriteLine(
                                      etcd::EncodeWatchEvents(aEvents)));
                       });
--- a/tests/net/HttpClientTest.cpp
+++ b/tests/net/HttpClientTest.cpp
@@ -40,7 +40,7 @@
   const Endpoint endpoint = StartServer(Echo);
   mRuntime.RunAndWait([&] {
     for (int turn = 0; turn < 20; ++turn) {
-      EXPECT_TRUE(mClient.Call(endpoint, HttpRequest(), kGenerous).ok());
+      EXPECT_TRUE(mClient.Call(endpoint, HttpRequest(), kTestTimeout).ok());
     }
   });
   EXPECT_EQ(1U, mServer->Counters().mAccepted);
@@ -53,7 +53,7 @@
   const Endpoint endpoint = StartServer(Echo, limits);
   mRuntime.RunAndWait([&] {
     for (int turn = 0; turn < 3; ++turn) {
-      const auto response = mClient.Call(endpoint, HttpRequest(), kGenerous);
+      const auto response = mClient.Call(endpoint, HttpRequest(), kTestTimeout);
       EXPECT_TRUE(response.ok()) << response.status();
       while (mServer->Connections() > 0) {
         boost::this_fiber::sleep_for(std::chrono::milliseconds(1));
@@ -72,11 +72,11 @@
   limits.mMaxIdleTime = std::chrono::milliseconds(10);
   HttpClient client(mRuntime, limits);
   mRuntime.RunAndWait([&] {
-    EXPECT_TRUE(client.Call(first, HttpRequest(), kGenerous).ok());
+    EXPECT_TRUE(client.Call(first, HttpRequest(), kTestTimeout).ok());
     EXPECT_EQ(1U, mServer->Connections());
-    const Instant end = MonotonicNow() + kGenerous;
+    const Instant end = MonotonicNow() + kTestTimeout;
     while (mServer->Connections() > 0 && MonotonicNow() < end) {
-      EXPECT_TRUE(client.Call(other, HttpRequest(), kGenerous).ok());
+      EXPECT_TRUE(client.Call(other, HttpRequest(), kTestTimeout).ok());
       boost::this_fiber::sleep_for(std::chrono::milliseconds(1));
     }
   });
@@ -220,17 +220,17 @@
                   NotRunCase{ "bad address",
                               { "localhost", 0 },
                               "/",
-                              kGenerous,
+                              kTestTimeout,
                               absl::StatusCode::kInvalidArgument },
                   NotRunCase{ "line break in target",
                               { "127.0.0.1", 0 },
                               "/ HTTP/1.1\r\nA: b",
-                              kGenerous,
+                              kTestTimeout,
                               absl::StatusCode::kInvalidArgument }));
 
 TEST_F(HttpClientTest, CallOutsideTheRuntimeIsAnError)
 {
-  const auto response = mClient.Call({}, HttpRequest(), kGenerous);
+  const auto response = mClient.Call({}, HttpRequest(), kTestTimeout);
   EXPECT_EQ(absl::StatusCode::kFailedPrecondition, response.status().code());
 }
 
@@ -247,7 +247,7 @@
     mRuntime.Spawn([&, call] {
       HttpRequest request;
       request.mTarget = "/" + std::to_string(call);
-      const auto response = mClient.Call(endpoint, request, kGenerous);
+      const auto response = mClient.Call(endpoint, request, kTestTimeout);
       right +=
         response.ok() && response->mBody == "GET " + request.mTarget + " " ? 1
                                                                            : 0;
@@ -273,7 +273,7 @@
   absl::Status status;
   mRuntime.RunAndWait([&] {
     status = mClient.Stream(
-      endpoint, { "POST", "/watch", {}, "" }, kGenerous, [&](auto aLine) {
+      endpoint, { "POST", "/watch", {}, "" }, kTestTimeout, [&](auto aLine) {
         lines.emplace_back(aLine);
         return lines.size() < 3;
       });
@@ -289,7 +289,7 @@
   const Endpoint endpoint =
     StartServer(Echo, {}, [&seen](HttpRequest&, HttpStreamWriter& aWriter) {
       aWriter.WriteLine("only");
-      const Instant end = MonotonicNow() + kGenerous;
+      const Instant end = MonotonicNow() + kTestTimeout;
       while (!seen && MonotonicNow() < end) {
         boost::this_fiber::sleep_for(std::chrono::milliseconds(1));
       }
@@ -298,7 +298,7 @@
     const auto status =
       mClient.Stream(endpoint,
                      { "POST", "/watch", {}, "" },
-                     kGenerous / 2,
+                     kTestTimeout / 2,
                      [&seen](std::string_view) { return !(seen = true); });
     EXPECT_TRUE(status.ok()) << status;
   });
--- a/tests/net/HttpServerTest.cpp
+++ b/tests/net/HttpServerTest.cpp
@@ -277,7 +277,7 @@
 TEST_F(HttpServerTest, DrainAnswersRequestsOnTheirWay)
 {
   HttpServerLimits limits;
-  limits.mDrainGrace = kGenerous;
+  limits.mDrainGrace = kTestTimeout;
   const Endpoint endpoint = StartServer(Echo, limits);
   std::vector<std::unique_ptr<RawSocket>> sockets;
   for (int number = 0; number < 100; ++number) {
--- a/tests/net/NetFixture.h
+++ b/tests/net/NetFixture.h
@@ -20,7 +20,7 @@
 
 namespace foxtailbarrow::net {
 
-inline constexpr Duration kGenerous = std::chrono::seconds(20);
+inline constexpr Duration kTestTimeout = std::chrono::seconds(20);
 
 /// Blocking socket for raw bytes.
 class RawSocket
@@ -136,7 +136,7 @@
 
   absl::StatusOr<HttpResponse> Call(const Endpoint& aEndpoint,
                                     const HttpRequest& aRequest,
-                                    Duration aTimeout = kGenerous)
+                                    Duration aTimeout = kTestTimeout)
   {
     absl::StatusOr<HttpResponse> result;
     mRuntime.RunAndWait(
@@ -147,7 +147,7 @@
   /// Waits on a condition with a generous bound.
   static bool Eventually(const std::function<bool()>& aCondition)
   {
-    const Instant end = MonotonicNow() + kGenerous;
+    const Instant end = MonotonicNow() + kTestTimeout;
     while (!aCondition() && MonotonicNow() < end) {
       ::usleep(1000);
     }
--- a/tests/net/RpcTest.cpp
+++ b/tests/net/RpcTest.cpp
@@ -49,7 +49,8 @@
   {
     absl::StatusOr<Json::Value> result;
     mRuntime.RunAndWait([&] {
-      result = RpcClient(mClient).Call(aEndpoint, aMethod, aParams, kGenerous);
+      result =
+        RpcClient(mClient).Call(aEndpoint, aMethod, aParams, kTestTimeout);
     });
     return result;
   }
@@ -120,7 +121,7 @@
     }
     value = outer;
   }
-  RC_ASSERT(rpcshim::NestsTooDeep(Json::FastWriter().write(value)) ==
+  RC_ASSERT(rpcshim::IsUnsafeToParse(Json::FastWriter().write(value)) ==
             (depth > rpcshim::kMaxNesting));
 }
 
--- a/tests/net/TimedWaitTest.cpp
+++ b/tests/net/TimedWaitTest.cpp
@@ -6,7 +6,7 @@
 #include "src/net/FiberRuntime.h"
 #include "src/net/HttpClient.h"
 #include "src/net/HttpServer.h"
-#include "src/net/Poke.h"
+#include "src/net/Waker.h"
 
 namespace foxtailbarrow::net::test {
 
@@ -23,16 +23,16 @@
 protected:
   void RunAfterNotifiedWait(const std::function<void()>& aBody)
   {
-    Poke poke;
+    Waker waker;
     std::atomic<bool> done{ false };
     mRuntime.Spawn([&] {
-      poke.Wait(kLong);
+      waker.Wait(kLong);
       aBody();
       done = true;
     });
     mRuntime.Spawn([&] {
       boost::this_fiber::sleep_for(milliseconds(20));
-      poke.Now();
+      waker.Wake();
     });
     const Instant end = MonotonicNow() + std::chrono::seconds(5);
     while (!done && MonotonicNow() < end) {
