--- a/src/net/CodecTimer.h
+++ b/src/net/CodecTimer.h
@@ -6,15 +6,15 @@
 
 namespace foxtailbarrow::net {
 
-/// Time that went into messages' text: parsing, formatting, checking fields.
-/// Callable from any thread.
+/// Accumulates the time spent on parsing, formatting and validating messages.
+/// Thread-safe.
 class CodecTimer
 {
 public:
   void Add(Duration aSpent) { mSpent.fetch_add(aSpent.count()); }
   Duration Total() const { return Duration(mSpent.load()); }
 
-  /// Runs `aWork`, which must not suspend its fiber, and adds its time.
+  /// Runs `aWork`, which must not suspend its fiber, and adds its duration.
   template<typename Work>
   auto Measure(Work aWork)
   {
--- a/src/net/ConnectionRefused.h
+++ b/src/net/ConnectionRefused.h
@@ -4,8 +4,8 @@
 
 namespace foxtailbarrow::net {
 
-/// Marks the error of a connection that the peer's machine refused: it answers,
-/// and nothing listens at the address.
+/// Marks an error as a refused connection: the peer's host is reachable, but no
+/// process listens on the port.
 absl::Status WithConnectionRefused(absl::Status aStatus);
 
 bool IsConnectionRefused(const absl::Status& aStatus);
--- a/src/net/FiberGroup.cpp
+++ b/src/net/FiberGroup.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Duration kPoll = std::chrono::milliseconds(2);
+constexpr Duration kStopPollInterval = std::chrono::milliseconds(2);
 
 } // namespace
 
@@ -53,7 +53,7 @@
     for (Waker* const waker : mWakers) {
       waker->Wake();
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kStopPollInterval);
   }
 }
 
--- a/src/net/FiberGroup.h
+++ b/src/net/FiberGroup.h
@@ -9,8 +9,8 @@
 
 namespace foxtailbarrow {
 
-/// The fibers of one object, on the runtime's first thread, so that the object
-/// can end them before it goes.
+/// Owns the fibers of one object, so that the object can end them before it is
+/// destroyed. All of them run on the runtime's first thread.
 class FiberGroup
 {
 public:
@@ -25,24 +25,25 @@
   /// Runs `aBody` once.
   void Spawn(std::function<void()> aBody);
 
-  /// Runs `aRound` again and again until Stop(), after the pause that it
-  /// returned or when `aWaker` says so. The waker must outlive the fibers.
+  /// Runs `aRound` repeatedly until Stop(): after the pause that it returned,
+  /// or earlier when `aWaker` is woken. The waker must outlive the fibers.
   void Repeat(Waker& aWaker, std::function<Duration()> aRound);
 
-  /// As above, with one pause for all rounds.
+  /// As above, with a fixed pause.
   void Repeat(Waker& aWaker, Duration aPause, std::function<void()> aRound);
 
   bool Stopping() const { return mStopping; }
 
-  /// Ends the rounds and waits for every fiber. Not to be called by a thread of
-  /// the runtime. Bodies must end by themselves, by their calls' timeouts.
+  /// Ends the rounds and waits for every fiber. Must not be called on a thread
+  /// of the runtime. Does not interrupt bodies: they must return by themselves,
+  /// at the latest when their calls time out.
   void Stop();
 
 private:
   net::FiberRuntime& mRuntime;
   std::atomic<bool> mStopping{ false };
   std::atomic<int> mRunning{ 0 };
-  std::vector<Waker*> mWakers; ///< Filled before the first fiber ends.
+  std::vector<Waker*> mWakers; ///< Not modified after Stop().
 };
 
 } // namespace foxtailbarrow
--- a/src/net/FiberRuntime.cpp
+++ b/src/net/FiberRuntime.cpp
@@ -51,7 +51,7 @@
   if (mImpl->mStopped.load()) {
     throw std::logic_error("the runtime has been stopped");
   }
-  // Shared, since set_value() may still run when get() has returned.
+  // Shared ownership, since set_value() may still run after get() returns.
   const auto done = std::make_shared<std::promise<void>>();
   Spawn([&aBody, done] {
     try {
--- a/src/net/FiberRuntime.h
+++ b/src/net/FiberRuntime.h
@@ -8,9 +8,9 @@
 namespace foxtailbarrow::net {
 
 /// A fixed number of threads, each with one Asio io_context and one fiber
-/// scheduler. A fiber stays on its thread for life. boost::this_fiber's sleep
-/// functions and boost::fibers' mutexes, condition variables, promises and
-/// channels may be used inside a fiber.
+/// scheduler. A fiber never moves to another thread. Inside a fiber,
+/// boost::this_fiber's sleep functions and boost::fibers' mutexes, condition
+/// variables, promises and channels may be used.
 class FiberRuntime
 {
 public:
@@ -23,22 +23,23 @@
 
   unsigned Threads() const;
 
-  /// Runs `aBody` in a new fiber, on the caller's thread when that is one of
-  /// this runtime's, else on each in turn. Callable from any thread.
+  /// Runs `aBody` in a new fiber: on the calling thread if it belongs to this
+  /// runtime, else on the threads round-robin. Thread-safe.
   void Spawn(std::function<void()> aBody);
 
   /// Runs `aBody` in a new fiber on thread `aThread` < Threads().
   void SpawnOn(unsigned aThread, std::function<void()> aBody);
 
   /// Runs `aBody` in a fiber and blocks the calling thread, which must not be
-  /// one of this runtime's, until it returns. Passes on what it throws; throws
-  /// std::logic_error after Stop().
+  /// one of this runtime's, until it returns. Rethrows what `aBody` throws;
+  /// throws std::logic_error after Stop().
   void RunAndWait(std::function<void()> aBody);
 
-  /// Ends the threads once; fibers that still wait are abandoned.
+  /// Ends the threads; fibers that are still suspended are abandoned. Later
+  /// calls have no effect.
   void Stop();
 
-  struct Impl; ///< Known to the .cpp files of src/net alone.
+  struct Impl; ///< Private to src/net.
   Impl& Internals() { return *mImpl; }
 
 private:
@@ -50,7 +51,7 @@
 void BlockSignals();
 int WaitForSignal();
 
-/// As WaitForSignal(), and calls `aOnReload` for each SIGHUP meanwhile.
+/// As WaitForSignal(), but also calls `aOnReload` for each SIGHUP.
 int WaitForStop(const std::function<void()>& aOnReload);
 
 } // namespace foxtailbarrow::net
--- a/src/net/HttpClient.cpp
+++ b/src/net/HttpClient.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kClearCheck(1);
+constexpr std::chrono::milliseconds kClearPollInterval(1);
 
 struct OpenedConnection
 {
@@ -55,8 +55,8 @@
     return OpenedConnection{ *std::move(opened), false };
   }
 
-  /// Opens a connection and writes the request. An idle connection that breaks
-  /// before the kernel took a byte is replaced.
+  /// Opens a connection and writes the request. Retries on another connection
+  /// if a reused one breaks before the kernel has accepted a byte.
   absl::StatusOr<std::unique_ptr<Connection>> Send(RuntimeThread& aThread,
                                                    const Endpoint& aEndpoint,
                                                    const HttpRequest& aRequest,
@@ -83,12 +83,12 @@
 
   FiberRuntime& mRuntime;
   HttpClientLimits mLimits;
-  std::vector<ConnectionPool> mPools; ///< One a thread, used by it alone.
+  std::vector<ConnectionPool> mPools; ///< One per thread, confined to it.
 };
 
 namespace {
 
-absl::Status NoRuntimeThread()
+absl::Status NotOnRuntimeThread()
 {
   return WithVerdict(
     absl::FailedPreconditionError("called outside the runtime's threads"),
@@ -108,7 +108,7 @@
   if (runtime.Internals().mStopped.load()) {
     return;
   }
-  // Sockets are closed on the thread that uses them.
+  // Each socket must be closed on the thread that uses it.
   std::atomic<unsigned> left{ runtime.Threads() };
   for (unsigned thread = 0; thread < runtime.Threads(); ++thread) {
     runtime.SpawnOn(thread, [this, thread, &left] {
@@ -117,7 +117,7 @@
     });
   }
   while (left.load() > 0) {
-    boost::this_fiber::sleep_for(kClearCheck);
+    boost::this_fiber::sleep_for(kClearPollInterval);
   }
 }
 
@@ -127,7 +127,7 @@
 {
   RuntimeThread* thread = mImpl->mRuntime.Internals().Current();
   if (thread == nullptr) {
-    return NoRuntimeThread();
+    return NotOnRuntimeThread();
   }
   if (aTimeout <= Duration::zero()) {
     return WithVerdict(absl::DeadlineExceededError("no time left to call"),
@@ -163,7 +163,7 @@
 {
   RuntimeThread* thread = mImpl->mRuntime.Internals().Current();
   if (thread == nullptr) {
-    return NoRuntimeThread();
+    return NotOnRuntimeThread();
   }
   const TimePoint deadline = std::chrono::steady_clock::now() + aIdleTimeout;
   auto connection = mImpl->Send(*thread, aEndpoint, aRequest, deadline);
--- a/src/net/HttpClient.h
+++ b/src/net/HttpClient.h
@@ -24,29 +24,30 @@
   Duration mMaxIdleTime = std::chrono::seconds(30);
 };
 
-/// HTTP/1.1 client with a pool of idle connections for each thread. Callable
-/// from any fiber of the runtime; suspends it.
+/// HTTP/1.1 client with a pool of idle connections per thread. May be called
+/// from any fiber of the runtime, which it suspends.
 ///
 /// Every error carries a Verdict: NotRun when no byte of the request was
 /// written (refused, connect timeout), MayHaveRun afterwards (DeadlineExceeded,
 /// Unavailable on a broken connection). An idle connection that the server has
-/// closed meanwhile is recognised before use. A response that is cut short is
-/// an error, never a short body.
+/// closed is detected before reuse. A truncated response is an error, never a
+/// short body.
 class HttpClient
 {
 public:
   explicit HttpClient(FiberRuntime& aRuntime, HttpClientLimits aLimits = {});
   ~HttpClient();
 
-  /// Sends the request and returns the whole response, or an error at
-  /// `aTimeout` from now at the latest.
+  /// Sends the request and returns the complete response, or an error after
+  /// `aTimeout` at the latest.
   absl::StatusOr<HttpResponse> Call(const Endpoint& aEndpoint,
                                     const HttpRequest& aRequest,
                                     Duration aTimeout);
 
-  /// As Call(), but hands each line of a streamed (chunked) response body to
-  /// `aOnLine` as it arrives, until it returns false (OK is returned) or the
-  /// connection breaks. No overall timeout; `aIdleTimeout` bounds the silence.
+  /// As Call(), but passes each line of a streamed (chunked) response body to
+  /// `aOnLine` as it arrives. Returns OK once `aOnLine` returns false, or an
+  /// error when the stream ends. No overall timeout; `aIdleTimeout` limits the
+  /// time between reads.
   absl::Status Stream(const Endpoint& aEndpoint,
                       const HttpRequest& aRequest,
                       Duration aIdleTimeout,
--- a/src/net/HttpMessage.cpp
+++ b/src/net/HttpMessage.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Room made at the first header, to save growing step by step.
+/// Reserved at the first header to avoid repeated reallocation.
 constexpr std::size_t kUsualHeaders = 8;
 
 bool SameName(std::string_view aLeft, std::string_view aRight)
--- a/src/net/HttpMessage.h
+++ b/src/net/HttpMessage.h
@@ -8,23 +8,22 @@
 
 namespace foxtailbarrow::net {
 
-/// Header of every error answer: says whether the request may have run.
+/// Header of every error response: whether the request may have run.
 inline constexpr std::string_view kVerdictHeader = "Foxtailbarrow-Verdict";
 
-/// One header of an HTTP message.
 struct HttpHeader
 {
   std::string mName;
   std::string mValue;
 };
 
-/// Headers in order. Names compare without regard to case.
+/// Headers in insertion order, with case-insensitive names.
 class HttpHeaders
 {
 public:
   void Set(std::string_view aName, std::string_view aValue);
-  /// Adds a header without looking for one of the same name, so that repeated
-  /// headers such as Set-Cookie pass unchanged.
+  /// Adds a header even if one of the same name exists, so that repeated
+  /// headers such as Set-Cookie are preserved.
   void Append(std::string_view aName, std::string_view aValue);
   void Erase(std::string_view aName);
   std::optional<std::string_view> Find(std::string_view aName) const;
@@ -34,22 +33,22 @@
   std::vector<HttpHeader> mHeaders;
 };
 
-/// Request with its whole body. Content-Length, Connection and
-/// Transfer-Encoding are set by the server and client, not kept here.
+/// Request with its complete body. Content-Length, Connection and
+/// Transfer-Encoding are set by the client and server and not stored here.
 struct HttpRequest
 {
   std::string mMethod = "GET";
   std::string mTarget = "/";
   HttpHeaders mHeaders;
   std::string mBody;
-  std::string mHost{}; ///< As received; a client names its peer instead.
+  std::string mHost{}; ///< As received; ignored by the client.
 };
 
-/// Status with which a handler makes the server close the connection without
-/// an answer, as stand-ins do that lose replies on purpose.
+/// Status that makes the server close the connection without a response. Used
+/// by stand-ins to simulate lost replies.
 inline constexpr unsigned kCloseWithoutAnswer = 0;
 
-/// Response with its whole body; a truncated one is never built.
+/// Response with its complete body, never a truncated one.
 struct HttpResponse
 {
   unsigned mStatus = 200; ///< See also kCloseWithoutAnswer.
--- a/src/net/HttpServer.cpp
+++ b/src/net/HttpServer.cpp
@@ -19,11 +19,11 @@
 namespace {
 
 constexpr unsigned kAcceptorThread = 0;
-/// A server above its limit answers this part more connections 503; beyond, it
-/// closes them at once.
-constexpr std::size_t kRefusedPart = 10;
-constexpr std::chrono::seconds kCloseTime(10);
-constexpr std::chrono::milliseconds kCloseCheck(1);
+/// Above the connection limit, 1/kRefusedFraction of it more connections are
+/// answered with 503; any beyond that are closed at once.
+constexpr std::size_t kRefusedFraction = 10;
+constexpr std::chrono::seconds kCloseTimeout(10);
+constexpr std::chrono::milliseconds kClosePollInterval(1);
 
 } // namespace
 
@@ -64,7 +64,7 @@
     const std::size_t open = mState->mConnections.fetch_add(1) + 1;
     const bool refuse = open > limit;
     (refuse ? mState->mRefused : mState->mAccepted).fetch_add(1);
-    if (open > limit + limit / kRefusedPart + 1) {
+    if (open > limit + limit / kRefusedFraction + 1) {
       ::close(aSocket);
       mState->mConnections.fetch_sub(1);
       return;
@@ -91,7 +91,7 @@
     mState->mConnections.fetch_sub(1);
   }
 
-  /// Calls `aNotify` on each open connection, on its own thread.
+  /// Calls `aNotify` on each open connection, on the connection's thread.
   void NotifyConnections(void (ServerConnection::*aNotify)())
   {
     for (unsigned thread = 0; thread < mRuntime.Threads(); ++thread) {
@@ -110,11 +110,11 @@
       return;
     }
     StopAccepting();
-    const auto end = std::chrono::steady_clock::now() + kCloseTime;
+    const auto end = std::chrono::steady_clock::now() + kCloseTimeout;
     do {
-      // Again and again, since connections may have been on their way.
+      // Repeated, since accepted connections may not have been opened yet.
       NotifyConnections(&ServerConnection::OnClose);
-      boost::this_fiber::sleep_for(kCloseCheck);
+      boost::this_fiber::sleep_for(kClosePollInterval);
     } while ((mAccepting.load() || mState->mConnections.load() > 0) &&
              std::chrono::steady_clock::now() < end);
   }
--- a/src/net/HttpServer.h
+++ b/src/net/HttpServer.h
@@ -20,42 +20,42 @@
 struct HttpServerLimits
 {
   std::size_t mMaxHeaderBytes = 16UL * 1024;
-  std::size_t mMaxBodyBytes = 1024UL * 1024; ///< Larger: answered 413.
-  /// Longest wait for a request, for the whole of one, and for a peer to take
-  /// an answer.
+  std::size_t mMaxBodyBytes = 1024UL * 1024; ///< Above: 413.
+  /// Limit on each of: waiting for a request, receiving it completely, and
+  /// writing the response.
   Duration mIdleTimeout = std::chrono::seconds(60);
-  std::size_t mMaxConnections = 10'000; ///< Above: answered 503.
-  /// How long Drain() still answers requests on idle connections, since one may
-  /// be on its way.
+  std::size_t mMaxConnections = 10'000; ///< Above: 503.
+  /// How long idle connections still accept requests after Drain(), since a
+  /// request may already have been sent.
   Duration mDrainGrace = std::chrono::seconds(1);
 };
 
-/// What a server has counted since its start.
+/// Counts since the server's start.
 struct HttpServerCounters
 {
   std::uint64_t mAccepted = 0;        ///< Connections.
   std::uint64_t mRefused = 0;         ///< Connections above the limit.
   std::uint64_t mRequests = 0;        ///< Whole requests received.
-  std::uint64_t mRejected = 0;        ///< Answered 400, 408, 413 or 431.
-  std::uint64_t mHandlerFailures = 0; ///< Exceptions answered 500.
+  std::uint64_t mRejected = 0;        ///< Responses 400, 408, 413 and 431.
+  std::uint64_t mHandlerFailures = 0; ///< Exceptions, responded to with 500.
 };
 
-/// HTTP/1.1 server with keep-alive: one fiber a connection, one request of a
-/// connection at a time. One acceptor hands connections to the runtime's
-/// threads in turn. Malformed input is answered 400, an oversize body 413, an
-/// oversize header 431, a request that takes too long 408, and the connection
-/// closed. These answers say by kVerdictHeader that nothing ran. A handler that
-/// throws is answered 500.
+/// HTTP/1.1 server with keep-alive: one fiber per connection, which handles its
+/// requests in order. One acceptor assigns connections to the runtime's threads
+/// round-robin. Malformed input is answered with 400, an oversize body with
+/// 413, an oversize header with 431 and a request that takes too long with 408;
+/// then the connection is closed. kVerdictHeader marks these responses as not
+/// run. A handler that throws causes a 500.
 class HttpServer
 {
 public:
   /// Runs in the connection's fiber and may suspend it.
   using Handler = std::function<HttpResponse(HttpRequest&)>;
-  /// Writes a streamed answer; the stream ends when it returns.
+  /// Writes a streamed response, which ends when the handler returns.
   using StreamHandler = std::function<void(HttpRequest&, HttpStreamWriter&)>;
 
-  /// Listens on `aEndpoint`; port 0 lets the system choose. Requests whose
-  /// target is `aStreamTarget` go to `aStream`, all others to `aHandler`.
+  /// Listens on `aEndpoint`; port 0 selects a free port. Requests whose target
+  /// is `aStreamTarget` go to `aStream`, all others to `aHandler`.
   /// `aRuntime` must outlive the server.
   static absl::StatusOr<std::unique_ptr<HttpServer>> Start(
     FiberRuntime& aRuntime,
@@ -65,24 +65,24 @@
     StreamHandler aStream = {},
     std::string aStreamTarget = {});
 
-  /// Stops listening, closes every connection and waits a bounded time for
-  /// handlers that still run.
+  /// Stops listening, closes every connection and waits a limited time for
+  /// running handlers.
   ~HttpServer();
 
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Where it listens, with the port that the system chose.
+  /// The local endpoint, with the port that the system selected.
   Endpoint ListeningEndpoint() const;
 
-  /// Stops accepting; requests in progress finish and are answered with
+  /// Stops accepting. Requests in progress finish and are answered with
   /// `Connection: close`; idle connections are closed after mDrainGrace;
-  /// streams end at their next line. Returns at once; see
+  /// streams end at their next line. Returns immediately; see
   /// RequestsInProgress().
   void Drain();
 
-  /// Requests from their first byte until their answer is written; streams do
-  /// not count.
+  /// Requests between their first byte and the end of their response, without
+  /// streams.
   std::size_t RequestsInProgress() const;
   std::size_t Connections() const;
   HttpServerCounters Counters() const;
--- a/src/net/HttpStreamWriter.h
+++ b/src/net/HttpStreamWriter.h
@@ -11,23 +11,23 @@
 class Connection;
 }
 
-/// Writes a streamed (chunked) answer of newline-ended lines. Used by one
-/// handler in the connection's fiber.
+/// Writes a streamed (chunked) response of newline-terminated lines. Used by
+/// the handler in the connection's fiber.
 class HttpStreamWriter
 {
 public:
-  /// Used by HttpServer alone. `aEnding` says that the server drains or stops.
+  /// Only for HttpServer. `aEnding` returns whether the server drains or stops.
   HttpStreamWriter(detail::Connection& aConnection,
                    std::chrono::microseconds aTimeout,
                    std::function<bool()> aEnding);
 
-  /// Writes one line and its newline. Returns false, now and from then on, when
-  /// the peer is gone or takes nothing for the idle timeout, or the server
-  /// drains: the handler is to return.
+  /// Writes one line and its newline. Returns false, and does so from then on,
+  /// when the peer has closed, accepts no data for the idle timeout, or the
+  /// server drains. The handler must then return.
   bool WriteLine(std::string_view aLine);
 
-  /// True when the peer has closed or the server drains. Does not wait; for a
-  /// handler that waits long between lines.
+  /// True when the peer has closed or the server drains. Does not block; meant
+  /// for handlers with long pauses between lines.
   bool IsClosed();
 
 private:
--- a/src/net/JsonResponse.h
+++ b/src/net/JsonResponse.h
@@ -6,7 +6,7 @@
 
 namespace foxtailbarrow::net {
 
-/// A response with this JSON value on one line as its body.
+/// Creates a response whose body is `aBody` as JSON on one line.
 HttpResponse JsonResponse(unsigned aStatus, const Json::Value& aBody);
 
 } // namespace foxtailbarrow::net
--- a/src/net/Rpc.h
+++ b/src/net/Rpc.h
@@ -17,17 +17,17 @@
 
 namespace foxtailbarrow::net {
 
-/// HTTP target at which every process answers JSON-RPC 2.0 by POST.
+/// HTTP target at which every process serves JSON-RPC 2.0 by POST.
 inline constexpr std::string_view kRpcTarget = "/rpc";
 
-/// Answers JSON-RPC 2.0 calls by libjsonrpccpp. Register every method before
-/// the first call to Handle().
+/// Serves JSON-RPC 2.0 calls, using libjsonrpccpp. All methods must be
+/// registered before the first call to Handle().
 class RpcDispatcher
 {
 public:
-  /// Takes the params object and returns the result. Runs in the connection's
-  /// fiber. An error becomes a JSON-RPC error object whose data carries the
-  /// status code and the verdict.
+  /// Maps the params object to the result. Runs in the connection's fiber. An
+  /// error becomes a JSON-RPC error object whose data contains the status code
+  /// and the verdict.
   using Method = std::function<absl::StatusOr<Json::Value>(const Json::Value&)>;
 
   RpcDispatcher();
@@ -38,7 +38,7 @@
   /// Handles the HTTP body of one call.
   HttpResponse Handle(const HttpRequest& aRequest);
 
-  /// Spent on the text of all calls so far.
+  /// Time spent on encoding and decoding all calls so far.
   CodecTimer& CodecTime();
 
 private:
@@ -52,13 +52,14 @@
 public:
   explicit RpcClient(HttpClient& aClient);
 
-  /// Errors carry a Verdict: that of the HTTP call, or the remote's own.
+  /// Errors carry a Verdict: that of the HTTP call, or the one that the server
+  /// returned.
   absl::StatusOr<Json::Value> Call(const Endpoint& aEndpoint,
                                    std::string_view aMethod,
                                    const Json::Value& aParams,
                                    Duration aTimeout);
 
-  /// Spent on the text of all calls so far.
+  /// Time spent on encoding and decoding all calls so far.
   CodecTimer& CodecTime() { return mCodecTime; }
 
 private:
--- a/src/net/RpcClient.cpp
+++ b/src/net/RpcClient.cpp
@@ -17,7 +17,7 @@
 constexpr int kLastStatusCode =
   static_cast<int>(absl::StatusCode::kUnauthenticated);
 
-/// The error that a method on the other side answered with.
+/// Converts an error object that the remote method returned.
 absl::Status FromMethodError(const RpcError& aError)
 {
   const Json::Value& data = aError.Data();
@@ -55,7 +55,7 @@
   }
 }
 
-/// Client errors won't go away by another try; all others may.
+/// Client errors are permanent; all others are retryable.
 absl::StatusCode CodeOf(unsigned aHttpStatus)
 {
   constexpr unsigned kFirstClientError = 400;
@@ -102,12 +102,12 @@
                                             Duration aTimeout)
 {
   absl::Status failure;
-  Instant textBegan = MonotonicNow();
+  Instant codecStart = MonotonicNow();
   const auto transport = [&](const std::string& aRequest,
                              std::string& aResponse) {
-    mCodecTime.Add(MonotonicNow() - textBegan);
+    mCodecTime.Add(MonotonicNow() - codecStart);
     auto response = mClient.Call(aEndpoint, ToRequest(aRequest), aTimeout);
-    textBegan = MonotonicNow();
+    codecStart = MonotonicNow();
     if (!response.ok()) {
       failure = response.status();
       return false;
@@ -124,7 +124,7 @@
     if (!rpcshim::Call(transport, std::string(aMethod), aParams, result)) {
       return failure;
     }
-    mCodecTime.Add(MonotonicNow() - textBegan);
+    mCodecTime.Add(MonotonicNow() - codecStart);
     return result;
   } catch (const RpcError& error) {
     return FromError(error);
--- a/src/net/RpcDispatcher.cpp
+++ b/src/net/RpcDispatcher.cpp
@@ -14,9 +14,9 @@
 
 constexpr unsigned kMethodNotAllowed = 405;
 
-/// When work on the text of this thread's present call began. No other fiber
-/// of the thread runs between this and the end of that work.
-thread_local Instant sTextBegan{};
+/// Start of the current encoding or decoding on this thread, which does not
+/// suspend, so that no other fiber of the thread overwrites this.
+thread_local Instant sCodecStart{};
 
 RpcError ToError(const absl::Status& aStatus)
 {
@@ -27,13 +27,13 @@
     rpcshim::kMethodErrorCode, std::string(aStatus.message()), data);
 }
 
-/// For failures that libjsonrpccpp leaves as exceptions.
+/// Response to failures that libjsonrpccpp reports as exceptions.
 constexpr char kInternalError[] =
   R"({"jsonrpc":"2.0","id":null,"error":{"code":-32603,)"
   R"("message":"internal error",)"
   R"("data":{"code":13,"verdict":"may-have-run"}}})";
 
-constexpr char kTooDeepError[] =
+constexpr char kUnsafeTextError[] =
   R"({"jsonrpc":"2.0","id":null,"error":{"code":-32700,)"
   R"("message":"nested too deeply",)"
   R"("data":{"code":3,"verdict":"not-run"}}})";
@@ -58,10 +58,10 @@
     }
     const Json::Value empty(Json::objectValue);
     const auto& method = mMethods.find(aName)->second;
-    mCodecTime.Add(MonotonicNow() - sTextBegan);
+    mCodecTime.Add(MonotonicNow() - sCodecStart);
     absl::StatusOr<Json::Value> result =
       method(aParams.isNull() ? empty : aParams);
-    sTextBegan = MonotonicNow();
+    sCodecStart = MonotonicNow();
     if (!result.ok()) {
       throw ToError(result.status());
     }
@@ -101,9 +101,9 @@
     return response;
   }
   response.mHeaders.Append("Content-Type", "application/json");
-  sTextBegan = MonotonicNow();
+  sCodecStart = MonotonicNow();
   if (rpcshim::IsUnsafeToParse(aRequest.mBody)) {
-    response.mBody = kTooDeepError;
+    response.mBody = kUnsafeTextError;
     return response;
   }
   try {
@@ -111,7 +111,7 @@
   } catch (const std::exception&) {
     response.mBody = kInternalError;
   }
-  mImpl->mCodecTime.Add(MonotonicNow() - sTextBegan);
+  mImpl->mCodecTime.Add(MonotonicNow() - sCodecStart);
   return response;
 }
 
--- a/src/net/Signals.cpp
+++ b/src/net/Signals.cpp
@@ -34,7 +34,7 @@
 
 void BlockSignals()
 {
-  // A write to a connection that the peer closed must be an error code.
+  // Writing to a closed connection must fail with EPIPE instead of a signal.
   std::signal(SIGPIPE, SIG_IGN);
   const sigset_t signals = StopAndReloadSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
--- a/src/net/TypedRpc.h
+++ b/src/net/TypedRpc.h
@@ -12,12 +12,12 @@
 #include "src/core/message/Codec.h"
 #include "src/net/Rpc.h"
 
-/// JSON-RPC with the typed messages of Messages.h in place of JSON values.
+/// JSON-RPC with the typed messages of Messages.h instead of JSON values.
 namespace foxtailbarrow::net {
 
-/// Registers a method whose handler takes a `Request` and returns a reply type
-/// or an absl::StatusOr of one. Bad params never reach the handler: the caller
-/// is told that nothing ran.
+/// Registers a method whose handler takes a `Request` and returns a reply or an
+/// absl::StatusOr of one. Invalid params are rejected as NotRun before the
+/// handler is called.
 template<typename Request, typename Handler>
 void AddTyped(RpcDispatcher& aDispatcher,
               std::string_view aName,
@@ -25,10 +25,10 @@
 {
   aDispatcher.Add(
     std::string(aName),
-    [handler = std::move(aHandler), &text = aDispatcher.CodecTime()](
+    [handler = std::move(aHandler), &timer = aDispatcher.CodecTime()](
       const Json::Value& aParams) -> absl::StatusOr<Json::Value> {
       absl::StatusOr<Request> request =
-        text.Measure([&] { return FromJson<Request>(aParams); });
+        timer.Measure([&] { return FromJson<Request>(aParams); });
       if (!request.ok()) {
         return WithVerdict(request.status(), Verdict::NotRun);
       }
@@ -37,14 +37,14 @@
         if (!reply.ok()) {
           return reply.status();
         }
-        return text.Measure([&] { return ToJson(*reply); });
+        return timer.Measure([&] { return ToJson(*reply); });
       } else {
-        return text.Measure([&] { return ToJson(reply); });
+        return timer.Measure([&] { return ToJson(reply); });
       }
     });
 }
 
-/// Calls a method. A reply that cannot be read is an error with MayHaveRun.
+/// Calls a method. A reply that cannot be parsed is an error with MayHaveRun.
 template<typename Reply, typename Request>
 absl::StatusOr<Reply> CallTyped(RpcClient& aClient,
                                 const Endpoint& aEndpoint,
--- a/src/net/Waker.h
+++ b/src/net/Waker.h
@@ -7,7 +7,8 @@
 
 namespace foxtailbarrow {
 
-/// Wakes a fiber that works in rounds. Calls between two rounds count as one.
+/// Wakes a fiber that runs periodically: an auto-reset event. Several Wake()
+/// calls between two waits count as one.
 class Waker
 {
 public:
@@ -20,12 +21,12 @@
     mChanged.notify_one();
   }
 
-  /// Returns at the next waker, at once when one came since the last return, or
-  /// after `aLongest`.
-  void Wait(Duration aLongest)
+  /// Returns at the next Wake(), immediately if there was one since the last
+  /// Wait(), or after `aTimeout`.
+  void Wait(Duration aTimeout)
   {
     std::unique_lock lock(mMutex);
-    mChanged.wait_for(lock, aLongest, [this] { return mWoken; });
+    mChanged.wait_for(lock, aTimeout, [this] { return mWoken; });
     mWoken = false;
   }
 
--- a/src/net/detail/Acceptor.cpp
+++ b/src/net/detail/Acceptor.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr int kBacklog = 4096;
-/// Pause after a failed accept, for example when descriptors are used up.
+/// Pause after a failed accept, such as one for lack of file descriptors.
 constexpr std::chrono::milliseconds kFailurePause(10);
 
 absl::Status ToStatus(const ErrorCode& aError, const Endpoint& aEndpoint)
@@ -42,7 +42,7 @@
   }
   mAcceptor.open(tcp::v4(), error);
   if (!error) {
-    // A process that a test starts would keep the port.
+    // Otherwise child processes, such as those of tests, keep the port in use.
     ::fcntl(mAcceptor.native_handle(), F_SETFD, FD_CLOEXEC);
     mAcceptor.set_option(boost::asio::socket_base::reuse_address(true), error);
   }
--- a/src/net/detail/Acceptor.h
+++ b/src/net/detail/Acceptor.h
@@ -18,15 +18,16 @@
   {
   }
 
-  /// Listens; returns the endpoint with the port that the system chose.
+  /// Starts listening; returns the endpoint with the port that the system
+  /// selected.
   absl::StatusOr<Endpoint> Listen(const Endpoint& aEndpoint);
 
-  /// Hands each accepted, non-blocking socket to `aOnSocket`, which owns it,
-  /// until Stop(); then hands over those that still wait, and closes. Runs in a
-  /// fiber of the thread.
+  /// Passes each accepted, non-blocking socket to `aOnSocket`, which takes
+  /// ownership, until Stop(). Then accepts the pending connections and closes.
+  /// Runs in a fiber of the thread.
   void Run(const std::function<void(int)>& aOnSocket);
 
-  /// Ends Run(); on the thread.
+  /// Ends Run(). Must be called on the thread.
   void Stop();
 
 private:
--- a/src/net/detail/Asio.h
+++ b/src/net/detail/Asio.h
@@ -12,8 +12,8 @@
 
 namespace foxtailbarrow::net::detail {
 
-/// Bound to io_context's own executor: the polymorphic one of
-/// boost::asio::ip::tcp::socket costs an allocation for each operation.
+/// Uses io_context's own executor: the polymorphic one of
+/// boost::asio::ip::tcp::socket allocates for each operation.
 using TcpSocket =
   boost::asio::basic_stream_socket<boost::asio::ip::tcp,
                                    boost::asio::io_context::executor_type>;
--- a/src/net/detail/AsioScheduler.cpp
+++ b/src/net/detail/AsioScheduler.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Rounds over all ready fibers after which the io_context gets a turn even
-/// though fibers are still ready.
+/// Number of rounds over the ready fibers after which the io_context is polled
+/// even though fibers are still ready.
 constexpr unsigned kMaxRoundsWithoutIo = 4;
 
 } // namespace
--- a/src/net/detail/AsioScheduler.h
+++ b/src/net/detail/AsioScheduler.h
@@ -11,9 +11,10 @@
 
 namespace foxtailbarrow::net::detail {
 
-/// Fiber scheduler of one thread over one io_context. Ready fibers run in
-/// turn; when none is ready the thread waits in the io_context. Completion
-/// handlers run on the dispatcher's context only, never on a fiber's stack.
+/// Fiber scheduler of one thread with one io_context. Ready fibers run
+/// round-robin; when none is ready the thread waits in the io_context.
+/// Completion handlers run only in the dispatcher's context, never on a fiber's
+/// stack.
 class AsioScheduler final : public boost::fibers::algo::algorithm
 {
 public:
@@ -24,7 +25,8 @@
   {
   }
 
-  // NOLINTBEGIN(readability-identifier-naming): names set by the base class.
+  // NOLINTBEGIN(readability-identifier-naming): names required by the base
+  // class.
   void awakened(boost::fibers::context* aFiber) noexcept override;
   boost::fibers::context* pick_next() noexcept override;
   bool has_ready_fibers() const noexcept override;
--- a/src/net/detail/Await.h
+++ b/src/net/detail/Await.h
@@ -10,9 +10,9 @@
 
 namespace foxtailbarrow::net::detail {
 
-/// State of one asynchronous operation that a fiber waits for. Lives on the
-/// fiber's stack and lends Asio the memory of the operation, so that a wait
-/// allocates nothing.
+/// State of an asynchronous operation that a fiber waits for. Placed on the
+/// fiber's stack; also provides the memory for Asio's operation, so that a wait
+/// does not allocate.
 class AwaitState
 {
 public:
@@ -36,27 +36,27 @@
     ::operator delete(aMemory);
   }
 
-  /// Called by the operation's handler, on the fiber's own thread.
+  /// Called by the operation's handler, on the fiber's thread.
   void Complete(const ErrorCode& aError, std::size_t aBytes)
   {
     mError = aError;
     mBytes = aBytes;
     mDone = true;
-    // Its deadline may have made the fiber ready already.
+    // The fiber may already be ready because its deadline passed.
     if (!mFiber->ready_is_linked()) {
       boost::fibers::context::active()->schedule(mFiber);
     }
   }
 
-  /// Suspends the fiber until the operation completes. At `aDeadline` calls
-  /// `aCancel`, which must make the operation complete soon. Returns false
-  /// when the deadline passed before the operation completed by itself.
+  /// Suspends the fiber until the operation completes. Calls `aCancel` at
+  /// `aDeadline`, which must make the operation complete soon. Returns false if
+  /// the operation was cancelled before it succeeded.
   template<typename Cancel>
   bool WaitUntil(TimePoint aDeadline, Cancel aCancel)
   {
     while (!mDone) {
-      // Boost.Fiber 1.74 takes a deadline for settled when the fiber's last
-      // timed wait was ended by a notification, and would never wake it.
+      // Workaround for Boost.Fiber 1.74: if the fiber's last timed wait was
+      // ended by a notification, the new deadline would never wake the fiber.
       mFiber->twstatus.store(0, std::memory_order_release);
       if (!mFiber->wait_until(aDeadline)) {
         break;
@@ -86,7 +86,7 @@
   alignas(std::max_align_t) std::byte mMemory[kMemoryBytes];
 };
 
-/// Asio allocator over the memory of an AwaitState.
+/// Asio allocator that uses the memory of an AwaitState.
 template<typename T>
 class AwaitAllocator
 {
@@ -103,7 +103,7 @@
   {
   }
 
-  // NOLINTBEGIN(readability-identifier-naming): names set by the standard.
+  // NOLINTBEGIN(readability-identifier-naming): names required by the standard.
   T* allocate(std::size_t aCount)
   {
     return static_cast<T*>(mState->Allocate(sizeof(T) * aCount));
@@ -135,7 +135,7 @@
   {
   }
 
-  // NOLINTNEXTLINE(readability-identifier-naming): name set by Asio.
+  // NOLINTNEXTLINE(readability-identifier-naming): name required by Asio.
   allocator_type get_allocator() const { return allocator_type(*mState); }
 
   void operator()(const ErrorCode& aError, std::size_t aBytes = 0) const
--- a/src/net/detail/ClientExchange.cpp
+++ b/src/net/detail/ClientExchange.cpp
@@ -47,8 +47,7 @@
   return absl::UnavailableError(absl::StrCat(doing, ": ", aError.message()));
 }
 
-/// Feeds the parser what is buffered, reading more while nothing is. OK once
-/// the parser has taken some input.
+/// Passes buffered input to the parser, or reads more if the parser needs it.
 ErrorCode Advance(Connection& aConnection,
                   http::basic_parser<false>& aParser,
                   TimePoint aDeadline)
@@ -61,7 +60,7 @@
       aParser.put(boost::asio::buffer(input.data(), input.size()), error);
     aConnection.Consume(used);
     if (used > 0 && (!error || error == http::error::need_more)) {
-      return {}; // The caller takes what came before it waits for more.
+      return {}; // Lets the caller process this before reading more.
     }
   }
   if (aParser.is_done() || (error && error != http::error::need_more)) {
@@ -73,7 +72,7 @@
   return {};
 }
 
-/// Reads until the parser has the whole message, or its header if
+/// Reads until the parser has the complete message, or its header if
 /// `aHeaderOnly`.
 ErrorCode ReadMessage(Connection& aConnection,
                       http::basic_parser<false>& aParser,
@@ -85,7 +84,7 @@
     if (error) {
       return error;
     }
-    // Without a length nothing tells a whole body from one cut short.
+    // Without a length, a truncated body cannot be detected.
     if (aParser.is_header_done() && aParser.need_eof()) {
       return http::error::bad_content_length;
     }
@@ -93,9 +92,10 @@
   return {};
 }
 
-/// Hands over whole lines and keeps the rest. False once `aOnLine` has.
-bool TakeLines(std::string& aText,
-               const std::function<bool(std::string_view)>& aOnLine)
+/// Passes complete lines to `aOnLine` and keeps the rest. Returns false once
+/// `aOnLine` does.
+bool ConsumeLines(std::string& aText,
+                  const std::function<bool(std::string_view)>& aOnLine)
 {
   std::size_t begin = 0;
   bool more = true;
@@ -171,14 +171,14 @@
 }
 
 absl::StatusOr<ReceivedResponse> ReadResponse(Connection& aConnection,
-                                              bool aToHead,
+                                              bool aIsHeadRequest,
                                               std::size_t aMaxBodyBytes,
                                               TimePoint aDeadline)
 {
   for (;;) {
     ReceivedResponse received;
     ResponseParser parser(received.mResponse, kMaxHeaderBytes, aMaxBodyBytes);
-    parser.skip(aToHead);
+    parser.skip(aIsHeadRequest);
     if (const ErrorCode error =
           ReadMessage(aConnection, parser, false, aDeadline)) {
       return MayHaveRun(ToStatus(error, "reading the response"));
@@ -210,7 +210,7 @@
       return MayHaveRun(absl::UnavailableError(
         absl::StrCat("stream answered with status ", response.mStatus)));
     }
-    if (!TakeLines(response.mBody, aOnLine)) {
+    if (!ConsumeLines(response.mBody, aOnLine)) {
       return absl::OkStatus();
     }
     if (response.mBody.size() > aMaxLineBytes) {
--- a/src/net/detail/ClientExchange.h
+++ b/src/net/detail/ClientExchange.h
@@ -15,14 +15,15 @@
 
 using TimePoint = Connection::TimePoint;
 
-/// Opens a connection. Every error is NotRun.
+/// Opens a connection. All errors are NotRun.
 absl::StatusOr<std::unique_ptr<Connection>> OpenConnection(
   boost::asio::io_context& aIo,
   const Endpoint& aEndpoint,
   TimePoint aDeadline,
   Duration aConnectTimeout);
 
-/// Writes a request. NotRun when the kernel took no byte, else MayHaveRun.
+/// Writes a request. Errors are NotRun if the kernel accepted no byte, else
+/// MayHaveRun.
 absl::Status WriteRequest(Connection& aConnection,
                           const Endpoint& aEndpoint,
                           const HttpRequest& aRequest,
@@ -34,9 +35,9 @@
   bool mReusable = false; ///< The connection may carry another request.
 };
 
-/// Reads a whole response. Every error is MayHaveRun.
+/// Reads a complete response. All errors are MayHaveRun.
 absl::StatusOr<ReceivedResponse> ReadResponse(Connection& aConnection,
-                                              bool aToHead,
+                                              bool aIsHeadRequest,
                                               std::size_t aMaxBodyBytes,
                                               TimePoint aDeadline);
 
--- a/src/net/detail/Connection.cpp
+++ b/src/net/detail/Connection.cpp
@@ -19,8 +19,8 @@
   return { errno, boost::system::system_category() };
 }
 
-/// One non-blocking gather write. Returns the bytes taken; 0 and no error when
-/// the socket's buffer is full.
+/// One non-blocking gather write. Returns the number of bytes written; 0
+/// without an error if the socket's buffer is full.
 std::size_t SendSome(int aSocket,
                      std::string_view aHead,
                      std::string_view aBody,
@@ -101,9 +101,9 @@
       mBuffer.resize(std::max(kFirstBufferBytes, mBuffer.size() * 2));
     }
   }
-  const std::size_t room = std::min(mBuffer.size() - mEnd, kMaxReadBytes);
+  const std::size_t space = std::min(mBuffer.size() - mEnd, kMaxReadBytes);
   AwaitState state;
-  mSocket.async_read_some(boost::asio::buffer(mBuffer.data() + mEnd, room),
+  mSocket.async_read_some(boost::asio::buffer(mBuffer.data() + mEnd, space),
                           AwaitHandler(state));
   if (!state.WaitUntil(aDeadline, [this] { Cancel(); })) {
     return boost::asio::error::timed_out;
--- a/src/net/detail/Connection.h
+++ b/src/net/detail/Connection.h
@@ -11,8 +11,8 @@
 
 namespace foxtailbarrow::net::detail {
 
-/// TCP connection used by one fiber of one thread, with a read buffer. Every
-/// wait ends at a deadline.
+/// TCP connection with a read buffer, used by one fiber. Every wait has a
+/// deadline.
 class Connection
 {
 public:
@@ -36,28 +36,29 @@
                     TimePoint aDeadline);
 
   /// Appends at least one byte to Buffered(). Errors: boost::asio::error::eof,
-  /// timed_out at the deadline, or that of the socket.
+  /// timed_out at the deadline, or a socket error.
   ErrorCode Read(TimePoint aDeadline);
 
   /// Bytes read and not yet consumed.
   std::string_view Buffered() const;
   void Consume(std::size_t aBytes);
 
-  /// Writes both parts whole. `aWritten` counts the bytes that the kernel
-  /// took, also on an error.
+  /// Writes both parts completely. `aWritten` is the number of bytes that the
+  /// kernel accepted, also on an error.
   ErrorCode Write(std::string_view aHead,
                   std::string_view aBody,
                   TimePoint aDeadline,
                   std::size_t& aWritten);
 
-  /// Text to build a head in, kept between messages to save allocations.
+  /// Buffer for message heads, reused to avoid allocations.
   std::string& Scratch() { return mScratch; }
 
-  /// True when the peer has closed, broken or sent bytes nobody waits for. Does
-  /// not wait.
+  /// True if the peer has closed, the connection is broken, or unexpected bytes
+  /// have arrived. Does not block.
   bool Stale();
 
-  /// Ends the fiber's current wait with operation_aborted; from this thread.
+  /// Ends the fiber's current wait with operation_aborted. Must be called on
+  /// the same thread.
   void Cancel();
 
 private:
--- a/src/net/detail/ConnectionPool.h
+++ b/src/net/detail/ConnectionPool.h
@@ -11,26 +11,27 @@
 
 namespace foxtailbarrow::net::detail {
 
-/// Idle client connections of one thread, by peer. The last used goes first, so
-/// that spare ones age and are closed.
+/// Idle client connections of one thread, by peer. The most recently used one
+/// is reused first, so that surplus ones age and are closed.
 class ConnectionPool
 {
 public:
   using TimePoint = Connection::TimePoint;
 
-  /// An idle connection that the peer has not closed, or nullptr.
+  /// Removes and returns an idle connection that the peer has not closed, or
+  /// returns nullptr.
   std::unique_ptr<Connection> Take(const Endpoint& aEndpoint);
 
-  /// Keeps a connection for reuse, or closes it above the limit. Now and then
-  /// closes those of all peers that were idle for too long, also of peers that
-  /// are never called again.
+  /// Keeps a connection for reuse, or closes it above the limit. Periodically
+  /// closes the connections that were idle for too long, including those to
+  /// peers that are never called again.
   void Put(const Endpoint& aEndpoint,
            std::unique_ptr<Connection> aConnection,
            const HttpClientLimits& aLimits,
            TimePoint aNow);
 
-  /// Closes those to one peer: after a failed call the others are likely as
-  /// dead, and each would cost another call its timeout.
+  /// Closes all connections to one peer: after a failed call the others are
+  /// probably broken too, and each would cost another call its timeout.
   void Drop(const Endpoint& aEndpoint) { mIdle.erase(aEndpoint); }
 
   void Clear() { mIdle.clear(); }
--- a/src/net/detail/MessageParser.h
+++ b/src/net/detail/MessageParser.h
@@ -13,9 +13,8 @@
 
 namespace http = boost::beast::http;
 
-/// Beast parser that builds an HttpRequest or HttpResponse in place, without
-/// Beast's own header container. Drops the headers that concern one
-/// connection alone.
+/// Beast parser that fills an HttpRequest or HttpResponse directly, without
+/// Beast's header container. Drops hop-by-hop headers.
 template<bool IsRequest, typename Message>
 class MessageParser : public http::basic_parser<IsRequest>
 {
@@ -30,17 +29,16 @@
     this->eager(true);
   }
 
-  /// The request waits for "100 Continue" before it sends its body.
+  /// The client waits for "100 Continue" before it sends the body.
   bool ExpectsContinue() const { return mExpectsContinue; }
 
-  /// Number of header lines and whether Host was one of them.
   bool HasHost() const { return mHasHost; }
   bool IsHttp11() const { return mVersion == kHttp11; }
 
 protected:
   static constexpr int kHttp11 = 11;
 
-  // NOLINTBEGIN(readability-identifier-naming): names set by Beast.
+  // NOLINTBEGIN(readability-identifier-naming): names required by Beast.
   void on_request_impl(http::verb,
                        boost::beast::string_view aMethod,
                        boost::beast::string_view aTarget,
@@ -99,7 +97,7 @@
   void on_body_init_impl(const boost::optional<std::uint64_t>& aLength,
                          ErrorCode&) override
   {
-    // A sender may announce more than it sends: reserve a bounded part.
+    // The announced length is untrusted: limit the reservation.
     if (aLength) {
       mMessage.mBody.reserve(std::min<std::uint64_t>(*aLength, kMaxReserve));
     }
--- a/src/net/detail/MessageWriter.cpp
+++ b/src/net/detail/MessageWriter.cpp
@@ -29,7 +29,7 @@
     absl::string_view(aRight.data(), aRight.size()));
 }
 
-/// Headers that the connection sets by itself.
+/// Headers that the client and server set themselves.
 bool IsConnectionHeader(std::string_view aName)
 {
   switch (aName.size()) {
@@ -65,7 +65,7 @@
   aOut.append("\r\n");
 }
 
-/// A request without a body needs no length unless its method implies one.
+/// True for requests with a body and for methods that usually have one.
 bool NeedsLength(const HttpRequest& aRequest)
 {
   return !aRequest.mBody.empty() || aRequest.mMethod == "POST" ||
--- a/src/net/detail/MessageWriter.h
+++ b/src/net/detail/MessageWriter.h
@@ -9,11 +9,11 @@
 
 namespace foxtailbarrow::net::detail {
 
-/// Bodies up to this size are copied behind the head, so that one buffer is
-/// written; larger ones are gathered by the kernel.
+/// Bodies up to this size are appended to the head and written as one buffer;
+/// larger ones use a gather write.
 inline constexpr std::size_t kMaxCopiedBody = 4UL * 1024;
 
-/// Appends the head of a request, up to the empty line.
+/// Appends the head of a request, including the empty line.
 void AppendHead(std::string& aOut,
                 const HttpRequest& aRequest,
                 std::string_view aHost);
@@ -22,20 +22,20 @@
 {
   ContentLength,
   Chunked,
-  None, ///< 1xx, 204 and 304 carry no length.
+  None, ///< 1xx, 204 and 304 have no length.
 };
 
-/// Appends the head of a response, up to the empty line. The content length
-/// is that of the body.
+/// Appends the head of a response, including the empty line. The content length
+/// is that of `aResponse`'s body.
 void AppendHead(std::string& aOut,
                 const HttpResponse& aResponse,
                 BodyFraming aFraming,
                 bool aKeepAlive);
 
-/// The framing that RFC 9110 asks for a response of this status.
+/// The framing that RFC 9110 requires for a response with this status.
 BodyFraming FramingOf(unsigned aStatus);
 
-/// True unless the text could break out of a header line.
+/// False if the text contains characters that end a header line.
 bool IsSafeText(std::string_view aText);
 
 } // namespace foxtailbarrow::net::detail
--- a/src/net/detail/RuntimeImpl.h
+++ b/src/net/detail/RuntimeImpl.h
@@ -15,7 +15,7 @@
   std::atomic<unsigned> mNextThread{ 0 };
   std::atomic<bool> mStopped{ false };
 
-  /// The calling thread if it is one of this runtime's, else nullptr.
+  /// The calling thread if it belongs to this runtime, else nullptr.
   detail::RuntimeThread* Current() const
   {
     detail::RuntimeThread* current = detail::RuntimeThread::Current();
--- a/src/net/detail/RuntimeThread.cpp
+++ b/src/net/detail/RuntimeThread.cpp
@@ -14,8 +14,8 @@
 
 thread_local RuntimeThread* sCurrent = nullptr;
 
-/// A thread whose fibers still wait can't end: Boost.Fiber would wait for
-/// them in the thread's destructors. It sleeps until the process ends.
+/// Blocks a thread that still has suspended fibers until the process ends: if
+/// it returned, Boost.Fiber would wait for them in thread-local destructors.
 [[noreturn]] void SleepForever()
 {
   std::mutex mutex;
@@ -52,9 +52,9 @@
   while (!mStopping) {
     mMain->suspend();
   }
-  const bool ends = mFibers == 0;
-  mStopped.set_value(ends);
-  if (!ends) {
+  const bool canEnd = mFibers == 0;
+  mStopped.set_value(canEnd);
+  if (!canEnd) {
     SleepForever();
   }
 }
--- a/src/net/detail/RuntimeThread.h
+++ b/src/net/detail/RuntimeThread.h
@@ -20,24 +20,24 @@
 public:
   RuntimeThread(const void* aOwner, unsigned aIndex);
 
-  /// Starts `aSelf`'s thread, which shares ownership: a thread that is
-  /// abandoned with waiting fibers keeps their memory.
+  /// Starts `aSelf`'s thread, which shares ownership: a thread abandoned with
+  /// suspended fibers must keep their memory alive.
   static void Start(const std::shared_ptr<RuntimeThread>& aSelf);
 
-  /// Starts a fiber from any thread.
+  /// Starts a fiber on this thread. Thread-safe.
   void Spawn(std::function<void()> aBody);
 
-  /// Asks the thread to end; from any thread.
+  /// Asks the thread to end. Thread-safe.
   void RequestStop();
 
-  /// Waits until no fiber of this thread runs any more.
+  /// Waits until the thread runs no more fibers; joins it if none is left.
   void AwaitStop();
 
   boost::asio::io_context& Io() { return mIo; }
   unsigned Index() const { return mIndex; }
   const void* Owner() const { return mOwner; }
 
-  /// The runtime thread that calls, or nullptr.
+  /// The calling runtime thread, or nullptr.
   static RuntimeThread* Current();
 
 private:
@@ -53,7 +53,7 @@
   std::size_t mFibers = 0;
   bool mStopping = false;
   boost::fibers::context* mMain = nullptr;
-  std::promise<bool> mStopped; ///< True: the thread ends and can be joined.
+  std::promise<bool> mStopped; ///< True if the thread can be joined.
   std::thread mThread;
 };
 
--- a/src/net/detail/ServerConnection.cpp
+++ b/src/net/detail/ServerConnection.cpp
@@ -21,10 +21,11 @@
 constexpr unsigned kInternalError = 500;
 constexpr unsigned kUnavailable = 503;
 
-/// Bounds of what a connection still reads after its last answer, so that the
-/// peer reads the answer before a reset.
+/// Limits on what a connection reads and discards after its last response.
+/// Closing with unread input would send a reset, which may discard the response
+/// before the peer reads it.
 constexpr std::size_t kMaxDiscardedBytes = 4UL * 1024 * 1024;
-constexpr std::chrono::seconds kDiscardTime(2);
+constexpr std::chrono::seconds kDiscardTimeout(2);
 
 unsigned StatusOf(const ErrorCode& aError)
 {
@@ -45,7 +46,7 @@
   return response;
 }
 
-/// Counts one request in progress.
+/// Counts a request as in progress until End() or destruction.
 class InProgress
 {
 public:
@@ -176,7 +177,7 @@
     mIdle = true;
     const ErrorCode error = mConnection.Read(end);
     mIdle = false;
-    // The drain ends the wait even of a connection that knows of it already.
+    // OnDrain() also aborts a wait that already uses the drain deadline.
     const bool drains = error == boost::asio::error::operation_aborted &&
                         !mState->mClosing.load();
     if (error && !drains) {
@@ -251,12 +252,12 @@
                               const HttpResponse& aResponse,
                               bool aKeepAlive)
 {
-  const bool toHead = aRequest.mMethod == "HEAD";
+  const bool isHeadRequest = aRequest.mMethod == "HEAD";
   BodyFraming framing = FramingOf(aResponse.mStatus);
-  if (toHead && aResponse.mBody.empty()) {
+  if (isHeadRequest && aResponse.mBody.empty()) {
     framing = BodyFraming::None;
   }
-  const bool sendsBody = !toHead && framing != BodyFraming::None;
+  const bool sendsBody = !isHeadRequest && framing != BodyFraming::None;
   std::string_view body = sendsBody ? aResponse.mBody : std::string_view();
   std::string& head = mConnection.Scratch();
   head.clear();
@@ -286,7 +287,7 @@
   } catch (const boost::context::detail::forced_unwind&) {
     throw;
   } catch (...) {
-    // No last chunk: the peer sees that the stream broke.
+    // Without a last chunk the peer detects the truncated stream.
     Count(mThread.mHandlerFailures);
     return;
   }
@@ -311,7 +312,7 @@
 {
   ErrorCode error;
   mConnection.Socket().shutdown(TcpSocket::shutdown_send, error);
-  const TimePoint end = std::chrono::steady_clock::now() + kDiscardTime;
+  const TimePoint end = std::chrono::steady_clock::now() + kDiscardTimeout;
   std::size_t discarded = 0;
   while (!error && discarded < kMaxDiscardedBytes && !mState->mClosing.load()) {
     discarded += mConnection.Buffered().size();
--- a/src/net/detail/ServerConnection.h
+++ b/src/net/detail/ServerConnection.h
@@ -9,13 +9,13 @@
 
 namespace foxtailbarrow::net::detail {
 
-/// One connection of a server, run by one fiber: receives a request, calls the
-/// handler, writes the answer, until either side closes.
+/// One connection of a server, run by one fiber: receives requests, calls the
+/// handler and writes the responses until either side closes.
 class ServerConnection
 {
 public:
-  /// `aRefuse`: the server has too many connections; the first request is
-  /// answered 503.
+  /// With `aRefuse`, because the server has too many connections, the first
+  /// request is answered with 503.
   ServerConnection(std::shared_ptr<ServerState> aState,
                    ServerThread& aThread,
                    TcpSocket aSocket,
@@ -27,9 +27,9 @@
 
   void Run();
 
-  /// The server drains: an idle connection takes up its new deadline.
+  /// The server drains: an idle connection adopts the drain deadline.
   void OnDrain();
-  /// The server ends: all waits end, further reads and writes fail.
+  /// The server stops: waits end, and further reads and writes fail.
   void OnClose();
 
 private:
--- a/src/net/detail/ServerState.h
+++ b/src/net/detail/ServerState.h
@@ -18,19 +18,19 @@
 
 inline constexpr std::size_t kCacheLineBytes = 64;
 
-/// What one thread of a server keeps. The counters are written by that thread
-/// alone, except mConnections, and read by any.
+/// State of a server per thread. The counters are written only by that thread
+/// and read by any.
 struct alignas(kCacheLineBytes) ServerThread
 {
   std::atomic<std::size_t> mInProgress{ 0 };
   std::atomic<std::uint64_t> mRequests{ 0 };
   std::atomic<std::uint64_t> mRejected{ 0 };
   std::atomic<std::uint64_t> mHandlerFailures{ 0 };
-  absl::flat_hash_set<ServerConnection*> mOpen; ///< Of this thread alone.
+  absl::flat_hash_set<ServerConnection*> mOpen; ///< Confined to this thread.
 };
 
-/// What the connections of one server share. Immutable after the start but for
-/// the atomics.
+/// State that the connections of one server share. Immutable after the start
+/// except for the atomics.
 struct ServerState
 {
   using TimePoint = AwaitState::TimePoint;
--- a/src/net/detail/StackPool.cpp
+++ b/src/net/detail/StackPool.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::size_t kGuardBytes = 4096;
-/// Room for jsoncpp's recursion to its limit of 1,000 levels, for which 256 KiB
-/// was too little and 512 KiB enough. Untouched pages cost no memory.
+/// Sufficient for jsoncpp's recursion to its limit of 1,000 levels, for which
+/// 256 KiB is too small and 512 KiB is enough. Unused pages take no memory.
 constexpr std::size_t kStackBytes = 1024UL * 1024;
 constexpr std::size_t kMappedBytes = kGuardBytes + kStackBytes;
 constexpr std::size_t kMaxFree = 1024;
--- a/src/net/detail/StackPool.h
+++ b/src/net/detail/StackPool.h
@@ -8,8 +8,8 @@
 namespace foxtailbarrow::net::detail {
 
 /// Fiber stacks of one thread, each above a guard page, so that an overflow
-/// stops the process instead of corrupting memory. Pages are committed on
-/// first touch. Freed stacks are kept for reuse up to a bound.
+/// crashes the process instead of corrupting memory. Pages are committed on
+/// first use. A limited number of freed stacks is kept for reuse.
 class StackPool
 {
 public:
@@ -19,7 +19,7 @@
   StackPool(const StackPool&) = delete;
   StackPool& operator=(const StackPool&) = delete;
 
-  /// Throws std::bad_alloc when the system gives no more mappings.
+  /// Throws std::bad_alloc when the stack cannot be mapped.
   boost::context::stack_context Allocate();
   void Deallocate(boost::context::stack_context& aStack) noexcept;
 
@@ -36,7 +36,7 @@
   {
   }
 
-  // NOLINTBEGIN(readability-identifier-naming): names set by the concept.
+  // NOLINTBEGIN(readability-identifier-naming): names required by the concept.
   boost::context::stack_context allocate() { return mPool->Allocate(); }
   void deallocate(boost::context::stack_context& aStack) noexcept
   {
--- a/src/net/rpcshim/RpcShim.h
+++ b/src/net/rpcshim/RpcShim.h
@@ -8,14 +8,14 @@
 
 #include <json/value.h>
 
-// Bridge to libjsonrpccpp, whose headers C++17 and later reject. This header is
-// read as C++14 by the shim and as C++20 by the rest.
+// Bridge to libjsonrpccpp, whose headers do not compile as C++17 or later. This
+// header is compiled as C++14 by the shim and as C++20 elsewhere.
 
 namespace foxtailbarrow {
 namespace net {
 namespace rpcshim {
 
-/// Error object of a JSON-RPC 2.0 answer.
+/// Error object of a JSON-RPC 2.0 response.
 class RpcError : public std::exception
 {
 public:
@@ -40,32 +40,32 @@
   Json::Value mData;
 };
 
-/// Codes of JSON-RPC 2.0 that both sides use.
+/// Error codes of JSON-RPC 2.0 that both sides use.
 constexpr int kParseErrorCode = -32700;
 constexpr int kInvalidRequestCode = -32600;
 constexpr int kMethodNotFoundCode = -32601;
 constexpr int kInvalidParamsCode = -32602;
 constexpr int kInternalErrorCode = -32603;
-/// An error that a method answered; its data says which.
+/// Error that a method returned; its data contains the status code.
 constexpr int kMethodErrorCode = -32000;
-/// libjsonrpccpp's code for a response that is no JSON-RPC 2.0.
+/// libjsonrpccpp's code for a response that is not JSON-RPC 2.0.
 constexpr int kInvalidResponseCode = -32001;
 
-/// Deepest nesting of a JSON text that either side takes. Every message of the
-/// system is far flatter.
+/// Deepest nesting of a JSON text that either side accepts. The messages of the
+/// system are nested far less.
 constexpr int kMaxNesting = 64;
 
-/// True when `aText` nests deeper than kMaxNesting or holds a comment, which
-/// JSON has not. Checked before libjsonrpccpp parses a text, since jsoncpp
-/// recurses, and throws above 1,000 levels, which libjsonrpccpp's client turns
-/// into the end of the process.
+/// True if `aText` is nested deeper than kMaxNesting or contains a comment,
+/// which is not valid JSON. Must be checked before libjsonrpccpp parses a text:
+/// jsoncpp recurses and throws above 1,000 levels, which terminates the process
+/// in libjsonrpccpp's client.
 bool IsUnsafeToParse(const std::string& aText);
 
-/// Server side: parses, checks and encodes by libjsonrpccpp.
+/// Server side: parses, validates and encodes with libjsonrpccpp.
 class Server
 {
 public:
-  /// Runs one method; throws RpcError to answer with an error.
+  /// Runs one method; throws RpcError to respond with an error.
   using Invoke = std::function<Json::Value(const std::string& aMethod,
                                            const Json::Value& aParams)>;
 
@@ -74,9 +74,9 @@
 
   void AddMethod(const std::string& aName);
 
-  /// Answers one JSON-RPC text. Empty when there is nothing to answer. Callable
-  /// from several threads once every method is added. Throws what aInvoke
-  /// throws besides RpcError, and jsoncpp's exceptions.
+  /// Handles one JSON-RPC text and returns the response, empty if none is due.
+  /// Thread-safe once all methods are added. Throws jsoncpp's exceptions and
+  /// those of the Invoke function other than RpcError.
   std::string Handle(const std::string& aRequest);
 
 private:
@@ -84,10 +84,10 @@
   std::unique_ptr<Impl> mImpl;
 };
 
-/// Client side: encodes a call, sends it by `aTransport` and decodes the answer
-/// by libjsonrpccpp. Throws RpcError for an error object, with
-/// kInvalidResponseCode for a text that is no JSON-RPC 2.0 response.
-/// `aTransport` returns false when it has no answer; then Call() returns false.
+/// Client side: encodes a call, sends it with `aTransport` and decodes the
+/// response with libjsonrpccpp. Throws RpcError for an error object, with
+/// kInvalidResponseCode for a text that is not a JSON-RPC 2.0 response. Returns
+/// false if `aTransport` does, which means that there is no response.
 bool Call(const std::function<bool(const std::string& aRequest,
                                    std::string& aResponse)>& aTransport,
           const std::string& aMethod,
--- a/src/net/rpcshim/RpcShimClient.cpp
+++ b/src/net/rpcshim/RpcShimClient.cpp
@@ -21,7 +21,7 @@
 
   bool Answered() const { return mAnswered; }
 
-  // Any other exception would end the process: see the specification.
+  // The exception specification makes any other exception end the process.
   void SendRPCMessage(
     const std::string& aRequest,
     std::string& aResponse) throw(jsonrpc::JsonRpcException) override
--- a/src/net/rpcshim/RpcShimServer.cpp
+++ b/src/net/rpcshim/RpcShimServer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Runs the methods that libjsonrpccpp's protocol handler has checked.
+/// Runs the method calls that libjsonrpccpp's protocol handler has validated.
 class Invoker : public jsonrpc::IProcedureInvokationHandler
 {
 public:
--- a/tests/net/FiberRuntimeTest.cpp
+++ b/tests/net/FiberRuntimeTest.cpp
@@ -14,7 +14,7 @@
 class FiberRuntimeTest : public testing::TestWithParam<unsigned>
 {};
 
-TEST_P(FiberRuntimeTest, RunsEveryFiberOnItsThread)
+TEST_P(FiberRuntimeTest, FibersStayOnTheirThread)
 {
   FiberRuntime runtime(GetParam());
   std::atomic<int> moved{ 0 };
@@ -52,16 +52,16 @@
   EXPECT_EQ(100, received);
 }
 
-TEST_P(FiberRuntimeTest, StopAbandonsFibersThatWait)
+TEST_P(FiberRuntimeTest, StopAbandonsSuspendedFibers)
 {
   FiberRuntime runtime(GetParam());
-  std::atomic<bool> waits{ false };
+  std::atomic<bool> waiting{ false };
   runtime.RunAndWait([&] {
     runtime.Spawn([&] {
-      waits = true;
+      waiting = true;
       boost::this_fiber::sleep_for(std::chrono::hours(1));
     });
-    while (!waits) {
+    while (!waiting) {
       boost::this_fiber::yield();
     }
   });
@@ -69,7 +69,7 @@
   EXPECT_THROW(runtime.RunAndWait([] {}), std::logic_error);
 }
 
-TEST_P(FiberRuntimeTest, RunAndWaitPassesExceptionsOn)
+TEST_P(FiberRuntimeTest, RunAndWaitRethrowsExceptions)
 {
   FiberRuntime runtime(GetParam());
   EXPECT_THROW(runtime.RunAndWait([] { throw std::runtime_error("no"); }),
--- a/tests/net/FreeEndpoint.h
+++ b/tests/net/FreeEndpoint.h
@@ -8,7 +8,7 @@
 
 namespace foxtailbarrow::net {
 
-/// A port of the address that is free now.
+/// An endpoint of the address whose port is currently free.
 inline Endpoint FreeEndpoint(FiberRuntime& aRuntime,
                              const std::string& aAddress = "127.0.0.1")
 {
--- a/tests/net/HttpClientTest.cpp
+++ b/tests/net/HttpClientTest.cpp
@@ -46,7 +46,7 @@
   EXPECT_EQ(1U, mServer->Counters().mAccepted);
 }
 
-TEST_F(HttpClientTest, RecognisesAConnectionThatTheServerClosed)
+TEST_F(HttpClientTest, DetectsConnectionsThatTheServerClosed)
 {
   HttpServerLimits limits;
   limits.mIdleTimeout = std::chrono::milliseconds(20);
@@ -83,11 +83,11 @@
   EXPECT_EQ(0U, mServer->Connections());
 }
 
-/// What a misbehaving peer does once it has the request.
+/// Response of a misbehaving peer to a request.
 struct PeerCase
 {
   const char* mName;
-  std::string mAnswer; ///< Sent, then the connection is closed.
+  std::string mAnswer; ///< Sent before the connection is closed.
   absl::StatusCode mCode = absl::StatusCode::kUnavailable;
 };
 
@@ -109,7 +109,7 @@
     socket.ReadUntil("\r\n\r\n");
     socket.Send(GetParam().mAnswer);
   });
-  const auto response = Call(listener.Where(), HttpRequest());
+  const auto response = Call(listener.LocalEndpoint(), HttpRequest());
   peer.join();
   ASSERT_FALSE(response.ok());
   EXPECT_EQ(GetParam().mCode, response.status().code());
@@ -141,7 +141,7 @@
               absl::StatusCode::kResourceExhausted },
     PeerCase{ "no HTTP", "hello\r\n\r\n" }));
 
-TEST_F(HttpClientTest, SkipsInterimAnswers)
+TEST_F(HttpClientTest, SkipsInterimResponses)
 {
   const RawListener listener;
   std::thread peer([&listener] {
@@ -150,7 +150,7 @@
     socket.Send("HTTP/1.1 100 Continue\r\n\r\n"
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   });
-  const auto response = Call(listener.Where(), HttpRequest());
+  const auto response = Call(listener.LocalEndpoint(), HttpRequest());
   peer.join();
   ASSERT_TRUE(response.ok()) << response.status();
   EXPECT_EQ("ok", response->mBody);
@@ -161,7 +161,7 @@
   Endpoint endpoint;
   {
     const RawListener listener;
-    endpoint = listener.Where();
+    endpoint = listener.LocalEndpoint();
   }
   const auto response = Call(endpoint, HttpRequest());
   EXPECT_EQ(absl::StatusCode::kUnavailable, response.status().code());
@@ -172,8 +172,8 @@
 TEST_F(HttpClientTest, DeadlineAfterTheRequestMayHaveRun)
 {
   const RawListener listener;
-  const auto response =
-    Call(listener.Where(), HttpRequest(), std::chrono::milliseconds(30));
+  const auto response = Call(
+    listener.LocalEndpoint(), HttpRequest(), std::chrono::milliseconds(30));
   EXPECT_EQ(absl::StatusCode::kDeadlineExceeded, response.status().code());
   EXPECT_EQ(Verdict::MayHaveRun, VerdictOf(response.status()));
 }
@@ -197,11 +197,11 @@
   , public testing::WithParamInterface<NotRunCase>
 {};
 
-TEST_P(NotRunTest, IsRefusedBeforeAByteIsSent)
+TEST_P(NotRunTest, FailsBeforeAByteIsSent)
 {
   const RawListener listener;
   Endpoint endpoint = GetParam().mEndpoint;
-  endpoint.mPort = listener.Where().mPort;
+  endpoint.mPort = listener.LocalEndpoint().mPort;
   HttpRequest request;
   request.mTarget = GetParam().mTarget;
   const auto response = Call(endpoint, request, GetParam().mTimeout);
@@ -234,13 +234,13 @@
   EXPECT_EQ(absl::StatusCode::kFailedPrecondition, response.status().code());
 }
 
-TEST_F(HttpClientTest, ManyCallsAtOnceGetTheirOwnAnswers)
+TEST_F(HttpClientTest, ConcurrentCallsGetTheirOwnResponses)
 {
   const Endpoint endpoint = StartServer([](HttpRequest& aRequest) {
     boost::this_fiber::sleep_for(std::chrono::milliseconds(1));
     return Echo(aRequest);
   });
-  std::atomic<int> right{ 0 };
+  std::atomic<int> correct{ 0 };
   std::atomic<int> done{ 0 };
   constexpr int kCalls = 500;
   for (int call = 0; call < kCalls; ++call) {
@@ -248,26 +248,26 @@
       HttpRequest request;
       request.mTarget = "/" + std::to_string(call);
       const auto response = mClient.Call(endpoint, request, kTestTimeout);
-      right +=
+      correct +=
         response.ok() && response->mBody == "GET " + request.mTarget + " " ? 1
                                                                            : 0;
       ++done;
     });
   }
   EXPECT_TRUE(Eventually([&] { return done == kCalls; }));
-  EXPECT_EQ(kCalls, right);
+  EXPECT_EQ(kCalls, correct);
 }
 
-TEST_F(HttpClientTest, StreamHandsOverLinesUntilToldToStop)
+TEST_F(HttpClientTest, StreamDeliversLinesUntilCallbackReturnsFalse)
 {
-  std::atomic<bool> gone{ false };
-  const Endpoint endpoint =
-    StartServer(Echo, {}, [&gone](HttpRequest&, HttpStreamWriter& aWriter) {
+  std::atomic<bool> writerClosed{ false };
+  const Endpoint endpoint = StartServer(
+    Echo, {}, [&writerClosed](HttpRequest&, HttpStreamWriter& aWriter) {
       int number = 0;
       while (aWriter.WriteLine("line " + std::to_string(number++))) {
         boost::this_fiber::yield();
       }
-      gone = true;
+      writerClosed = true;
     });
   std::vector<std::string> lines;
   absl::Status status;
@@ -280,29 +280,29 @@
   });
   EXPECT_TRUE(status.ok()) << status;
   EXPECT_EQ((std::vector<std::string>{ "line 0", "line 1", "line 2" }), lines);
-  EXPECT_TRUE(Eventually([&] { return gone.load(); }));
+  EXPECT_TRUE(Eventually([&] { return writerClosed.load(); }));
 }
 
-TEST_F(HttpClientTest, StreamHandsOverALineWhileTheServerIsSilent)
+TEST_F(HttpClientTest, StreamDeliversALineBeforeMoreDataArrives)
 {
-  std::atomic<bool> seen{ false };
+  std::atomic<bool> received{ false };
   const Endpoint endpoint =
-    StartServer(Echo, {}, [&seen](HttpRequest&, HttpStreamWriter& aWriter) {
+    StartServer(Echo, {}, [&received](HttpRequest&, HttpStreamWriter& aWriter) {
       aWriter.WriteLine("only");
       const Instant end = MonotonicNow() + kTestTimeout;
-      while (!seen && MonotonicNow() < end) {
+      while (!received && MonotonicNow() < end) {
         boost::this_fiber::sleep_for(std::chrono::milliseconds(1));
       }
     });
   mRuntime.RunAndWait([&] {
-    const auto status =
-      mClient.Stream(endpoint,
-                     { "POST", "/watch", {}, "" },
-                     kTestTimeout / 2,
-                     [&seen](std::string_view) { return !(seen = true); });
+    const auto status = mClient.Stream(
+      endpoint,
+      { "POST", "/watch", {}, "" },
+      kTestTimeout / 2,
+      [&received](std::string_view) { return !(received = true); });
     EXPECT_TRUE(status.ok()) << status;
   });
-  EXPECT_TRUE(seen);
+  EXPECT_TRUE(received);
 }
 
 struct StreamEndCase
@@ -359,7 +359,7 @@
                                  absl::StatusCode::kUnavailable },
                   StreamEndCase{ "silence",
                                  [](HttpRequest&, HttpStreamWriter& aWriter) {
-                                   while (!aWriter.Gone()) {
+                                   while (!aWriter.IsClosed()) {
                                      boost::this_fiber::sleep_for(
                                        std::chrono::milliseconds(1));
                                    }
--- a/tests/net/HttpServerTest.cpp
+++ b/tests/net/HttpServerTest.cpp
@@ -123,14 +123,15 @@
   }
   socket.Send(requests);
   const std::string answers = socket.ReadUntil(" abc", 50);
-  std::size_t at = 0;
+  std::size_t position = 0;
   for (int number = 0; number < 50; ++number) {
-    at = answers.find("POST /" + std::to_string(number) + " abc", at);
-    ASSERT_NE(std::string::npos, at) << number;
+    position =
+      answers.find("POST /" + std::to_string(number) + " abc", position);
+    ASSERT_NE(std::string::npos, position) << number;
   }
 }
 
-TEST_F(HttpServerTest, TakesARequestByteByByte)
+TEST_F(HttpServerTest, ParsesARequestSentByteByByte)
 {
   const RawSocket socket(StartServer(Echo));
   const std::string request =
@@ -142,7 +143,7 @@
   EXPECT_NE(std::string::npos, socket.ReadUntil("abcde").find("abcde"));
 }
 
-TEST_F(HttpServerTest, SaysContinueWhenAsked)
+TEST_F(HttpServerTest, SendsContinueOnRequest)
 {
   const RawSocket socket(StartServer(Echo));
   socket.Send(kPost + "Expect: 100-continue\r\nContent-Length: 3\r\n\r\n");
@@ -178,7 +179,7 @@
   EXPECT_TRUE(Eventually([this] { return mServer->Connections() == 0; }));
 }
 
-TEST_F(HttpServerTest, AnswersExceptions500AndLives)
+TEST_F(HttpServerTest, AnswersExceptions500AndKeepsServing)
 {
   const Endpoint endpoint = StartServer([](HttpRequest& aRequest) {
     if (aRequest.mTarget == "/int") {
@@ -201,7 +202,7 @@
   EXPECT_EQ(2U, mServer->Counters().mHandlerFailures);
 }
 
-TEST_F(HttpServerTest, ClosesWithoutAnswerWhenTheHandlerSaysSo)
+TEST_F(HttpServerTest, ClosesWithoutAnswerOnRequestOfTheHandler)
 {
   const Endpoint endpoint = StartServer([](HttpRequest&) {
     return HttpResponse{ kCloseWithoutAnswer, {}, "x" };
@@ -229,7 +230,7 @@
   EXPECT_NE(std::string::npos, answer.find("not-run")) << answer;
 }
 
-TEST_F(HttpServerTest, DropsHeadersThatWouldBreakOut)
+TEST_F(HttpServerTest, DropsHeadersWithLineBreaks)
 {
   const RawSocket socket(StartServer([](HttpRequest&) {
     HttpResponse response;
@@ -243,7 +244,7 @@
   EXPECT_EQ(1, RawSocket::Count(answer, "Content-Length")) << answer;
 }
 
-TEST_F(HttpServerTest, DrainFinishesWhatIsInProgress)
+TEST_F(HttpServerTest, DrainFinishesRequestsInProgress)
 {
   std::atomic<bool> entered{ false };
   std::atomic<bool> release{ false };
@@ -274,7 +275,7 @@
   EXPECT_EQ(Verdict::NotRun, VerdictOf(late.status())) << late.status();
 }
 
-TEST_F(HttpServerTest, DrainAnswersRequestsOnTheirWay)
+TEST_F(HttpServerTest, DrainAnswersRequestsSentAfterItBegan)
 {
   HttpServerLimits limits;
   limits.mDrainGrace = kTestTimeout;
--- a/tests/net/NetFixture.h
+++ b/tests/net/NetFixture.h
@@ -22,7 +22,7 @@
 
 inline constexpr Duration kTestTimeout = std::chrono::seconds(20);
 
-/// Blocking socket for raw bytes.
+/// Blocking TCP socket that transfers raw bytes.
 class RawSocket
 {
 public:
@@ -58,7 +58,7 @@
   }
   void EndSending() const { ::shutdown(mSocket, SHUT_WR); }
 
-  /// Reads until `aText` was seen `aTimes`, or the peer closes.
+  /// Reads until `aText` has occurred `aTimes`, or the peer closes.
   std::string ReadUntil(std::string_view aText, int aTimes = 1) const
   {
     std::string all;
@@ -77,10 +77,10 @@
   static int Count(std::string_view aIn, std::string_view aText)
   {
     int count = 0;
-    std::size_t at = 0;
-    while ((at = aIn.find(aText, at)) != std::string_view::npos) {
+    std::size_t position = 0;
+    while ((position = aIn.find(aText, position)) != std::string_view::npos) {
       ++count;
-      at += aText.size();
+      position += aText.size();
     }
     return count;
   }
@@ -89,7 +89,7 @@
   int mSocket;
 };
 
-/// Listening socket that accepts when asked, for peers that misbehave.
+/// Listening socket that accepts on demand, to simulate misbehaving peers.
 class RawListener
 {
 public:
@@ -107,7 +107,7 @@
   RawListener(const RawListener&) = delete;
   RawListener& operator=(const RawListener&) = delete;
 
-  Endpoint Where() const { return { "127.0.0.1", mPort }; }
+  Endpoint LocalEndpoint() const { return { "127.0.0.1", mPort }; }
   int Accept() const { return ::accept(mSocket, nullptr, nullptr); }
 
 private:
@@ -115,7 +115,7 @@
   std::uint16_t mPort = 0;
 };
 
-/// A runtime with a client; a server where a test starts one.
+/// A runtime with a client and, if a test starts it, a server.
 class NetTest : public testing::Test
 {
 protected:
@@ -144,7 +144,7 @@
     return result;
   }
 
-  /// Waits on a condition with a generous bound.
+  /// Waits for a condition for up to kTestTimeout.
   static bool Eventually(const std::function<bool()>& aCondition)
   {
     const Instant end = MonotonicNow() + kTestTimeout;
@@ -159,7 +159,7 @@
   std::unique_ptr<HttpServer> mServer;
 };
 
-/// Answers with the request's method, target and body.
+/// Responds with the request's method, target and body.
 inline HttpResponse Echo(HttpRequest& aRequest)
 {
   HttpResponse response;
--- a/tests/net/PrivateEndpoint.h
+++ b/tests/net/PrivateEndpoint.h
@@ -8,9 +8,9 @@
 
 namespace foxtailbarrow::net {
 
-/// An address of this machine that nobody listens at. Each call names a
-/// loopback address of its own, so that no other process or test takes the port
-/// before it is used.
+/// A local endpoint on which no process listens. Each call returns a different
+/// loopback address, so that no other process or test takes the port before it
+/// is used.
 inline Endpoint PrivateEndpoint(FiberRuntime& aRuntime)
 {
   constexpr int kOctet = 256;
--- a/tests/net/RpcTest.cpp
+++ b/tests/net/RpcTest.cpp
@@ -6,7 +6,7 @@
 #include "src/net/rpcshim/RpcShim.h"
 #include "tests/net/NetFixture.h"
 
-// Needs <gtest/gtest.h> before it.
+// Must be included after <gtest/gtest.h>.
 #include <rapidcheck/gtest.h>
 
 namespace foxtailbarrow::net {
@@ -66,7 +66,7 @@
   params["list"].append(1.5);
   const auto result = CallRpc(StartRpc(), "echo", params);
   ASSERT_TRUE(result.ok()) << result.status();
-  // As text: jsoncpp holds equal numbers of different types to be unequal.
+  // As text, since jsoncpp compares numbers of different types as unequal.
   EXPECT_EQ(params.toStyledString(), result->toStyledString());
 }
 
@@ -108,7 +108,7 @@
   EXPECT_EQ(Verdict::NotRun, VerdictOf(result.status())) << result.status();
 }
 
-RC_GTEST_PROP(RpcNesting, IsCountedAsBuilt, ())
+RC_GTEST_PROP(RpcNesting, MatchesGeneratedDepth, ())
 {
   const int depth = *rc::gen::inRange(0, 2 * rpcshim::kMaxNesting);
   Json::Value value = *rc::gen::arbitrary<std::string>();
@@ -128,7 +128,7 @@
 struct TextCase
 {
   std::string mText;
-  int mCode; ///< Of the error object.
+  int mCode; ///< Code of the error object.
 };
 
 std::string Nested(int aDepth)
@@ -142,7 +142,7 @@
   *aOut << aCase.mText.substr(0, 80);
 }
 
-/// The error object, also when it is the only answer of a batch.
+/// The error object of a response or of a batch with one response.
 const Json::Value& ErrorOf(const Json::Value& aAnswer)
 {
   return aAnswer.isArray() ? aAnswer[0]["error"] : aAnswer["error"];
@@ -199,7 +199,7 @@
     TextCase{ kEchoCall + "\"text\"}", -32600 },
     TextCase{ R"({"jsonrpc":"2.0","method":"echo","params":{}})", -32604 }));
 
-TEST_F(RpcTest, AnswersOtherMethodsOfHttp405)
+TEST_F(RpcTest, AnswersOtherHttpMethods405)
 {
   const auto response = Call(StartRpc(), { "GET", "/rpc", {}, "" });
   ASSERT_TRUE(response.ok());
@@ -218,7 +218,7 @@
   , public testing::WithParamInterface<AnswerCase>
 {};
 
-TEST_P(RpcAnswerTest, ThatIsNoResultIsAnError)
+TEST_P(RpcAnswerTest, WithoutAResultIsAnError)
 {
   const Endpoint endpoint =
     StartServer([](HttpRequest&) { return GetParam().mResponse; });
--- a/tests/net/TimedWaitTest.cpp
+++ b/tests/net/TimedWaitTest.cpp
@@ -17,7 +17,9 @@
 constexpr Duration kTimeout = milliseconds(200);
 constexpr Duration kLong = std::chrono::seconds(20);
 
-/// A fiber whose last timed wait was ended by a notification.
+/// A timed wait must end at its deadline even if the fiber's previous timed
+/// wait was ended by a notification, which Boost.Fiber 1.74 handles incorrectly
+/// (see AwaitState::WaitUntil).
 class TimedWaitTest : public testing::Test
 {
 protected:
