--- a/bench/admission/Decision.cpp
+++ b/bench/admission/Decision.cpp
@@ -1,6 +1,6 @@
-// Cost of one admission decision and its end, by threads: all on one customer,
-// and each thread on a customer of its own; admitted, and refused for its rate.
-// Each includes one reading of the clock.
+// Cost of deciding and finishing one admission, by number of threads: with one
+// customer shared by all threads or one per thread, and with requests admitted
+// or refused for their rate. Each iteration includes one read of the clock.
 
 #include <array>
 
@@ -13,13 +13,13 @@
 
 constexpr int kMaxThreads = 4;
 
-struct alignas(64) Slot
+struct alignas(64) AlignedAdmission
 {
   CustomerAdmission mAdmission;
 };
 
-/// Far beyond what a contract may say, so that every request is admitted
-/// however fast they come; or so little that next to none is.
+/// Admits every request, with a rate above what contracts allow, or refuses
+/// nearly every request.
 Contract ContractOf(bool aIsRefused)
 {
   Contract contract;
@@ -31,30 +31,30 @@
 
 ShareAllocation ShareOfOneEntry()
 {
-  ShareAllocation basis;
-  basis.mStandingPermille = 500;
-  basis.mSlots = 3;
-  basis.mSlot = 1;
-  basis.mStandingUntil = Instant::max();
-  basis.mLiveEntries = 3;
-  basis.mRank = 1;
-  basis.mLeaseUntil = Instant::max();
-  return basis;
+  ShareAllocation share;
+  share.mStandingPermille = 500;
+  share.mSlots = 3;
+  share.mSlot = 1;
+  share.mStandingUntil = Instant::max();
+  share.mLiveEntries = 3;
+  share.mRank = 1;
+  share.mLeaseUntil = Instant::max();
+  return share;
 }
 
 void Decide(benchmark::State& aState)
 {
-  static std::array<Slot, kMaxThreads> sSlots;
+  static std::array<AlignedAdmission, kMaxThreads> sAdmissions;
   const bool isShared = aState.range(0) != 0;
   const auto own = static_cast<std::size_t>(aState.thread_index());
-  CustomerAdmission& admission = sSlots[isShared ? 0 : own].mAdmission;
+  CustomerAdmission& admission = sAdmissions[isShared ? 0 : own].mAdmission;
   const Contract contract = ContractOf(aState.range(1) != 0);
-  const ShareAllocation basis = ShareOfOneEntry();
+  const ShareAllocation share = ShareOfOneEntry();
   std::int64_t admitted = 0;
   for (auto _ : aState) {
     const Instant now = MonotonicNow();
     const AdmissionDecision decision =
-      admission.Decide(contract, basis, { .mNow = now });
+      admission.Decide(contract, share, { .mNow = now });
     if (std::holds_alternative<Admit>(decision)) {
       ++admitted;
       admission.Finish(now);
--- a/bench/admission/Overload.cpp
+++ b/bench/admission/Overload.cpp
@@ -1,5 +1,6 @@
-// One customer floods, others keep their pace: FairQueue against FifoQueue in
-// virtual time, median and spread over seeds.
+// Compares FairQueue with FifoQueue in virtual time while one customer floods
+// the queue and the others keep their normal rate. Reports the median and range
+// over seeds.
 
 #include <algorithm>
 #include <array>
@@ -15,11 +16,11 @@
 namespace foxtailbarrow {
 namespace {
 
-constexpr int kSlots = 88;           // 11 runners of 8 slots
-constexpr double kServiceMs = 10.0;  // mean, exponential
-constexpr int kCustomers = 10;       // customer 0 floods
-constexpr double kNormalPerMs = 0.6; // of the 8.8 that the slots serve
-constexpr double kFloodPerMs = 8.8;  // ten times its fair part
+constexpr int kSlots = 88;           // 11 backend servers with 8 slots each
+constexpr double kServiceMs = 10.0;  // mean; exponentially distributed
+constexpr int kCustomers = 10;       // customer 0 floods the queue
+constexpr double kNormalPerMs = 0.6; // the slots serve 8.8 in total
+constexpr double kFloodPerMs = 8.8;  // ten times its fair share
 constexpr Duration kDeadline = std::chrono::milliseconds(500);
 constexpr Duration kRun = std::chrono::seconds(60);
 constexpr Duration kSweepInterval = std::chrono::milliseconds(5);
@@ -28,12 +29,12 @@
 
 struct Outcome
 {
-  double mNormalServed = 0; ///< Part of what the others offered.
-  double mFloodShare = 0;   ///< Of all that was served.
-  double mNormalP50Ms = 0;  ///< From arrival to answer.
+  double mNormalServed = 0; ///< Share of the other customers' requests.
+  double mFloodShare = 0;   ///< Of all requests served.
+  double mNormalP50Ms = 0;  ///< From arrival to response.
   double mNormalP99Ms = 0;
-  double mRefusalP99Ms = 0; ///< From arrival to being given up.
-  double mRefusedLate = 0;  ///< Part of the refusals, after 5 ms.
+  double mRefusalP99Ms = 0; ///< From arrival to refusal.
+  double mRefusedLate = 0;  ///< Share of refusals later than kLateMs.
   double mUtilization = 0;
 };
 
@@ -125,11 +126,11 @@
   void Serve(const QueuedRequest& aRequest)
   {
     std::exponential_distribution<double> service(1 / kServiceMs);
-    const double took = service(mRandom);
+    const double serviceMs = service(mRandom);
     const Instant ends =
-      mNow + Duration(static_cast<Duration::rep>(took * 1000) + 1);
+      mNow + Duration(static_cast<Duration::rep>(serviceMs * 1000) + 1);
     mEnds.push(ends);
-    mBusyMs += took;
+    mBusyMs += serviceMs;
     ++mServed;
     if (aRequest.mCustomer != mNames[0]) {
       mNormalMs.push_back(Since(aRequest.mHandle, ends));
@@ -143,9 +144,9 @@
     }
   }
 
-  double Since(std::uint64_t aHandle, Instant aThen) const
+  double Since(std::uint64_t aHandle, Instant aTime) const
   {
-    return static_cast<double>((aThen - mArrived[aHandle]).count()) / 1000;
+    return static_cast<double>((aTime - mArrived[aHandle]).count()) / 1000;
   }
 
   Outcome Summary()
--- a/bench/agent/AgentDecisions.cpp
+++ b/bench/agent/AgentDecisions.cpp
@@ -10,8 +10,8 @@
 #include "src/core/agent/TaskTable.h"
 #include "src/core/colocation/ColocationGuard.h"
 
-/// Costs of the agent's decisions: those on the path of a request by number of
-/// threads, those about tasks by number of tasks on the worker.
+/// Costs of the agent's decisions: on the request path by number of threads,
+/// and for task control by number of tasks on the worker.
 namespace {
 
 using namespace foxtailbarrow;
@@ -68,7 +68,7 @@
 }
 BENCHMARK(LatencyRecord)->Threads(1)->Threads(4);
 
-/// A table with that many running tasks.
+/// A table with `aTasks` running tasks.
 class FilledTable
 {
 public:
@@ -119,7 +119,7 @@
   WorkerView mView;
 };
 
-void LookAtTheWorker(benchmark::State& aState)
+void PollWorker(benchmark::State& aState)
 {
   FilledTable filled(aState.range(0));
   for (auto _ : aState) {
@@ -129,7 +129,12 @@
     benchmark::DoNotOptimize(filled.mTable.Reports().size());
   }
 }
-BENCHMARK(LookAtTheWorker)->Arg(0)->Arg(22)->Arg(100)->Arg(500);
+BENCHMARK(PollWorker)
+  ->Name("LookAtTheWorker")
+  ->Arg(0)
+  ->Arg(22)
+  ->Arg(100)
+  ->Arg(500);
 
 void AssignTask(benchmark::State& aState)
 {
--- a/bench/cell/ScheduleRound.cpp
+++ b/bench/cell/ScheduleRound.cpp
@@ -4,9 +4,9 @@
 
 #include "src/core/cell/CellScheduler.h"
 
-/// Cost of a round of placing in a full cell, by workers: each runs four
-/// serving tasks of two images and leftover tasks up to its room; as many
-/// leftover jobs of twenty tasks wait as there are workers.
+/// Cost of a scheduling round in a full cell, by number of workers. Each worker
+/// runs four serving tasks of two images and best-effort tasks up to its
+/// capacity. One best-effort job of twenty tasks per worker is queued.
 namespace {
 
 using namespace foxtailbarrow;
@@ -39,10 +39,10 @@
       Add(aWorkers + i, BestEffort(i % kBestEffortImages));
     }
     Round();
-    Learn();
+    ReportPerformance();
   }
 
-  /// Reports came since the last round, and time has passed.
+  /// Schedules 5 ms after the previous round.
   void Round()
   {
     mNow += std::chrono::milliseconds(5);
@@ -73,8 +73,9 @@
     return step;
   }
 
-  /// Figures of all that was placed, so that pairs of images have weights.
-  void Learn()
+  /// Reports performance of all placed tasks, so that pairs of images have
+  /// interference weights.
+  void ReportPerformance()
   {
     for (const auto& [agent, worker] : mScheduler.Workers()) {
       ReportRequest report;
@@ -84,9 +85,13 @@
       report.mState.mInfo = worker.mInfo;
       for (const auto& [task, run] : worker.mRuns) {
         const StepSpec& spec = mScheduler.Jobs().at(task.mJob).Spec(task);
-        constexpr std::int64_t kFigure = 2000;
+        constexpr std::int64_t kPerformance = 2000;
         report.mState.mRunning.push_back(
-          { task, run, {}, 100, spec.mBestEffort ? kFigure : kFigure / 200 });
+          { task,
+            run,
+            {},
+            100,
+            spec.mBestEffort ? kPerformance : kPerformance / 200 });
       }
       mReports.push_back(std::move(report));
     }
--- a/bench/colocation/ColocationModel.h
+++ b/bench/colocation/ColocationModel.h
@@ -14,11 +14,13 @@
 #include "src/core/colocation/ColocationPolicy.h"
 
 /// One worker in virtual time: a service with 8 slots and batch tasks of
-/// classes that hurt it differently, by load level. A policy sees what the
-/// agent would see: latencies by window and usage that comes late.
+/// classes whose interference with the service depends on its load level. A
+/// policy receives what the agent would: latencies per window and delayed
+/// usage.
 namespace foxtailbarrow::bench {
 
-/// What the tasks of a class do to the service's latency, per unit of pressure.
+/// Relative latency increase that the tasks of a class cause per unit of their
+/// processor share, by load level.
 struct TaskClass
 {
   std::string mName;
@@ -28,12 +30,11 @@
 struct Scenario
 {
   std::string mName;
-  std::function<double(double)>
-    mLoad; ///< Part of the slots in use, by seconds.
-  std::function<double(double)> mNoisy; ///< Part of arrivals that are noisy.
+  std::function<double(double)> mLoad;  ///< Share of slots in use, by second.
+  std::function<double(double)> mNoisy; ///< Share of noisy arrivals.
 };
 
-/// The weights of the two deployments.
+/// Weights of colocated deployment.
 struct Deployment
 {
   std::string mName;
@@ -47,7 +48,7 @@
   double mP99Ms = 0.0;
   double mP999Ms = 0.0;
   double mWorkDone = 0.0; ///< Task seconds at full speed.
-  double mWorkLost = 0.0; ///< Seconds in which evicted tasks waited.
+  double mWorkLost = 0.0; ///< Seconds that evicted tasks waited.
   int mEvictions = 0;
 };
 
@@ -70,7 +71,7 @@
     for (int second = 0; second < aSeconds; ++second) {
       Place(second);
       Serve(second);
-      Work();
+      RunTasks();
       Report(second);
     }
     return Collect();
@@ -81,12 +82,12 @@
   {
     TaskKey mKey;
     std::size_t mClass = 0;
-    double mLeft = 0.0; ///< Seconds at full speed.
+    double mRemaining = 0.0; ///< Seconds at full speed.
     double mFraction = 1.0;
-    int mNotBefore = 0; ///< Second from which an evicted one may resume.
+    int mNotBefore = 0; ///< Second at which an evicted task may resume.
   };
 
-  struct LateUsage
+  struct DelayedUsage
   {
     TaskKey mKey;
     double mUsed = 0.0;
@@ -94,11 +95,11 @@
   };
 
   static constexpr std::size_t kMaxTasks = 10;
-  static constexpr double kTaskSize = 0.05; ///< Part of the processors.
+  static constexpr double kTaskSize = 0.05; ///< Share of the processors.
   static constexpr double kTaskSeconds = 90.0;
   static constexpr int kUsageLag = 2;
   static constexpr int kResumeDelay = 10;
-  static constexpr int kRequestsAtFull = 400; ///< A second, all slots in use.
+  static constexpr int kRequestsAtFull = 400; ///< Per second at full load.
   static constexpr double kBaseMs = 15.0;
 
   static const std::vector<TaskClass>& Classes()
@@ -140,7 +141,7 @@
       Task task;
       task.mKey = { JobId("job" + std::to_string(++mJobs)), 1 };
       task.mClass = (isNoisy ? 2 : 0) + (Uniform() < 0.5 ? 1 : 0);
-      task.mLeft = kTaskSeconds * (0.5 + Uniform());
+      task.mRemaining = kTaskSeconds * (0.5 + Uniform());
       mTasks.push_back(task);
     }
     UpdateTasks(aSecond);
@@ -150,12 +151,12 @@
   {
     std::vector<ColocatedTask> tasks;
     for (const Task& task : mTasks) {
-      ColocatedTask one;
-      one.mKey = task.mKey;
-      one.mClass = Classes()[task.mClass].mName;
-      one.mEvictionWeight = mDeployment.mEvictionWeight;
-      one.mReserved = kTaskSize;
-      tasks.push_back(one);
+      ColocatedTask colocated;
+      colocated.mKey = task.mKey;
+      colocated.mClass = Classes()[task.mClass].mName;
+      colocated.mEvictionWeight = mDeployment.mEvictionWeight;
+      colocated.mReserved = kTaskSize;
+      tasks.push_back(colocated);
     }
     SetTasks(mPolicy, std::move(tasks), At(aSecond));
   }
@@ -180,15 +181,16 @@
     }
   }
 
-  void Work()
+  void RunTasks()
   {
     for (Task& task : mTasks) {
-      const double done = std::min(task.mLeft, task.mFraction);
-      task.mLeft -= done;
+      const double done = std::min(task.mRemaining, task.mFraction);
+      task.mRemaining -= done;
       mOutcome.mWorkDone += done;
     }
     mOutcome.mWorkLost += static_cast<double>(mEvicted.size());
-    std::erase_if(mTasks, [](const Task& aTask) { return aTask.mLeft <= 0; });
+    std::erase_if(mTasks,
+                  [](const Task& aTask) { return aTask.mRemaining <= 0; });
   }
 
   void Report(int aSecond)
@@ -198,14 +200,14 @@
     }
     while (!mUsage.empty() &&
            mUsage.front().mSampledAt + kUsageLag <= aSecond) {
-      const LateUsage& usage = mUsage.front();
+      const DelayedUsage& usage = mUsage.front();
       OnUsage(mPolicy, usage.mKey, usage.mUsed, At(usage.mSampledAt));
       mUsage.pop_front();
     }
     OnLatencies(mPolicy, mRecorder.Take(At(aSecond + 1)));
     UpdateTasks(aSecond + 1);
     for (const ColocationAction& act : Advance(mPolicy, At(aSecond + 1))) {
-      std::visit([&](const auto& aOne) { Apply(aOne, aSecond); }, act);
+      std::visit([&](const auto& aAct) { Apply(aAct, aSecond); }, act);
     }
   }
 
@@ -252,7 +254,7 @@
   LatencyRecorder mRecorder;
   std::vector<Task> mTasks;
   std::vector<Task> mEvicted;
-  std::deque<LateUsage> mUsage;
+  std::deque<DelayedUsage> mUsage;
   std::vector<double> mLatencies;
   std::uint64_t mJobs = 0;
   Outcome mOutcome;
--- a/bench/colocation/ColocationPolicies.cpp
+++ b/bench/colocation/ColocationPolicies.cpp
@@ -5,9 +5,9 @@
 
 #include "bench/colocation/ColocationModel.h"
 
-/// Prints, for both deployments and several scenarios, what each policy of
-/// colocation does to the service's tail, batch work and evictions: medians and
-/// ranges over seeds, in virtual time.
+/// Prints the effect of each colocation policy on the service's tail latency,
+/// batch work and evictions, for both deployments and several scenarios:
+/// medians and ranges over seeds, in virtual time.
 namespace {
 
 using namespace foxtailbarrow;
--- a/bench/message/HeartbeatCodec.cpp
+++ b/bench/message/HeartbeatCodec.cpp
@@ -1,5 +1,5 @@
-// Cost and size of a heartbeat and its reply on the wire, by tasks on the
-// worker: 22 is the mean at the target size (133,000 tasks, 6,100 workers).
+// Encoding and decoding cost and size of a heartbeat, by number of tasks on the
+// worker. 22 is the mean at the target size of 133,000 tasks on 6,100 workers.
 
 #include <string>
 
@@ -52,14 +52,14 @@
   for (auto _ : aState) {
     const auto heartbeat = FromJsonText<Heartbeat>(text);
     if (!heartbeat.ok()) {
-      aState.SkipWithError("not read");
+      aState.SkipWithError("cannot parse the heartbeat");
       return;
     }
     benchmark::DoNotOptimize(heartbeat->mSequence);
   }
 }
 
-/// The library's part of Read().
+/// The part of Read() spent in the JSON library.
 void Parse(benchmark::State& aState)
 {
   const std::string text = ToJsonText(HeartbeatOf(aState.range(0)));
--- a/bench/net/HttpLoad.cpp
+++ b/bench/net/HttpLoad.cpp
@@ -1,9 +1,8 @@
-// Requests a second and latency over loopback of HttpServer alone (echo) and of
-// an HttpServer whose handler calls on by HttpClient (proxy), of one new
-// connection for each request (connect), and the memory of idle connections
-// (idle). Figures hold for an otherwise idle machine only; the processor time
-// of the threads under test is reported beside them, which a busy machine
-// distorts less.
+// Throughput and latency over loopback of an HttpServer that echoes (echo), of
+// one that forwards with HttpClient (proxy) and with a new connection per
+// request (connect); or the memory per idle connection (idle). Throughput and
+// latency are valid only on an otherwise idle machine. The processor time of
+// the threads under test is also reported, since other load distorts it less.
 
 #include <algorithm>
 #include <atomic>
@@ -59,8 +58,8 @@
          std::to_string(aBodyBytes) + "\r\n\r\n" + std::string(aBodyBytes, 'x');
 }
 
-/// Length of a whole answer at the start of `aText`, 0 while it is cut short.
-std::size_t AnswerBytes(std::string_view aText)
+/// Length of the response at the start of `aText`, 0 while it is incomplete.
+std::size_t ResponseBytes(std::string_view aText)
 {
   constexpr std::string_view kLength = "Content-Length: ";
   const std::size_t end = aText.find("\r\n\r\n");
@@ -79,7 +78,7 @@
            aEndpoint.mPort };
 }
 
-/// A new connection for each request.
+/// Opens a new connection for each request.
 void RunConnects(const Endpoint& aEndpoint,
                  const std::string& aRequest,
                  Clock::time_point aEnd,
@@ -93,7 +92,7 @@
     bool good = !connection.Connect(PeerOf(aEndpoint), never);
     std::size_t written = 0;
     good = good && !connection.Write(aRequest, {}, never, written);
-    while (good && AnswerBytes(connection.Buffered()) == 0) {
+    while (good && ResponseBytes(connection.Buffered()) == 0) {
       good = !connection.Read(never);
     }
     aLoad.mFailures += good ? 0 : 1;
@@ -104,7 +103,8 @@
   aLoad.mRunning.fetch_sub(1);
 }
 
-/// One connection that waits for each answer before it sends again.
+/// Sends on one connection, each request after the response to the previous
+/// one.
 void RunConnection(const Endpoint& aEndpoint,
                    const std::string& aRequest,
                    Clock::time_point aEnd,
@@ -118,7 +118,7 @@
   while (good && begin < aEnd) {
     std::size_t written = 0;
     good = !connection.Write(aRequest, {}, never, written);
-    while (good && AnswerBytes(connection.Buffered()) == 0) {
+    while (good && ResponseBytes(connection.Buffered()) == 0) {
       good = !connection.Read(never);
     }
     connection.Consume(connection.Buffered().size());
@@ -151,7 +151,7 @@
     std::atomic<bool> done{ false };
     aRuntime.SpawnOn(thread, [&, thread] {
       threads[thread] = pthread_self();
-      pthread_setname_np(pthread_self(), "measured"); // For profiles.
+      pthread_setname_np(pthread_self(), "measured"); // For profilers.
       done = true;
       done.notify_all();
     });
@@ -171,7 +171,7 @@
     const auto last = static_cast<double>(all.size() - 1);
     return all[static_cast<std::size_t>(aQuantile * last)] * 1e-3;
   };
-  const auto answers = static_cast<double>(all.size());
+  const auto responses = static_cast<double>(all.size());
   std::printf("%-6s threads %u connections %u body %zu: %.0f req/s, "
               "p50 %.0f us, p99 %.0f us, p99.9 %.0f us, failures %lu, "
               "busy %.0f%%, %.0f req per processor second\n",
@@ -179,13 +179,13 @@
               aOptions.mServerThreads,
               aOptions.mConnections,
               aOptions.mBodyBytes,
-              answers / aOptions.mSeconds,
+              responses / aOptions.mSeconds,
               micros(0.5),
               micros(0.99),
               micros(0.999),
               static_cast<unsigned long>(aLoad.mFailures.load()),
               100 * aBusy / (aOptions.mSeconds * aOptions.mServerThreads),
-              answers / aBusy);
+              responses / aBusy);
 }
 
 HttpResponse Echo(HttpRequest& aRequest)
@@ -231,7 +231,7 @@
   return resident * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
 }
 
-/// Memory of connections that answered one request and wait for another.
+/// Measures the memory of connections that are idle after one request.
 void MeasureIdle(const Options& aOptions,
                  FiberRuntime& aClients,
                  HttpServer& aServer)
--- a/bench/net/RpcCodec.cpp
+++ b/bench/net/RpcCodec.cpp
@@ -1,6 +1,7 @@
-// One JSON-RPC call without the network: encode, dispatch, answer, decode. By
-// libjsonrpccpp behind its shim, and by jsoncpp alone with the same checks left
-// out, which is the least that any bridge over jsoncpp can cost.
+// Cost of one JSON-RPC call without the network: encode, dispatch, respond and
+// decode. Measured with libjsonrpccpp behind its shim, and with jsoncpp alone
+// and without checks, which is the lower bound for any implementation on
+// jsoncpp.
 
 #include <memory>
 #include <sstream>
@@ -16,7 +17,7 @@
 namespace foxtailbarrow::net {
 namespace {
 
-/// Like a heartbeat of an agent with `aTasks` tasks.
+/// Params similar to a heartbeat of an agent with `aTasks` tasks.
 Json::Value Params(int aTasks)
 {
   Json::Value params(Json::objectValue);
--- a/bench/placement/Placement.cpp
+++ b/bench/placement/Placement.cpp
@@ -1,4 +1,4 @@
-// Cost of a placement, of a heartbeat and of a whole start, by fleet size.
+// Cost of a placement, of a heartbeat and of a complete run, by fleet size.
 #include <benchmark/benchmark.h>
 
 #include <malloc.h>
@@ -40,7 +40,7 @@
   return heartbeat;
 }
 
-/// Workers between a quarter full and full, as a busy fleet looks.
+/// Adds workers that are between 25 % and 100 % full, as in a busy fleet.
 void Fill(WorkerIndex& aIndex, int aWorkers)
 {
   std::mt19937_64 random(1);
@@ -156,7 +156,7 @@
   return info.uordblks + info.hblkhd;
 }
 
-void TakeHeartbeat(benchmark::State& aState)
+void HandleHeartbeat(benchmark::State& aState)
 {
   const int workers = static_cast<int>(aState.range(0));
   const std::size_t before = HeapInUse();
@@ -176,10 +176,15 @@
     scheduler.DeliverHeartbeat();
   }
 }
-BENCHMARK(TakeHeartbeat)->Arg(11)->Arg(100)->Arg(1'000)->Arg(6'100);
-
-/// One job from submission over placement, commit and grant to its recorded
-/// end, without the shell.
+BENCHMARK(HandleHeartbeat)
+  ->Name("TakeHeartbeat")
+  ->Arg(11)
+  ->Arg(100)
+  ->Arg(1'000)
+  ->Arg(6'100);
+
+/// Runs jobs from submission through placement, commit and grant to their
+/// recorded end, without I/O.
 void WholeRun(benchmark::State& aState)
 {
   const int workers = static_cast<int>(aState.range(0));
@@ -200,14 +205,14 @@
       scheduler.HandleEvent(JobRead{ 0, { std::move(record), 1 } });
     }
     scheduler.mNow += 100us;
-    std::vector<JobAction> todo = scheduler.HandleEvent(Tick{});
-    while (!todo.empty()) {
+    std::vector<JobAction> pending = scheduler.HandleEvent(Tick{});
+    while (!pending.empty()) {
       std::vector<JobAction> next;
-      for (const JobAction& action : todo) {
-        JobScheduler::Actions more;
+      for (const JobAction& action : pending) {
+        JobScheduler::Actions actions;
         if (const auto* commit = std::get_if<CommitRecord>(&action)) {
           runs += commit->mRecord.mState == JobState::Finished ? 1 : 0;
-          more = scheduler.HandleEvent(CommitDone{
+          actions = scheduler.HandleEvent(CommitDone{
             commit->mToken, CommitOutcome::Applied, commit->mExpected + 1 });
         } else if (const auto* sent = std::get_if<SendAssign>(&action)) {
           const TaskKey key = sent->mAssign.mTask.mKey;
@@ -218,11 +223,11 @@
           ended.mStatus.mKey = key;
           ended.mStatus.mState = TaskState::Finished;
           ended.mStatus.mReserved = kTaskSize;
-          more = scheduler.HandleEvent(ControlDone{ key, ended });
+          actions = scheduler.HandleEvent(ControlDone{ key, ended });
         }
-        next.insert(next.end(), more.begin(), more.end());
+        next.insert(next.end(), actions.begin(), actions.end());
       }
-      todo = std::move(next);
+      pending = std::move(next);
     }
   }
   aState.counters["starts/s/core"] =
--- a/bench/placement/PolicyTrial.cpp
+++ b/bench/placement/PolicyTrial.cpp
@@ -1,5 +1,6 @@
-// Policy against baselines in virtual time: the real JobScheduler over 11
-// modelled workers, three to a rack. Prints median and spread over seeds.
+// Compares the placement policy with baselines in virtual time: the production
+// JobScheduler with 11 simulated workers, three per rack. Prints the median and
+// range over seeds.
 #include <algorithm>
 #include <cstdio>
 #include <string>
--- a/bench/placement/Trial.h
+++ b/bench/placement/Trial.h
@@ -11,7 +11,7 @@
 
 namespace foxtailbarrow::bench {
 
-/// One variant in one scenario under one seed, in virtual time.
+/// Simulates one variant in one scenario with one seed, in virtual time.
 class Trial
 {
 public:
@@ -39,7 +39,7 @@
     const Instant end = mNow + kLength;
     while (mNow < end) {
       mNow += kStep;
-      Arrive();
+      SubmitJobs();
       InjectFaults();
       for (int i = 0; i < kWorkers; ++i) {
         StepWorker(i);
@@ -59,8 +59,9 @@
     return settings;
   }
 
-  /// Batch work for about 130 % of the fleet; one urgent job in 20 s.
-  void Arrive()
+  /// Submits batch work for about 130 % of the fleet and, on average, one
+  /// urgent job every 20 s.
+  void SubmitJobs()
   {
     std::poisson_distribution<int> batch(0.135);
     for (int i = batch(mRandom); i > 0; --i) {
@@ -83,22 +84,22 @@
     record.mSpec.mProgram = std::to_string(program);
     record.mSpec.mPriority =
       aUrgent ? JobPriority::Urgent : JobPriority::Normal;
-    ActualJob truth;
+    ActualJob actual;
     const std::int64_t cores = 1 + program % 6;
-    truth.mSize = { cores * 1000, (2 + program % 5) * 4000 * cores / 3, 0 };
-    truth.mWork = std::chrono::seconds(60 + mRandom() % 240);
-    truth.mUrgent = aUrgent;
-    truth.mSubmitted = mNow;
+    actual.mSize = { cores * 1000, (2 + program % 5) * 4000 * cores / 3, 0 };
+    actual.mWork = std::chrono::seconds(60 + mRandom() % 240);
+    actual.mUrgent = aUrgent;
+    actual.mSubmitted = mNow;
     constexpr std::array kErrors{ 0.1, 0.3, 1.0, 3.0, 10.0 };
     const double error = mScenario.mSizesWrong
                            ? kErrors[static_cast<std::size_t>(program) % 5]
                            : 1.0;
     record.mSpec.mDeclared = {
-      std::min<std::int64_t>(Scale(truth.mSize.mMillicores, error), 60'000),
-      std::min<std::int64_t>(Scale(truth.mSize.mMemoryMb, error), 200'000),
+      std::min<std::int64_t>(Scale(actual.mSize.mMillicores, error), 60'000),
+      std::min<std::int64_t>(Scale(actual.mSize.mMemoryMb, error), 200'000),
       0
     };
-    mActualJobs[record.mSpec.mId] = truth;
+    mActualJobs[record.mSpec.mId] = actual;
     HandleEvent(JobRead{ 0, { record, 1 } });
   }
 
@@ -120,7 +121,7 @@
       for (int i = 0; i < 3; ++i) {
         ModelWorker& worker = mWorkers[static_cast<std::size_t>(i)];
         for (const auto& [key, task] : worker.mTasks) {
-          Waste(key, task.mDone - task.mFrom);
+          RecordWaste(key, task.mDone - task.mFrom);
         }
         worker = ModelWorker{};
         worker.mIncarnation = 2;
@@ -137,13 +138,13 @@
     }
     std::vector<UsageSample> usage;
     for (auto& [key, task] : worker.mTasks) {
-      Progress(key, task);
-      const ActualJob& truth = mActualJobs.at(key.mJob);
+      AdvanceTask(key, task);
+      const ActualJob& actual = mActualJobs.at(key.mJob);
       UsageSample sample;
       sample.mKey = key;
       sample.mUsed = {
-        std::min(truth.mSize.mMillicores, task.mStatus.mReserved.mMillicores),
-        std::min(truth.mSize.mMemoryMb, task.mStatus.mReserved.mMemoryMb),
+        std::min(actual.mSize.mMillicores, task.mStatus.mReserved.mMillicores),
+        std::min(actual.mSize.mMemoryMb, task.mStatus.mReserved.mMemoryMb),
         0
       };
       usage.push_back(sample);
@@ -153,29 +154,29 @@
     }
   }
 
-  void Progress(const TaskKey& aKey, ModelTask& aTask)
+  void AdvanceTask(const TaskKey& aKey, ModelTask& aTask)
   {
     if (aTask.mStatus.mState != TaskState::Running) {
       return;
     }
-    const ActualJob& truth = mActualJobs.at(aKey.mJob);
+    const ActualJob& actual = mActualJobs.at(aKey.mJob);
     const Resources& held = aTask.mStatus.mReserved;
     const Duration run = aTask.mDone - aTask.mFrom;
-    if (truth.mSize.mMemoryMb > held.mMemoryMb && run > 10s) {
+    if (actual.mSize.mMemoryMb > held.mMemoryMb && run > 10s) {
       aTask.mStatus.mState = TaskState::Failed;
       aTask.mStatus.mReason = "memory-overrun";
-      Waste(aKey, run);
+      RecordWaste(aKey, run);
       return;
     }
-    // Fewer processors than needed slow a task down in proportion.
+    // A task with too few processors slows down proportionally.
     const double speed =
       std::min(1.0,
                static_cast<double>(held.mMillicores) /
-                 static_cast<double>(truth.mSize.mMillicores));
+                 static_cast<double>(actual.mSize.mMillicores));
     aTask.mDone += std::chrono::duration_cast<Duration>(kStep * speed);
-    if (aTask.mDone >= truth.mWork) {
+    if (aTask.mDone >= actual.mWork) {
       aTask.mStatus.mState = TaskState::Finished;
-      mOutcome.mFinishedCoreHours += CoreHours(aKey, truth.mWork);
+      mOutcome.mFinishedCoreHours += CoreHours(aKey, actual.mWork);
     }
   }
 
@@ -186,7 +187,7 @@
            std::chrono::duration<double, std::ratio<3600>>(aSpan).count();
   }
 
-  void Waste(const TaskKey& aKey, Duration aSpan)
+  void RecordWaste(const TaskKey& aKey, Duration aSpan)
   {
     mOutcome.mWastedCoreHours += CoreHours(aKey, aSpan);
   }
@@ -216,18 +217,18 @@
   void HandleEvent(const JobEvent& aEvent)
   {
     for (const JobAction& action : mScheduler.Handle(aEvent, mNow, mRandom)) {
-      std::visit([this](const auto& aKind) { Do(aKind); }, action);
+      std::visit([this](const auto& aAct) { Perform(aAct); }, action);
     }
   }
 
-  void Do(const CommitRecord& aAction)
+  void Perform(const CommitRecord& aAction)
   {
     mOutcome.mEvictions += aAction.mRecord.mState == JobState::Suspended;
     HandleEvent(CommitDone{
       aAction.mToken, CommitOutcome::Applied, aAction.mExpected + 1 });
   }
 
-  void Do(const SendAssign& aAction)
+  void Perform(const SendAssign& aAction)
   {
     const TaskStart& start = aAction.mAssign.mTask;
     ModelWorker& worker = WorkerOf(aAction.mAgent);
@@ -244,12 +245,12 @@
     reply.mFree = free;
     reply.mReason = reply.mGranted ? Reason::None : Reason::CapacityTaken;
     if (reply.mGranted) {
-      ActualJob& truth = mActualJobs.at(start.mKey.mJob);
+      ActualJob& actual = mActualJobs.at(start.mKey.mJob);
       ModelTask& task = worker.mTasks[start.mKey];
       task.mStatus.mKey = start.mKey;
       task.mStatus.mReserved = start.mResources;
-      task.mFrom = task.mDone = truth.mDone;
-      RecordStart(truth);
+      task.mFrom = task.mDone = actual.mDone;
+      RecordStart(actual);
     }
     HandleEvent(AssignDone{ start.mKey, reply });
   }
@@ -263,12 +264,13 @@
 
   double WaitOf(const ActualJob& aJob) const
   {
-    // Commit and Assign take a round trip each, which no step here takes.
+    // Adds the round trips of commit and Assign, which the model does not
+    // delay.
     return std::chrono::duration<double>(mNow - aJob.mSubmitted).count() +
            4.0 * mScenario.mNetworkMs / 1000.0;
   }
 
-  void Do(const SendControl& aAction)
+  void Perform(const SendControl& aAction)
   {
     ModelWorker& worker = WorkerOf(aAction.mAgent);
     const auto found = worker.mTasks.find(aAction.mControl.mKey);
@@ -283,22 +285,22 @@
     mActualJobs.at(task.mStatus.mKey.mJob).mDone = task.mDone;
   }
 
-  void Do(const AcknowledgeTasks& aAction)
+  void Perform(const AcknowledgeTasks& aAction)
   {
     for (const TaskKey& key : aAction.mKeys) {
       WorkerOf(aAction.mAgent).mTasks.erase(key);
     }
   }
 
-  void Do(const DisownTasks& aAction)
+  void Perform(const DisownTasks& aAction)
   {
     for (const TaskKey& key : aAction.mKeys) {
       WorkerOf(aAction.mAgent).mTasks.erase(key);
     }
   }
 
-  void Do(const ExtendLeases&) {}
-  void Do(const ReadJob&) {}
+  void Perform(const ExtendLeases&) {}
+  void Perform(const ReadJob&) {}
 
   ModelWorker& WorkerOf(const AgentId& aAgent)
   {
@@ -307,9 +309,9 @@
 
   Outcome Summarize()
   {
-    for (const auto& [job, truth] : mActualJobs) {
-      if (truth.mUrgent && !truth.mStarted) {
-        mUrgentWaits.push_back(WaitOf(truth));
+    for (const auto& [job, actual] : mActualJobs) {
+      if (actual.mUrgent && !actual.mStarted) {
+        mUrgentWaits.push_back(WaitOf(actual));
       }
     }
     std::ranges::sort(mUrgentWaits);
--- a/bench/placement/TrialModel.h
+++ b/bench/placement/TrialModel.h
@@ -8,8 +8,8 @@
 
 #include "src/core/job/JobScheduler.h"
 
-/// What a trial of placement policies is made of: variants, scenarios, and the
-/// workers and jobs as they truly are.
+/// Parts of a trial of placement policies: variants, scenarios, and the actual
+/// state of workers and jobs.
 namespace foxtailbarrow::bench {
 
 using namespace std::chrono_literals;
@@ -31,8 +31,8 @@
 {
   const char* mName;
   double mNetworkMs; ///< One way.
-  bool mSizesWrong;  ///< By up to ten times, either way.
-  bool mNoisyWave;   ///< A third of the memory of four workers goes away.
+  bool mSizesWrong;  ///< Declared sizes are up to ten times too large or small.
+  bool mNoisyWave;   ///< Four workers temporarily lose a third of their memory.
   bool mRackFails;
 };
 
@@ -45,7 +45,7 @@
   double mUrgentLate = 0; ///< Share not started within 7.1 s.
 };
 
-/// What a job truly needs, which nobody tells the scheduler.
+/// The actual requirements of a job, which the scheduler does not know.
 struct ActualJob
 {
   Resources mSize;
@@ -66,7 +66,7 @@
 struct ModelWorker
 {
   std::map<TaskKey, ModelTask> mTasks;
-  Resources mLost; ///< Taken by noise.
+  Resources mLost; ///< Taken by noisy neighbors.
   Instant mDownUntil{};
   Incarnation mIncarnation = 1;
   std::uint64_t mSequence = 0;
--- a/bench/request/Load.cpp
+++ b/bench/request/Load.cpp
@@ -1,10 +1,10 @@
 // Load generator for one or more HTTP endpoints.
 //
-// Closed loop (--rate 0): each connection sends its next request as soon as the
-// answer is there. Open loop: requests are due at fixed times, and latency is
-// counted from when a request was due, so that a stall is not hidden.
-// Prints one line of JSON: requests, errors, requests of the warm-up,
-// throughput, latencies in microseconds.
+// Closed loop (--rate 0): each connection sends its next request as soon as it
+// has received the response. Open loop: requests are due at fixed times, and
+// latency is measured from the due time, which avoids coordinated omission.
+// Prints one line of JSON: requests, errors, warm-up requests, throughput, and
+// latencies in microseconds.
 
 #include <algorithm>
 #include <atomic>
@@ -27,7 +27,7 @@
 
 using namespace foxtailbarrow;
 
-constexpr Duration kPolledTime = std::chrono::milliseconds(2);
+constexpr Duration kBusyWaitTime = std::chrono::milliseconds(2);
 
 struct LoadSettings
 {
@@ -76,8 +76,8 @@
         running.notify_all();
       });
     }
-    for (unsigned left = running; left != 0; left = running) {
-      running.wait(left);
+    for (unsigned remaining = running; remaining != 0; remaining = running) {
+      running.wait(remaining);
     }
     return Summary();
   }
@@ -88,11 +88,12 @@
     return Duration(static_cast<std::int64_t>(aSeconds * 1e6));
   }
 
-  /// The runtime's timed waits end up to a millisecond late, as epoll's do,
-  /// which would count as latency; the last part is polled.
+  /// Waits until `aDue`, with a busy wait at the end: the runtime's timed
+  /// waits, like epoll's, end up to a millisecond late, which would count as
+  /// latency.
   static void AwaitDue(Instant aDue)
   {
-    boost::this_fiber::sleep_until(aDue - kPolledTime);
+    boost::this_fiber::sleep_until(aDue - kBusyWaitTime);
     while (MonotonicNow() < aDue) {
       boost::this_fiber::yield();
     }
--- a/bench/routing/EntryModel.h
+++ b/bench/routing/EntryModel.h
@@ -34,7 +34,8 @@
   return RackOf(aServer) % kDomains;
 }
 
-/// One entry around the real directory, router, detector and retry policy.
+/// Simulates one entry with the production directory, router, outlier detector
+/// and retry policy.
 class EntryModel
 {
 public:
@@ -79,9 +80,9 @@
     if (!request->mIdempotent && Chance(mScenario.mKeyedShare)) {
       request->mKey = std::to_string(mRandom());
     }
-    request->mCounts =
+    request->mMeasured =
       mEvents.Now() >= Instant(std::chrono::hours(1)) + kWarmUp;
-    mResult.mRequests += request->mCounts ? 1 : 0;
+    mResult.mRequests += request->mMeasured ? 1 : 0;
     mBudget.OnFirstAttempt();
     Try(request);
   }
@@ -91,7 +92,7 @@
   {
     Instant mArrived;
     bool mIdempotent = false;
-    bool mCounts = false;
+    bool mMeasured = false;
     std::string mKey;
     int mAttempts = 0;
     Verdict mEarlierVerdict = Verdict::NotRun;
@@ -99,7 +100,7 @@
   };
   using PendingPointer = std::shared_ptr<Pending>;
 
-  /// One attempt, ended by its answer or by its timeout.
+  /// One attempt, which ends with its response or its timeout.
   struct Attempt
   {
     explicit Attempt(Picked aPicked,
@@ -131,8 +132,8 @@
       Send(aRequest, std::move(*picked));
     } else {
       const auto& refusal = std::get<NoChoice>(choice);
-      Conclude(*aRequest,
-               WorstVerdict(refusal.mVerdict, aRequest->mEarlierVerdict));
+      RecordFailure(*aRequest,
+                    WorstVerdict(refusal.mVerdict, aRequest->mEarlierVerdict));
     }
   }
 
@@ -141,8 +142,9 @@
     const int server = std::stoi(aPicked.mAgent->mAgent.Value());
     const Duration delay =
       DomainOf(server) == mDomain ? kWithinDomain : mScenario.mBetweenDomains;
-    mResult.mAttempts += aRequest->mCounts ? 1 : 0;
-    mResult.mRemote += aRequest->mCounts && DomainOf(server) != mDomain ? 1 : 0;
+    mResult.mAttempts += aRequest->mMeasured ? 1 : 0;
+    mResult.mRemote +=
+      aRequest->mMeasured && DomainOf(server) != mDomain ? 1 : 0;
     ++aRequest->mAttempts;
     aRequest->mTried.push_back(aPicked.mAgent->mAgent);
     auto attempt =
@@ -162,7 +164,7 @@
         });
     });
     const Duration remaining = deadline - mEvents.Now();
-    // A vanished server gives no sign of it; one that is there always answers.
+    // A lost server never responds; any other always does.
     const Duration attemptTimeout = mServers[server]->IsLost()
                                       ? std::min(kSilentTimeout, remaining)
                                       : remaining;
@@ -179,10 +181,10 @@
     switch (aAnswer) {
       case ServerAnswer::Done:
         aInFlight.Finish(Outcome::Success, now, aLoad);
-        Succeed(*aRequest);
+        RecordSuccess(*aRequest);
         return;
       case ServerAnswer::Failed:
-        aInFlight.Finish(Report(Outcome::Failure), now, aLoad);
+        aInFlight.Finish(OutcomeForDetector(Outcome::Failure), now, aLoad);
         Retry(aRequest, Verdict::MayHaveRun, Reason::None);
         return;
       case ServerAnswer::Refused:
@@ -190,29 +192,29 @@
         Retry(aRequest, Verdict::NotRun, Reason::BackendServersBusy);
         return;
       case ServerAnswer::NoAnswer:
-        aInFlight.Finish(Report(Outcome::Failure), now);
+        aInFlight.Finish(OutcomeForDetector(Outcome::Failure), now);
         Retry(aRequest, Verdict::MayHaveRun, Reason::None);
         return;
     }
   }
 
-  Outcome Report(Outcome aOutcome) const
+  Outcome OutcomeForDetector(Outcome aOutcome) const
   {
     return mEjects ? aOutcome : Outcome::Neutral;
   }
 
-  void Succeed(const Pending& aRequest)
+  void RecordSuccess(const Pending& aRequest)
   {
-    if (aRequest.mCounts) {
+    if (aRequest.mMeasured) {
       mResult.mLatencies.push_back(std::chrono::duration<double, std::milli>(
                                      mEvents.Now() - aRequest.mArrived)
                                      .count());
     }
   }
 
-  void Conclude(const Pending& aRequest, Verdict aVerdict)
+  void RecordFailure(const Pending& aRequest, Verdict aVerdict)
   {
-    if (aRequest.mCounts) {
+    if (aRequest.mMeasured) {
       ++(aVerdict == Verdict::NotRun ? mResult.mRefused : mResult.mFailed);
     }
   }
@@ -229,12 +231,12 @@
     const auto decision =
       mRetry.Decide(attempt, mBudget, mEvents.Now(), mRandom);
     if (const auto* answer = std::get_if<GiveUp>(&decision)) {
-      Conclude(*aRequest, answer->mVerdict);
+      RecordFailure(*aRequest, answer->mVerdict);
       return;
     }
     aRequest->mEarlierVerdict =
       WorstVerdict(aRequest->mEarlierVerdict, aVerdict);
-    mResult.mRetried += aRequest->mCounts ? 1 : 0;
+    mResult.mRetried += aRequest->mMeasured ? 1 : 0;
     mEvents.After(std::get<foxtailbarrow::Retry>(decision).mDelay,
                   [this, aRequest] { Try(aRequest); });
   }
--- a/bench/routing/EventQueue.h
+++ b/bench/routing/EventQueue.h
@@ -10,8 +10,8 @@
 
 namespace foxtailbarrow::bench {
 
-/// Virtual time: runs actions in the order of their times, those of the same
-/// time in the order in which they were added.
+/// Event loop in virtual time: runs actions ordered by time, and those of the
+/// same time in insertion order.
 class EventQueue
 {
 public:
--- a/bench/routing/HeartbeatSizes.cpp
+++ b/bench/routing/HeartbeatSizes.cpp
@@ -1,5 +1,5 @@
-// Size of a heartbeat exchange and the interval that follows from it, by the
-// number of entries and of task reports in one heartbeat.
+// Size of a heartbeat exchange and the resulting heartbeat interval, by number
+// of entries and of task reports per heartbeat.
 
 #include <cstdio>
 #include <string>
@@ -11,8 +11,8 @@
 namespace foxtailbarrow {
 namespace {
 
-/// HTTP headers and JSON-RPC envelopes of both directions, and TCP/IP headers
-/// of two segments and two acknowledgements. Estimated, not measured here.
+/// Estimates of the HTTP headers and JSON-RPC envelopes in both directions, and
+/// of the TCP/IP headers of two segments and two acknowledgements.
 constexpr std::size_t kEnvelopeBytes = 420;
 constexpr std::size_t kSegmentBytes = 4 * 52;
 
--- a/bench/routing/PickBenchmark.cpp
+++ b/bench/routing/PickBenchmark.cpp
@@ -1,5 +1,5 @@
-// Cost of a choice, of membership updates and of their state, by the number of
-// agents of one service. Custom counters: bytes an agent.
+// Cost of a pick and of membership updates, by number of agents of one service.
+// Also reports the memory per agent.
 
 #include <memory>
 #include <random>
@@ -78,7 +78,7 @@
 }
 BENCHMARK(BM_Pick)->ArgsProduct({ { 11, 100, 1000, 6100 }, { 0, 1, 2 } });
 
-/// Pick and in-flight count by several threads at once.
+/// Picks and updates in-flight counts on several threads concurrently.
 void BM_PickThreads(benchmark::State& aState)
 {
   static const auto sDirectory = DirectoryOf(11);
@@ -134,7 +134,7 @@
 }
 BENCHMARK(BM_PickKeyed)->Arg(11)->Arg(100)->Arg(1000)->Arg(6100);
 
-/// A heartbeat that changes load alone.
+/// Applies heartbeats that change only the load.
 void BM_Heartbeat(benchmark::State& aState)
 {
   const auto count = static_cast<int>(aState.range(0));
@@ -152,7 +152,7 @@
 }
 BENCHMARK(BM_Heartbeat)->Arg(11)->Arg(100)->Arg(1000)->Arg(6100);
 
-/// One agent drains and comes back: two new tables.
+/// One agent drains and serves again, which builds two new tables.
 void BM_MembershipChange(benchmark::State& aState)
 {
   const auto directory = DirectoryOf(static_cast<int>(aState.range(0)));
@@ -170,7 +170,8 @@
 }
 BENCHMARK(BM_MembershipChange)->Arg(11)->Arg(100)->Arg(1000)->Arg(6100);
 
-/// Once a second: silence of all agents, and all windows of the detector.
+/// The work of each second: checks all agents for missing heartbeats and all
+/// windows of the detector.
 void BM_Tick(benchmark::State& aState)
 {
   const auto directory = DirectoryOf(static_cast<int>(aState.range(0)));
@@ -182,7 +183,7 @@
 }
 BENCHMARK(BM_Tick)->Arg(11)->Arg(100)->Arg(1000)->Arg(6100);
 
-/// All agents are new: their heartbeats, and one table.
+/// Applies the first heartbeats of all agents and builds one table.
 void BM_Start(benchmark::State& aState)
 {
   const auto count = static_cast<int>(aState.range(0));
--- a/bench/routing/PolicyExperiment.cpp
+++ b/bench/routing/PolicyExperiment.cpp
@@ -1,5 +1,5 @@
-// Compares routing policies in virtual time and prints a table: median over
-// the seeds and, in brackets, the lowest and highest value.
+// Compares routing policies in virtual time. Prints a table with the median
+// and, in brackets, the range over seeds.
 //
 // Usage: bench-routing-PolicyExperiment [policies|margins|keyed] [seeds]
 
@@ -14,7 +14,7 @@
 
 constexpr int kSeeds = 7;
 
-/// One figure over all seeds.
+/// The values of one metric for all seeds.
 class Spread
 {
 public:
@@ -170,16 +170,17 @@
 int main(int argc, char** argv)
 {
   using namespace foxtailbarrow::bench;
-  const std::string_view part = argc > 1 ? argv[1] : "policies";
+  const std::string_view comparison = argc > 1 ? argv[1] : "policies";
   const int seeds = argc > 2 ? std::atoi(argv[2]) : kSeeds;
-  if (part == "policies") {
+  if (comparison == "policies") {
     ComparePolicies(seeds);
-  } else if (part == "margins") {
+  } else if (comparison == "margins") {
     CompareMargins(seeds);
-  } else if (part == "keyed") {
+  } else if (comparison == "keyed") {
     CompareKeyed(seeds);
   } else {
-    std::fprintf(stderr, "unknown part; policies, margins or keyed\n");
+    std::fprintf(stderr,
+                 "unknown comparison, expected policies, margins or keyed\n");
     return 2;
   }
   return 0;
--- a/bench/routing/Run.h
+++ b/bench/routing/Run.h
@@ -8,7 +8,7 @@
 
 namespace foxtailbarrow::bench {
 
-/// A policy under test.
+/// A policy to compare.
 struct PolicyVariant
 {
   std::string mName;
@@ -16,7 +16,7 @@
   bool mEjects = true; ///< Uses the outlier detector.
 };
 
-/// One run of a scenario in virtual time.
+/// Simulates one scenario in virtual time.
 class Run
 {
 public:
@@ -58,7 +58,7 @@
     return mEvents.Now() - Instant(std::chrono::hours(1));
   }
 
-  /// Share of all slots that the arrivals fill on average now.
+  /// Share of all slots that the current arrival rate occupies on average.
   double LoadNow() const
   {
     constexpr Duration kRamp = std::chrono::seconds(5);
--- a/bench/routing/RunResult.h
+++ b/bench/routing/RunResult.h
@@ -6,15 +6,15 @@
 
 namespace foxtailbarrow::bench {
 
-/// Counts of one run, after its warm-up.
+/// Results of one run, without its warm-up.
 struct RunResult
 {
-  std::vector<double> mLatencies; ///< Milliseconds, of whole answers.
+  std::vector<double> mLatencies; ///< Of successful requests, in milliseconds.
   std::size_t mRequests = 0;
-  std::size_t mRefused = 0; ///< Answered not-run, with Retry-After.
-  std::size_t mFailed = 0;  ///< Answered with an error or may-have-run.
+  std::size_t mRefused = 0; ///< Responses not-run, with Retry-After.
+  std::size_t mFailed = 0;  ///< Errors and may-have-run responses.
   std::size_t mRetried = 0; ///< Attempts beyond the first.
-  std::size_t mRemote = 0;  ///< Attempts that left the failure domain.
+  std::size_t mRemote = 0;  ///< Attempts in another failure domain.
   std::size_t mAttempts = 0;
 
   double Percentile(double aShare)
--- a/bench/routing/ServerModel.h
+++ b/bench/routing/ServerModel.h
@@ -10,17 +10,17 @@
 
 namespace foxtailbarrow::bench {
 
-/// How a request left a backend server.
+/// Result of a request at a backend server.
 enum class ServerAnswer
 {
   Done,
   Failed,   ///< Ran, with status 500.
-  Refused,  ///< Not run: no place to wait, or the deadline is too near.
-  NoAnswer, ///< The server vanished.
+  Refused,  ///< Not run: the queue is full or the deadline too near.
+  NoAnswer, ///< The server is lost.
 };
 
-/// Queueing at one backend server and its agent: slots, a bounded queue, the
-/// deadline rule. Nothing else of them.
+/// Simulates the queueing at one backend server and its agent: slots, a bounded
+/// queue and the deadline check.
 class ServerModel
 {
 public:
--- a/bench/store/BatchWriter.cpp
+++ b/bench/store/BatchWriter.cpp
@@ -1,5 +1,5 @@
-// Calls to the store and latency of record writes, for several ways to gather
-// them. Writes arrive at random at a mean rate; the store answers after 3 ms.
+// Calls to the store and latency of record writes, for several batching modes.
+// Writes arrive as a Poisson process; the store responds after 3 ms.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -59,9 +59,9 @@
     aWriter.Write(static_cast<std::size_t>(aNumber),
                   { { key, std::string(300, 'v'), 0 }, 0, std::nullopt });
   aRun.mFailed += outcome.ok() ? 0 : 1;
-  const std::chrono::duration<double, std::milli> taken =
+  const std::chrono::duration<double, std::milli> latency =
     MonotonicNow() - start;
-  aRun.mMilliseconds.push_back(taken.count());
+  aRun.mMilliseconds.push_back(latency.count());
 }
 
 Run Measure(const BatchingMode& aMode)
