--- a/bench/colocation/ColocationModel.h
+++ b/bench/colocation/ColocationModel.h
@@ -34,7 +34,7 @@
   std::function<double(double)> mNoisy; ///< Share of noisy arrivals.
 };
 
-/// Weights of colocated deployment.
+/// Weights of one deployment.
 struct Deployment
 {
   std::string mName;
--- a/bench/placement/Trial.h
+++ b/bench/placement/Trial.h
@@ -264,8 +264,7 @@
 
   double WaitOf(const ActualJob& aJob) const
   {
-    // Adds the round trips of commit and Assign, which the model does not
-    // delay.
+    // Adds the round trips of commit and Assign, which are not simulated.
     return std::chrono::duration<double>(mNow - aJob.mSubmitted).count() +
            4.0 * mScenario.mNetworkMs / 1000.0;
   }
