--- a/apps/scheduler/Scheduler.cpp
+++ b/apps/scheduler/Scheduler.cpp
@@ -27,7 +27,7 @@
 /// two watches of an idle scheduler yield two answers a second.
 constexpr Duration kProbeInterval = std::chrono::milliseconds(300);
 constexpr Duration kProbeCheck = std::chrono::milliseconds(100);
-/// Pause of a fiber that waits for its waker.
+/// Pause of a fiber that runs only when woken.
 constexpr Duration kUntilWoken = std::chrono::hours(1);
 /// Interval of checks for the first configuration. Until it is read, this
 /// scheduler takes no part in the election: an owner would have no policies for
--- a/src/net/detail/AsioScheduler.h
+++ b/src/net/detail/AsioScheduler.h
@@ -25,8 +25,7 @@
   {
   }
 
-  // NOLINTBEGIN(readability-identifier-naming): names required by the base
-  // class.
+  // NOLINTBEGIN(readability-identifier-naming): names of the base class.
   void awakened(boost::fibers::context* aFiber) noexcept override;
   boost::fibers::context* pick_next() noexcept override;
   bool has_ready_fibers() const noexcept override;
--- a/src/net/detail/ClientExchange.cpp
+++ b/src/net/detail/ClientExchange.cpp
@@ -47,7 +47,8 @@
   return absl::UnavailableError(absl::StrCat(doing, ": ", aError.message()));
 }
 
-/// Passes buffered input to the parser, or reads more if the parser needs it.
+/// Passes buffered input to the parser, and succeeds once the parser has
+/// consumed some. Reads more if it has not.
 ErrorCode Advance(Connection& aConnection,
                   http::basic_parser<false>& aParser,
                   TimePoint aDeadline)
