--- a/bench/colocation/ColocationModel.h
+++ b/bench/colocation/ColocationModel.h
@@ -14,11 +14,13 @@
 #include "src/core/colocation/ColocationPolicy.h"
 
 /// One worker in virtual time: a service with 8 slots and batch tasks of
-/// classes that hurt it differently, by load level. A policy sees what the
-/// agent would see: latencies by window and usage that comes late.
+/// classes whose interference with the service depends on its load level. A
+/// policy receives what the agent would: latencies per window and delayed
+/// usage.
 namespace foxtailbarrow::bench {
 
-/// What the tasks of a class do to the service's latency, per unit of pressure.
+/// Relative latency increase that the tasks of a class cause per unit of their
+/// processor share, by load level.
 struct TaskClass
 {
   std::string mName;
@@ -28,12 +30,11 @@
 struct Scenario
 {
   std::string mName;
-  std::function<double(double)>
-    mLoad; ///< Part of the slots in use, by seconds.
-  std::function<double(double)> mNoisy; ///< Part of arrivals that are noisy.
+  std::function<double(double)> mLoad;  ///< Share of slots in use, by second.
+  std::function<double(double)> mNoisy; ///< Share of noisy arrivals.
 };
 
-/// The weights of the two deployments.
+/// Weights of one deployment.
 struct Deployment
 {
   std::string mName;
@@ -47,7 +48,7 @@
   double mP99Ms = 0.0;
   double mP999Ms = 0.0;
   double mWorkDone = 0.0; ///< Task seconds at full speed.
-  double mWorkLost = 0.0; ///< Seconds in which evicted tasks waited.
+  double mWorkLost = 0.0; ///< Seconds that evicted tasks waited.
   int mEvictions = 0;
 };
 
@@ -70,7 +71,7 @@
     for (int second = 0; second < aSeconds; ++second) {
       Place(second);
       Serve(second);
-      Work();
+      RunTasks();
       Report(second);
     }
     return Collect();
@@ -81,24 +82,24 @@
   {
     TaskKey mKey;
     std::size_t mClass = 0;
-    double mLeft = 0.0; ///< Seconds at full speed.
+    double mRemaining = 0.0; ///< Seconds at full speed.
     double mFraction = 1.0;
-    int mNotBefore = 0; ///< Second from which an evicted one may resume.
+    int mNotBefore = 0; ///< Second at which an evicted task may resume.
   };
 
-  struct LateUsage
+  struct DelayedUsage
   {
     TaskKey mKey;
     double mUsed = 0.0;
-    int mTakenAt = 0;
+    int mSampledAt = 0;
   };
 
   static constexpr std::size_t kMaxTasks = 10;
-  static constexpr double kTaskSize = 0.05; ///< Part of the processors.
+  static constexpr double kTaskSize = 0.05; ///< Share of the processors.
   static constexpr double kTaskSeconds = 90.0;
   static constexpr int kUsageLag = 2;
   static constexpr int kResumeDelay = 10;
-  static constexpr int kRequestsAtFull = 400; ///< A second, all slots in use.
+  static constexpr int kRequestsAtFull = 400; ///< Per second at full load.
   static constexpr double kBaseMs = 15.0;
 
   static const std::vector<TaskClass>& Classes()
@@ -140,22 +141,22 @@
       Task task;
       task.mKey = { JobId("job" + std::to_string(++mJobs)), 1 };
       task.mClass = (isNoisy ? 2 : 0) + (Uniform() < 0.5 ? 1 : 0);
-      task.mLeft = kTaskSeconds * (0.5 + Uniform());
+      task.mRemaining = kTaskSeconds * (0.5 + Uniform());
       mTasks.push_back(task);
     }
-    TellTasks(aSecond);
+    UpdateTasks(aSecond);
   }
 
-  void TellTasks(int aSecond)
+  void UpdateTasks(int aSecond)
   {
     std::vector<ColocatedTask> tasks;
     for (const Task& task : mTasks) {
-      ColocatedTask one;
-      one.mKey = task.mKey;
-      one.mClass = Classes()[task.mClass].mName;
-      one.mEvictionWeight = mDeployment.mEvictionWeight;
-      one.mReserved = kTaskSize;
-      tasks.push_back(one);
+      ColocatedTask colocated;
+      colocated.mKey = task.mKey;
+      colocated.mClass = Classes()[task.mClass].mName;
+      colocated.mEvictionWeight = mDeployment.mEvictionWeight;
+      colocated.mReserved = kTaskSize;
+      tasks.push_back(colocated);
     }
     SetTasks(mPolicy, std::move(tasks), At(aSecond));
   }
@@ -180,15 +181,16 @@
     }
   }
 
-  void Work()
+  void RunTasks()
   {
     for (Task& task : mTasks) {
-      const double done = std::min(task.mLeft, task.mFraction);
-      task.mLeft -= done;
+      const double done = std::min(task.mRemaining, task.mFraction);
+      task.mRemaining -= done;
       mOutcome.mWorkDone += done;
     }
     mOutcome.mWorkLost += static_cast<double>(mEvicted.size());
-    std::erase_if(mTasks, [](const Task& aTask) { return aTask.mLeft <= 0; });
+    std::erase_if(mTasks,
+                  [](const Task& aTask) { return aTask.mRemaining <= 0; });
   }
 
   void Report(int aSecond)
@@ -196,15 +198,16 @@
     for (const Task& task : mTasks) {
       mUsage.push_back({ task.mKey, kTaskSize * task.mFraction, aSecond });
     }
-    while (!mUsage.empty() && mUsage.front().mTakenAt + kUsageLag <= aSecond) {
-      const LateUsage& usage = mUsage.front();
-      OnUsage(mPolicy, usage.mKey, usage.mUsed, At(usage.mTakenAt));
+    while (!mUsage.empty() &&
+           mUsage.front().mSampledAt + kUsageLag <= aSecond) {
+      const DelayedUsage& usage = mUsage.front();
+      OnUsage(mPolicy, usage.mKey, usage.mUsed, At(usage.mSampledAt));
       mUsage.pop_front();
     }
     OnLatencies(mPolicy, mRecorder.Take(At(aSecond + 1)));
-    TellTasks(aSecond + 1);
+    UpdateTasks(aSecond + 1);
     for (const ColocationAction& act : Advance(mPolicy, At(aSecond + 1))) {
-      std::visit([&](const auto& aOne) { Apply(aOne, aSecond); }, act);
+      std::visit([&](const auto& aAct) { Apply(aAct, aSecond); }, act);
     }
   }
 
@@ -234,9 +237,9 @@
   Outcome Collect()
   {
     std::sort(mLatencies.begin(), mLatencies.end());
-    const auto quantile = [this](double aPart) {
+    const auto quantile = [this](double aQuantile) {
       return mLatencies[static_cast<std::size_t>(
-        aPart * static_cast<double>(mLatencies.size() - 1))];
+        aQuantile * static_cast<double>(mLatencies.size() - 1))];
     };
     mOutcome.mP50Ms = quantile(0.5);
     mOutcome.mP99Ms = quantile(0.99);
@@ -251,7 +254,7 @@
   LatencyRecorder mRecorder;
   std::vector<Task> mTasks;
   std::vector<Task> mEvicted;
-  std::deque<LateUsage> mUsage;
+  std::deque<DelayedUsage> mUsage;
   std::vector<double> mLatencies;
   std::uint64_t mJobs = 0;
   Outcome mOutcome;
--- a/bench/placement/Placement.cpp
+++ b/bench/placement/Placement.cpp
@@ -1,4 +1,4 @@
-// Cost of a placement, of a heartbeat and of a whole start, by fleet size.
+// Cost of a placement, of a heartbeat and of a complete run, by fleet size.
 #include <benchmark/benchmark.h>
 
 #include <malloc.h>
@@ -40,7 +40,7 @@
   return heartbeat;
 }
 
-/// Workers between a quarter full and full, as a busy fleet looks.
+/// Adds workers that are between 25 % and 100 % full, as in a busy fleet.
 void Fill(WorkerIndex& aIndex, int aWorkers)
 {
   std::mt19937_64 random(1);
@@ -87,12 +87,12 @@
       contract.mBatch = { { 1LL << 50, 1LL << 50, 0 }, 1 << 30, 1.0 };
       contracts.mChanged.push_back(contract);
     }
-    Tell(contracts);
+    HandleEvent(contracts);
     ShardAcquired acquired{ 0, 1, {} };
     for (int i = 0; i < aWorkers * kTasksPerWorker; ++i) {
       acquired.mJobs.push_back({ RecordOf(i), 1 });
     }
-    Tell(acquired);
+    HandleEvent(acquired);
   }
 
   JobRecord RecordOf(int aNumber) const
@@ -110,7 +110,7 @@
     return record;
   }
 
-  void Beat(int aWorker)
+  void PrepareHeartbeat(int aWorker)
   {
     Heartbeat heartbeat = HeartbeatOf(aWorker, ++mSequence);
     heartbeat.mLoad.mReserved = { kTaskSize.mMillicores * kTasksPerWorker,
@@ -128,14 +128,14 @@
     mPrepared = { std::move(heartbeat) };
   }
 
-  void TakePrepared()
+  void DeliverHeartbeat()
   {
-    Tell(mPrepared);
-    Tell(HeartbeatReplySent{
+    HandleEvent(mPrepared);
+    HandleEvent(HeartbeatReplySent{
       mPrepared.mHeartbeat.mAgent, 1, mSequence, mNow + 20s });
   }
 
-  JobScheduler::Actions Tell(const JobEvent& aEvent)
+  JobScheduler::Actions HandleEvent(const JobEvent& aEvent)
   {
     return mScheduler.Handle(aEvent, mNow, mRandom);
   }
@@ -156,37 +156,42 @@
   return info.uordblks + info.hblkhd;
 }
 
-void TakeHeartbeat(benchmark::State& aState)
+void HandleHeartbeat(benchmark::State& aState)
 {
   const int workers = static_cast<int>(aState.range(0));
   const std::size_t before = HeapInUse();
   BusyScheduler scheduler(workers);
   for (int i = 0; i < workers; ++i) {
-    scheduler.Beat(i);
-    scheduler.TakePrepared();
+    scheduler.PrepareHeartbeat(i);
+    scheduler.DeliverHeartbeat();
   }
   aState.counters["bytes/task"] =
     static_cast<double>(HeapInUse() - before) / (workers * kTasksPerWorker);
   int worker = 0;
   for (auto _ : aState) {
     aState.PauseTiming();
-    scheduler.Beat(worker);
+    scheduler.PrepareHeartbeat(worker);
     worker = (worker + 1) % workers;
     aState.ResumeTiming();
-    scheduler.TakePrepared();
+    scheduler.DeliverHeartbeat();
   }
 }
-BENCHMARK(TakeHeartbeat)->Arg(11)->Arg(100)->Arg(1'000)->Arg(6'100);
-
-/// One job from submission over placement, commit and grant to its recorded
-/// end, without the shell.
+BENCHMARK(HandleHeartbeat)
+  ->Name("TakeHeartbeat")
+  ->Arg(11)
+  ->Arg(100)
+  ->Arg(1'000)
+  ->Arg(6'100);
+
+/// Runs jobs from submission through placement, commit and grant to their
+/// recorded end, without I/O.
 void WholeRun(benchmark::State& aState)
 {
   const int workers = static_cast<int>(aState.range(0));
   BusyScheduler scheduler(workers);
   for (int i = 0; i < workers; ++i) {
-    scheduler.Beat(i);
-    scheduler.TakePrepared();
+    scheduler.PrepareHeartbeat(i);
+    scheduler.DeliverHeartbeat();
   }
   int number = workers * kTasksPerWorker;
   std::int64_t runs = 0;
@@ -197,32 +202,32 @@
       record.mState = JobState::Queued;
       record.mEpoch = 0;
       record.mAgent.reset();
-      scheduler.Tell(JobRead{ 0, { std::move(record), 1 } });
+      scheduler.HandleEvent(JobRead{ 0, { std::move(record), 1 } });
     }
     scheduler.mNow += 100us;
-    std::vector<JobAction> todo = scheduler.Tell(Tick{});
-    while (!todo.empty()) {
+    std::vector<JobAction> pending = scheduler.HandleEvent(Tick{});
+    while (!pending.empty()) {
       std::vector<JobAction> next;
-      for (const JobAction& action : todo) {
-        JobScheduler::Actions more;
+      for (const JobAction& action : pending) {
+        JobScheduler::Actions actions;
         if (const auto* commit = std::get_if<CommitRecord>(&action)) {
           runs += commit->mRecord.mState == JobState::Finished ? 1 : 0;
-          more = scheduler.Tell(CommitDone{
+          actions = scheduler.HandleEvent(CommitDone{
             commit->mToken, CommitOutcome::Applied, commit->mExpected + 1 });
         } else if (const auto* sent = std::get_if<SendAssign>(&action)) {
           const TaskKey key = sent->mAssign.mTask.mKey;
           AssignReply granted;
           granted.mGranted = true;
-          scheduler.Tell(AssignDone{ key, granted });
+          scheduler.HandleEvent(AssignDone{ key, granted });
           ControlReply ended;
           ended.mStatus.mKey = key;
           ended.mStatus.mState = TaskState::Finished;
           ended.mStatus.mReserved = kTaskSize;
-          more = scheduler.Tell(ControlDone{ key, ended });
+          actions = scheduler.HandleEvent(ControlDone{ key, ended });
         }
-        next.insert(next.end(), more.begin(), more.end());
+        next.insert(next.end(), actions.begin(), actions.end());
       }
-      todo = std::move(next);
+      pending = std::move(next);
     }
   }
   aState.counters["starts/s/core"] =
--- a/bench/placement/Trial.h
+++ b/bench/placement/Trial.h
@@ -11,7 +11,7 @@
 
 namespace foxtailbarrow::bench {
 
-/// One variant in one scenario under one seed, in virtual time.
+/// Simulates one variant in one scenario with one seed, in virtual time.
 class Trial
 {
 public:
@@ -30,8 +30,8 @@
       contract.mUrgentAllowed = aVariant.mPreempt;
       contracts.mChanged.push_back(contract);
     }
-    Tell(contracts);
-    Tell(ShardAcquired{ 0, 1, {} });
+    HandleEvent(contracts);
+    HandleEvent(ShardAcquired{ 0, 1, {} });
   }
 
   Outcome Run()
@@ -39,14 +39,14 @@
     const Instant end = mNow + kLength;
     while (mNow < end) {
       mNow += kStep;
-      Arrive();
-      Break();
+      SubmitJobs();
+      InjectFaults();
       for (int i = 0; i < kWorkers; ++i) {
         StepWorker(i);
       }
-      Tell(Tick{});
+      HandleEvent(Tick{});
     }
-    return Sum();
+    return Summarize();
   }
 
 private:
@@ -59,8 +59,9 @@
     return settings;
   }
 
-  /// Batch work for about 130 % of the fleet; one urgent job in 20 s.
-  void Arrive()
+  /// Submits batch work for about 130 % of the fleet and, on average, one
+  /// urgent job every 20 s.
+  void SubmitJobs()
   {
     std::poisson_distribution<int> batch(0.135);
     for (int i = batch(mRandom); i > 0; --i) {
@@ -83,23 +84,23 @@
     record.mSpec.mProgram = std::to_string(program);
     record.mSpec.mPriority =
       aUrgent ? JobPriority::Urgent : JobPriority::Normal;
-    Truth truth;
+    ActualJob actual;
     const std::int64_t cores = 1 + program % 6;
-    truth.mSize = { cores * 1000, (2 + program % 5) * 4000 * cores / 3, 0 };
-    truth.mWork = std::chrono::seconds(60 + mRandom() % 240);
-    truth.mUrgent = aUrgent;
-    truth.mSubmitted = mNow;
+    actual.mSize = { cores * 1000, (2 + program % 5) * 4000 * cores / 3, 0 };
+    actual.mWork = std::chrono::seconds(60 + mRandom() % 240);
+    actual.mUrgent = aUrgent;
+    actual.mSubmitted = mNow;
     constexpr std::array kErrors{ 0.1, 0.3, 1.0, 3.0, 10.0 };
     const double error = mScenario.mSizesWrong
                            ? kErrors[static_cast<std::size_t>(program) % 5]
                            : 1.0;
     record.mSpec.mDeclared = {
-      std::min<std::int64_t>(Scale(truth.mSize.mMillicores, error), 60'000),
-      std::min<std::int64_t>(Scale(truth.mSize.mMemoryMb, error), 200'000),
+      std::min<std::int64_t>(Scale(actual.mSize.mMillicores, error), 60'000),
+      std::min<std::int64_t>(Scale(actual.mSize.mMemoryMb, error), 200'000),
       0
     };
-    mTruths[record.mSpec.mId] = truth;
-    Tell(JobRead{ 0, { record, 1 } });
+    mActualJobs[record.mSpec.mId] = actual;
+    HandleEvent(JobRead{ 0, { record, 1 } });
   }
 
   static std::int64_t Scale(std::int64_t aAmount, double aFactor)
@@ -107,7 +108,7 @@
     return static_cast<std::int64_t>(static_cast<double>(aAmount) * aFactor);
   }
 
-  void Break()
+  void InjectFaults()
   {
     const Duration elapsed = mNow - kBegin;
     const bool noisy =
@@ -120,11 +121,11 @@
       for (int i = 0; i < 3; ++i) {
         ModelWorker& worker = mWorkers[static_cast<std::size_t>(i)];
         for (const auto& [key, task] : worker.mTasks) {
-          Waste(key, task.mDone - task.mFrom);
+          RecordWaste(key, task.mDone - task.mFrom);
         }
         worker = ModelWorker{};
         worker.mIncarnation = 2;
-        worker.mDeadUntil = mNow + 5min;
+        worker.mDownUntil = mNow + 5min;
       }
     }
   }
@@ -132,66 +133,68 @@
   void StepWorker(int aWorker)
   {
     ModelWorker& worker = mWorkers[static_cast<std::size_t>(aWorker)];
-    if (mNow < worker.mDeadUntil) {
+    if (mNow < worker.mDownUntil) {
       return;
     }
     std::vector<UsageSample> usage;
     for (auto& [key, task] : worker.mTasks) {
-      Progress(key, task);
-      const Truth& truth = mTruths.at(key.mJob);
+      AdvanceTask(key, task);
+      const ActualJob& actual = mActualJobs.at(key.mJob);
       UsageSample sample;
       sample.mKey = key;
       sample.mUsed = {
-        std::min(truth.mSize.mMillicores, task.mStatus.mReserved.mMillicores),
-        std::min(truth.mSize.mMemoryMb, task.mStatus.mReserved.mMemoryMb),
+        std::min(actual.mSize.mMillicores, task.mStatus.mReserved.mMillicores),
+        std::min(actual.mSize.mMemoryMb, task.mStatus.mReserved.mMemoryMb),
         0
       };
       usage.push_back(sample);
     }
     if ((mNow - kBegin) % 1s == Duration::zero()) {
-      Beat(aWorker, worker, std::move(usage));
+      SendHeartbeat(aWorker, worker, std::move(usage));
     }
   }
 
-  void Progress(const TaskKey& aKey, ModelTask& aTask)
+  void AdvanceTask(const TaskKey& aKey, ModelTask& aTask)
   {
     if (aTask.mStatus.mState != TaskState::Running) {
       return;
     }
-    const Truth& truth = mTruths.at(aKey.mJob);
+    const ActualJob& actual = mActualJobs.at(aKey.mJob);
     const Resources& held = aTask.mStatus.mReserved;
     const Duration run = aTask.mDone - aTask.mFrom;
-    if (truth.mSize.mMemoryMb > held.mMemoryMb && run > 10s) {
+    if (actual.mSize.mMemoryMb > held.mMemoryMb && run > 10s) {
       aTask.mStatus.mState = TaskState::Failed;
       aTask.mStatus.mReason = "memory-overrun";
-      Waste(aKey, run);
+      RecordWaste(aKey, run);
       return;
     }
-    // Fewer processors than needed slow a task down in proportion.
+    // A task with too few processors slows down proportionally.
     const double speed =
       std::min(1.0,
                static_cast<double>(held.mMillicores) /
-                 static_cast<double>(truth.mSize.mMillicores));
+                 static_cast<double>(actual.mSize.mMillicores));
     aTask.mDone += std::chrono::duration_cast<Duration>(kStep * speed);
-    if (aTask.mDone >= truth.mWork) {
+    if (aTask.mDone >= actual.mWork) {
       aTask.mStatus.mState = TaskState::Finished;
-      mOutcome.mFinishedCoreHours += CoreHours(aKey, truth.mWork);
+      mOutcome.mFinishedCoreHours += CoreHours(aKey, actual.mWork);
     }
   }
 
   double CoreHours(const TaskKey& aKey, Duration aSpan) const
   {
-    const Resources& size = mTruths.at(aKey.mJob).mSize;
+    const Resources& size = mActualJobs.at(aKey.mJob).mSize;
     return static_cast<double>(size.mMillicores) / 1000.0 *
            std::chrono::duration<double, std::ratio<3600>>(aSpan).count();
   }
 
-  void Waste(const TaskKey& aKey, Duration aSpan)
+  void RecordWaste(const TaskKey& aKey, Duration aSpan)
   {
     mOutcome.mWastedCoreHours += CoreHours(aKey, aSpan);
   }
 
-  void Beat(int aWorker, ModelWorker& aModel, std::vector<UsageSample> aUsage)
+  void SendHeartbeat(int aWorker,
+                     ModelWorker& aModel,
+                     std::vector<UsageSample> aUsage)
   {
     Heartbeat heartbeat;
     heartbeat.mAgent = AgentId(std::to_string(aWorker));
@@ -206,33 +209,34 @@
       heartbeat.mTasks.push_back({ 0, task.mStatus });
     }
     const std::uint64_t sequence = aModel.mSequence;
-    Tell(HeartbeatReceived{ heartbeat });
-    Tell(HeartbeatReplySent{
+    HandleEvent(HeartbeatReceived{ heartbeat });
+    HandleEvent(HeartbeatReplySent{
       heartbeat.mAgent, heartbeat.mIncarnation, sequence, mNow + 20s });
   }
 
-  void Tell(const JobEvent& aEvent)
+  void HandleEvent(const JobEvent& aEvent)
   {
     for (const JobAction& action : mScheduler.Handle(aEvent, mNow, mRandom)) {
-      std::visit([this](const auto& aKind) { Do(aKind); }, action);
+      std::visit([this](const auto& aAct) { Perform(aAct); }, action);
     }
   }
 
-  void Do(const CommitRecord& aAction)
+  void Perform(const CommitRecord& aAction)
   {
     mOutcome.mEvictions += aAction.mRecord.mState == JobState::Suspended;
-    Tell(CommitDone{
+    HandleEvent(CommitDone{
       aAction.mToken, CommitOutcome::Applied, aAction.mExpected + 1 });
   }
 
-  void Do(const SendAssign& aAction)
+  void Perform(const SendAssign& aAction)
   {
     const TaskStart& start = aAction.mAssign.mTask;
     ModelWorker& worker = WorkerOf(aAction.mAgent);
-    if (mNow < worker.mDeadUntil) {
-      Tell(AssignDone{ start.mKey,
-                       WithVerdict(absl::DeadlineExceededError("no answer"),
-                                   Verdict::MayHaveRun) });
+    if (mNow < worker.mDownUntil) {
+      HandleEvent(
+        AssignDone{ start.mKey,
+                    WithVerdict(absl::DeadlineExceededError("no answer"),
+                                Verdict::MayHaveRun) });
       return;
     }
     AssignReply reply;
@@ -241,35 +245,35 @@
     reply.mFree = free;
     reply.mReason = reply.mGranted ? Reason::None : Reason::CapacityTaken;
     if (reply.mGranted) {
-      Truth& truth = mTruths.at(start.mKey.mJob);
+      ActualJob& actual = mActualJobs.at(start.mKey.mJob);
       ModelTask& task = worker.mTasks[start.mKey];
       task.mStatus.mKey = start.mKey;
       task.mStatus.mReserved = start.mResources;
-      task.mFrom = task.mDone = truth.mDone;
-      NoteStart(truth);
+      task.mFrom = task.mDone = actual.mDone;
+      RecordStart(actual);
     }
-    Tell(AssignDone{ start.mKey, reply });
+    HandleEvent(AssignDone{ start.mKey, reply });
   }
 
-  void NoteStart(Truth& aTruth)
+  void RecordStart(ActualJob& aJob)
   {
-    if (aTruth.mUrgent && !std::exchange(aTruth.mStarted, true)) {
-      mUrgentWaits.push_back(WaitOf(aTruth));
+    if (aJob.mUrgent && !std::exchange(aJob.mStarted, true)) {
+      mUrgentWaits.push_back(WaitOf(aJob));
     }
   }
 
-  double WaitOf(const Truth& aTruth) const
+  double WaitOf(const ActualJob& aJob) const
   {
-    // Commit and Assign take a round trip each, which no step here takes.
-    return std::chrono::duration<double>(mNow - aTruth.mSubmitted).count() +
+    // Adds the round trips of commit and Assign, which are not simulated.
+    return std::chrono::duration<double>(mNow - aJob.mSubmitted).count() +
            4.0 * mScenario.mNetworkMs / 1000.0;
   }
 
-  void Do(const SendControl& aAction)
+  void Perform(const SendControl& aAction)
   {
     ModelWorker& worker = WorkerOf(aAction.mAgent);
     const auto found = worker.mTasks.find(aAction.mControl.mKey);
-    if (mNow < worker.mDeadUntil || found == worker.mTasks.end() ||
+    if (mNow < worker.mDownUntil || found == worker.mTasks.end() ||
         found->second.mStatus.mState != TaskState::Running) {
       return;
     }
@@ -277,36 +281,36 @@
     task.mStatus.mState = TaskState::Checkpointed;
     task.mStatus.mCheckpoint =
       "epoch-" + std::to_string(task.mStatus.mKey.mEpoch);
-    mTruths.at(task.mStatus.mKey.mJob).mDone = task.mDone;
+    mActualJobs.at(task.mStatus.mKey.mJob).mDone = task.mDone;
   }
 
-  void Do(const AcknowledgeTasks& aAction)
+  void Perform(const AcknowledgeTasks& aAction)
   {
     for (const TaskKey& key : aAction.mKeys) {
       WorkerOf(aAction.mAgent).mTasks.erase(key);
     }
   }
 
-  void Do(const DisownTasks& aAction)
+  void Perform(const DisownTasks& aAction)
   {
     for (const TaskKey& key : aAction.mKeys) {
       WorkerOf(aAction.mAgent).mTasks.erase(key);
     }
   }
 
-  void Do(const ExtendLeases&) {}
-  void Do(const ReadJob&) {}
+  void Perform(const ExtendLeases&) {}
+  void Perform(const ReadJob&) {}
 
   ModelWorker& WorkerOf(const AgentId& aAgent)
   {
     return mWorkers[std::stoul(aAgent.Value())];
   }
 
-  Outcome Sum()
+  Outcome Summarize()
   {
-    for (const auto& [job, truth] : mTruths) {
-      if (truth.mUrgent && !truth.mStarted) {
-        mUrgentWaits.push_back(WaitOf(truth));
+    for (const auto& [job, actual] : mActualJobs) {
+      if (actual.mUrgent && !actual.mStarted) {
+        mUrgentWaits.push_back(WaitOf(actual));
       }
     }
     std::ranges::sort(mUrgentWaits);
@@ -328,7 +332,7 @@
   Instant mNow = kBegin;
   JobScheduler mScheduler;
   std::vector<ModelWorker> mWorkers;
-  std::map<JobId, Truth> mTruths;
+  std::map<JobId, ActualJob> mActualJobs;
   std::vector<double> mUrgentWaits;
   Outcome mOutcome;
   int mJobs = 0;
--- a/bench/routing/ServerModel.h
+++ b/bench/routing/ServerModel.h
@@ -10,17 +10,17 @@
 
 namespace foxtailbarrow::bench {
 
-/// How a request left a backend server.
+/// Result of a request at a backend server.
 enum class ServerAnswer
 {
   Done,
-  Failed,  ///< Ran, with status 500.
-  Refused, ///< Not run: no place to wait, or the deadline is too near.
-  Silence, ///< The server vanished.
+  Failed,   ///< Ran, with status 500.
+  Refused,  ///< Not run: the queue is full or the deadline too near.
+  NoAnswer, ///< The server is lost.
 };
 
-/// Queueing at one backend server and its agent: slots, a bounded queue, the
-/// deadline rule. Nothing else of them.
+/// Simulates the queueing at one backend server and its agent: slots, a bounded
+/// queue and the deadline check.
 class ServerModel
 {
 public:
@@ -37,13 +37,13 @@
   void Fail() { mFails = true; }
   bool IsLost() const { return mIsLost; }
 
-  void Vanish()
+  void MarkLost()
   {
     mIsLost = true;
     mWaiting.clear();
   }
 
-  void Take(Instant aDeadline, OnAnswer aOnAnswer)
+  void OnRequest(Instant aDeadline, OnAnswer aOnAnswer)
   {
     if (mIsLost) {
       return;
--- a/src/net/Poke.h
+++ b/src/net/Waker.h
@@ -7,32 +7,33 @@
 
 namespace foxtailbarrow {
 
-/// Wakes a fiber that works in rounds. Pokes between two rounds count as one.
-class Poke
+/// Wakes a fiber that runs periodically: an auto-reset event. Several Wake()
+/// calls between two waits count as one.
+class Waker
 {
 public:
-  void Now()
+  void Wake()
   {
     {
       const std::lock_guard lock(mMutex);
-      mPoked = true;
+      mWoken = true;
     }
     mChanged.notify_one();
   }
 
-  /// Returns at the next poke, at once when one came since the last return, or
-  /// after `aLongest`.
-  void Wait(Duration aLongest)
+  /// Returns at the next Wake(), immediately if there was one since the last
+  /// Wait(), or after `aTimeout`.
+  void Wait(Duration aTimeout)
   {
     std::unique_lock lock(mMutex);
-    mChanged.wait_for(lock, aLongest, [this] { return mPoked; });
-    mPoked = false;
+    mChanged.wait_for(lock, aTimeout, [this] { return mWoken; });
+    mWoken = false;
   }
 
 private:
   boost::fibers::mutex mMutex;
   boost::fibers::condition_variable mChanged;
-  bool mPoked = false;
+  bool mWoken = false;
 };
 
 } // namespace foxtailbarrow
--- a/tests/net/TimedWaitTest.cpp
+++ b/tests/net/TimedWaitTest.cpp
@@ -6,7 +6,7 @@
 #include "src/net/FiberRuntime.h"
 #include "src/net/HttpClient.h"
 #include "src/net/HttpServer.h"
-#include "src/net/Poke.h"
+#include "src/net/Waker.h"
 
 namespace foxtailbarrow::net::test {
 
@@ -17,22 +17,24 @@
 constexpr Duration kTimeout = milliseconds(200);
 constexpr Duration kLong = std::chrono::seconds(20);
 
-/// A fiber whose last timed wait was ended by a notification.
+/// A timed wait must end at its deadline even if the fiber's previous timed
+/// wait was ended by a notification, which Boost.Fiber 1.74 handles incorrectly
+/// (see AwaitState::WaitUntil).
 class TimedWaitTest : public testing::Test
 {
 protected:
   void RunAfterNotifiedWait(const std::function<void()>& aBody)
   {
-    Poke poke;
+    Waker waker;
     std::atomic<bool> done{ false };
     mRuntime.Spawn([&] {
-      poke.Wait(kLong);
+      waker.Wait(kLong);
       aBody();
       done = true;
     });
     mRuntime.Spawn([&] {
       boost::this_fiber::sleep_for(milliseconds(20));
-      poke.Now();
+      waker.Wake();
     });
     const Instant end = MonotonicNow() + std::chrono::seconds(5);
     while (!done && MonotonicNow() < end) {
