--- a/src/core/routing/Candidate.h
+++ b/src/core/routing/Candidate.h
@@ -8,7 +8,8 @@
 struct Candidate
 {
   const RoutableAgent* mAgent = nullptr;
-  double mLoad = 0.0; ///< Requests per slot including this one.
+  /// Requests per slot including this one, higher during slow start.
+  double mLoad = 0.0;
   bool mIsProbe = false;
 
   explicit operator bool() const { return mAgent != nullptr; }
