--- a/tests/ctl/EntryCallerTest.cpp
+++ b/tests/ctl/EntryCallerTest.cpp
@@ -92,7 +92,7 @@
   EntryCall,
   testing::Values(
     CallCase{ "first answers", FirstEntryBehavior::Answers, false, true, 0 },
-    CallCase{ "first is away",
+    CallCase{ "first is unreachable",
               FirstEntryBehavior::IsUnreachable,
               false,
               true,
