--- a/tests/soak/PromiseCheckerTest.cpp
+++ b/tests/soak/PromiseCheckerTest.cpp
@@ -109,7 +109,7 @@
 TEST_P(PromiseCheckerTest, DetectsABrokenPromise)
 {
   Scenario scenario;
-  GetParam().mRun(story);
+  GetParam().mRun(scenario);
   EXPECT_EQ(scenario.Checker().Violations().empty(), GetParam().mIsKept);
 }
 
@@ -212,7 +212,7 @@
 
 TEST_P(PromiseCheckerCrashTest, BoundsStartsUnderCrashes)
 {
-  const CrashScenario& crashCase = GetParam();
+  const CrashCase& crashCase = GetParam();
   Scenario scenario(crashCase.mPayload);
   for (int run = 1; run <= crashCase.mCrashes; ++run) {
     scenario.StartAndLose("life" + std::to_string(run), run);
