--- a/apps/scheduler/JobRequestHandler.cpp
+++ b/apps/scheduler/JobRequestHandler.cpp
@@ -174,7 +174,7 @@
     if (write->mResult->ok() && (*write->mResult)->mApplied) {
       onApplied();
     }
-    write->mDone.Now();
+    write->mDone.Wake();
   });
   while (!write->mResult) {
     write->mDone.Wait(kSilencePoll);
