--- a/apps/agent/HeartbeatSender.cpp
+++ b/apps/agent/HeartbeatSender.cpp
@@ -182,7 +182,7 @@
                                std::size_t aBytes)
 {
   const std::lock_guard lock(mMutex);
-  mSchedule.Measured(aBytes + kFrameBytes);
+  mSchedule.RecordExchangeSize(aBytes + kFrameBytes);
   Peer& peer = mPeers[aEntry];
   if (!std::exchange(peer.mAnswers, true)) {
     LogChange("entry-answers", { { "entry", aEntry } });
