--- a/model/ownership.pml
+++ b/model/ownership.pml
@@ -3,21 +3,21 @@
  *
  * Spin searches every order of the steps below. Entry 0 owns the shard at the
  * start, entry 1 may succeed it, entry 2 only votes; two agents may run the
- * job. No step ever has to be taken: an outage of the store, a lost message or
- * reply, and a paused process are steps that are not taken while time passes.
- * The effect of a store write and its reply are separate steps. README.md ties
- * each step to the function that implements it.
+ * job. No step is mandatory: an outage of the store, a lost message or reply,
+ * and a paused process are modelled as steps not taken while time passes. The
+ * effect of a store write and its reply are separate steps. README.md maps each
+ * step to the function that implements it.
  *
  * Checked: the job never runs at two workers at once; no epoch is started
  * twice, so that evicted work resumes exactly once.
  *
  * Mutations (-D), each of which must break this: NO_WAIT, NO_FENCE,
  * BLIND_WRITE, BLIND_ASSIGN, NO_MAJORITY, RESUME_WITHOUT_EPOCH, NO_SILENCE,
- * DATED_BY_RECEIPT. SHOW_RESUME must fail too: it shows that a resume after a
- * takeover is among the runs that the search covers.
+ * DATED_BY_RECEIPT. SHOW_RESUME must fail too: it shows that the search covers
+ * a resume after a takeover.
  */
 
-/* In ticks. A round, an attestation and a promise count until the next tick. */
+/* In ticks. Rounds, attestations and promises are valid until the next tick. */
 #define TASK_LEASE 2 /* from the sending of the agent's heartbeat */
 #define MARGIN 1
 #define TENURE_WAIT (1 + TASK_LEASE + MARGIN)
@@ -48,12 +48,12 @@
 bool mayAct[2];     /* 0: until the next tick; 1: since it read its success */
 byte knownEpoch[2];
 byte knownAgent[2];
-byte write[2];      /* an assignment on its way to the store */
+byte write[2];      /* an assignment in flight to the store */
 byte writeAgent[2];
 bool ended[2];      /* the agent reported the end of the known epoch */
 byte beat[4];       /* margin + lease since the last heartbeat of that agent */
-byte assign[4];     /* epoch that a message on its way starts */
-byte assignAge[4];  /* lease left, by the heartbeat that it names */
+byte assign[4];     /* epoch started by the message in flight */
+byte assignAge[4];  /* remaining lease, from the heartbeat it names */
 
 bool attested;       /* by a majority, since the last tick */
 byte closing = OPEN; /* entry 1's wait after a majority of promises */
@@ -79,7 +79,7 @@
   if :: assignAge[p] == 0 -> assign[p] = 0 :: else fi
 }
 
-/* What entry 0 knew no longer matters, which keeps the search small. */
+/* Resets entry 0's state once it no longer matters, to limit the search. */
 inline ForgetFirstOwner()
 {
   if
@@ -102,7 +102,7 @@
   DOWN(storeLease);
   DOWN(silent);
   if :: closing != OPEN && closing > 0 -> closing-- :: else fi;
-  /* Without an attestation there is a gap, and none can end it. */
+  /* Without an attestation there is a gap, which no later one can end. */
   mayAct[0] = attested;
   attested = false;
   TickPair(0); TickPair(1); TickPair(2); TickPair(3);
@@ -120,7 +120,7 @@
   writeAgent[e] = 0
 }
 
-/* Dated by the agent's last heartbeat; without one it is sent later. */
+/* The lease counts from the agent's last heartbeat; without one, sent later. */
 inline SendAssign(e)
 {
   if
@@ -168,7 +168,7 @@
   fi
 }
 
-/* The agent's heartbeat arrives: its news is taken and it is extended. */
+/* The agent's heartbeat arrives: its report is applied, its lease extended. */
 inline HandleBeat(e, a)
 {
   beat[AT(e, a)] = TASK_LEASE + MARGIN;
@@ -242,7 +242,7 @@
 
 #define OWNER_STEPS(e) \
   :: d_step { MAY_WRITE(e) -> write[e] = SENT; writeAgent[e] = 0 } \
-  /* The agents are alike, so that the first may as well be 0. */ \
+  /* The agents are symmetric, so the first assignment may go to agent 0. */ \
   :: d_step { MAY_WRITE(e) && (e == 1 || knownEpoch[e] > 0) -> \
               write[e] = SENT; writeAgent[e] = 1 } \
   :: d_step { write[e] == SENT -> ApplyWrite(e) } \
@@ -266,12 +266,12 @@
   do
   :: d_step { TimePasses() }
 
-  /* Entry 0 renews its store lease; the reply is taken, or lost. */
+  /* Entry 0 renews its store lease; the reply arrives or is lost. */
   :: d_step { storeLease > 0 && shardOwner == 0 ->
               storeLease = STORE_LEASE; mayAct[0] = true }
   :: d_step { storeLease > 0 && shardOwner == 0 -> storeLease = STORE_LEASE }
 
-  /* In doubt it asks the voters; one more than itself is a majority. */
+  /* When unsure it asks the voters; one besides itself is a majority. */
   :: d_step { mayAct[0] && !mayAct[1] -> attested = true }
   :: d_step { mayAct[0] && !promised && silent == 0 -> attested = true }
 #ifdef NO_MAJORITY
@@ -282,13 +282,13 @@
   :: d_step { shardOwner == 0 && storeLease == 0 -> shardOwner = 1 }
   :: d_step { shardOwner == 1 && !mayAct[1] -> mayAct[1] = true; ReadBack(1) }
 
-  /* It collects the promise of voter 2 or of entry 0 itself; or it is lost. */
+  /* It collects the promise of voter 2 or entry 0, or the reply is lost. */
   :: d_step { mayAct[1] && closing == OPEN ->
               promised = true; closing = TENURE_WAIT }
   :: d_step { mayAct[1] && closing == OPEN ->
               mayAct[0] = false; attested = false; closing = TENURE_WAIT }
   :: d_step { mayAct[1] && closing == OPEN -> promised = true }
-  /* Voter 2 restarts and forgets. */
+  /* Voter 2 restarts and loses its promise. */
   :: d_step { (promised || silent > 0) && mayAct[0] -> promised = false; silent = SILENCE }
 
   OWNER_STEPS(0)
--- a/tools/system.sh
+++ b/tools/system.sh
@@ -1,8 +1,9 @@
-# Functions to start and stop a whole system beside the platform's stand-ins.
-# Sourced by tools/demo, tests/failure/run and the measuring scripts. Every
-# process is ended by its id; all ports are chosen by the system.
+# Functions to start and stop a whole system with the platform's stand-ins.
+# Sourced by tools/demo, tests/failure/run and the benchmark scripts. Every
+# process is ended by its id; the operating system chooses all ports.
 
-readonly up_seconds=30 seen_seconds=40 stop_seconds=15 workers_per_rack=3
+readonly startup_seconds=30 serving_seconds=40 stop_seconds=15
+readonly workers_per_rack=3
 
 logs=$(mktemp -d)
 declare -A pids=()
@@ -27,7 +28,7 @@
   done
 }
 
-# address NAME [WORD]: the address that the process printed last behind the word.
+# address NAME [WORD]: the last address that the process printed after WORD.
 address() {
   sed -nE "s/.*\b${2:-on} ([0-9.]+:[0-9]+).*/\1/p" "$logs/$1.out" | tail -1
 }
@@ -35,8 +36,8 @@
 is_listening() { [[ -n $(address "$1") ]]; }
 
 await_listening() {
-  within "$up_seconds" is_listening "$1" || {
-    echo "$1 did not come up" >&2
+  within "$startup_seconds" is_listening "$1" || {
+    echo "$1 did not start listening" >&2
     cat "$logs/$1.err" >&2
     exit 1
   }
@@ -47,7 +48,7 @@
   echo "$*"
 }
 
-# running NAME...: those of the processes that are still there.
+# running NAME...: prints those of the processes that still run.
 running() {
   local name
   for name in "$@"; do
@@ -57,7 +58,7 @@
 
 none_running() { [[ -z $(running "$@") ]]; }
 
-# stop NAME...: asks, waits, and ends by id what does not listen.
+# stop NAME...: sends SIGTERM, waits, and kills by id those that still run.
 stop() {
   local name
   (($#)) || return 0
@@ -71,8 +72,8 @@
 
 names() { printf '%s\n' "${!pids[@]}" | { grep -E "^$1" || true; }; }
 
-# Stops everything, our own processes first, so that they drain while the
-# platform is there. Keeps the logs only when something failed.
+# Stops all processes, the platform's stand-ins last, so that the others can
+# drain. Keeps the logs only on failure.
 finish() {
   local status=$?
   trap - EXIT INT TERM
@@ -117,8 +118,8 @@
   done
 }
 
-# start_entry NUMBER [ADDRESS CONTROL]: at addresses of its own choice, or at
-# those given, as after a restart of the same VM.
+# start_entry NUMBER [ADDRESS CONTROL]: on free ports, or at these addresses, as
+# after a restart on the same VM.
 start_entry() {
   start "entry-$1" "$build_dir/apps/foxtailbarrow-entry" --id "entry-$1" \
     --store "$store" --failure-domain "domain-$1" --threads 2 \
@@ -163,7 +164,8 @@
   done
 }
 
-# all_serve CONTROL COUNT: the entry sees so many backend servers in service.
+# all_serve CONTROL COUNT: succeeds if the entry lists COUNT backend servers in
+# service.
 all_serve() {
   local count
   count=$("$build_dir/apps/foxtailbarrow-ctl" servers list --entry "$1" \
@@ -175,8 +177,8 @@
 await_all_serve() {
   local control
   for control in "${control_addresses[@]}"; do
-    within "$seen_seconds" all_serve "$control" "$1" || {
-      echo "the entry at $control does not see $1 backend servers" >&2
+    within "$serving_seconds" all_serve "$control" "$1" || {
+      echo "the entry at $control does not list $1 backend servers in service" >&2
       "$build_dir/apps/foxtailbarrow-ctl" servers list --entry "$control" >&2 ||
         true
       exit 1
