--- a/apps/entry/JobWriter.cpp
+++ b/apps/entry/JobWriter.cpp
@@ -20,7 +20,7 @@
   return ToJsonText(aLeft) == ToJsonText(aRight);
 }
 
-/// A record written by BlockLateWrite(): nobody was told that the job was
+/// A record written by BlockLateWrite(): the job was never reported as
 /// accepted.
 bool IsBlocked(const JobRecord& aRecord)
 {
--- a/apps/entry/JobWriter.h
+++ b/apps/entry/JobWriter.h
@@ -18,7 +18,7 @@
 struct SubmissionConflict
 {};
 
-/// Not accepted; the verdict tells whether the job may run nevertheless.
+/// Not accepted; the verdict states whether the job may run nevertheless.
 struct SubmissionFailed
 {
   Verdict mVerdict = Verdict::MayHaveRun;
@@ -39,7 +39,7 @@
 ///
 /// After a lost reply, the record is read back. If it does not exist, the write
 /// may still be in flight, so a record that can never run is written in its
-/// place before the caller is told that the job did not run.
+/// place before the caller is informed that the job did not run.
 class JobWriter
 {
 public:
--- a/soak/PromiseChecker.h
+++ b/soak/PromiseChecker.h
@@ -75,7 +75,7 @@
   {
     std::map<std::string, cell::RunNumber> mLive; ///< By incarnation.
     /// Runs that ended done and whose worker's lease has not lapsed since; the
-    /// value tells whether another run has started since.
+    /// value is true if another run has started since.
     std::map<std::pair<std::string, cell::RunNumber>, bool> mDoneRuns;
     bool mDone = false;         ///< A run ended done.
     bool mAcknowledged = false; ///< The end was acknowledged.
--- a/src/core/cell/CellSchedulerCrashes.cpp
+++ b/src/core/cell/CellSchedulerCrashes.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Longest wait for the save of a first crash. A store that refuses writes for
-/// a while accepts one within this time.
+/// a while accepts one again within this time.
 constexpr Duration kFirstCrashSaveTime = std::chrono::seconds(3);
 
 } // namespace
--- a/src/core/cell/HeartbeatOrder.cpp
+++ b/src/core/cell/HeartbeatOrder.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 /// Largest plausible jump of the sequence number: a million heartbeats, or ten
-/// days, lost in a row. Accepting a larger one would make all later heartbeats
-/// look old.
+/// days, lost in a row. If a larger one were accepted, all later heartbeats
+/// would count as outdated.
 constexpr std::int64_t kMaxLost = 1'000'000;
 
 } // namespace
--- a/src/core/cell/WorkerLiveness.h
+++ b/src/core/cell/WorkerLiveness.h
@@ -7,7 +7,7 @@
 
 namespace foxtailbarrow::cell {
 
-/// What a failed poll of the worker tells the agent.
+/// Change of the worker's state that a failed poll shows.
 enum class LivenessChange : std::uint8_t
 {
   None,
--- a/src/core/message/detail/FieldRules.h
+++ b/src/core/message/detail/FieldRules.h
@@ -36,7 +36,7 @@
   bool mPlain = false;
 };
 
-/// An IPv4 number as text.
+/// An IPv4 address as text.
 struct AddressRule
 {};
 
--- a/src/core/message/detail/Scalars.cpp
+++ b/src/core/message/detail/Scalars.cpp
@@ -206,7 +206,7 @@
       return true;
     }
   }
-  AddProblem(aValue, aPath, "an IPv4 number such as 10.0.0.1", aProblems);
+  AddProblem(aValue, aPath, "an IPv4 address such as 10.0.0.1", aProblems);
   return false;
 }
 
