--- a/tests/cell/CandidacyTest.cpp
+++ b/tests/cell/CandidacyTest.cpp
@@ -36,7 +36,7 @@
     CandidacyCase{ "StrongAtOnce", 0.25, milliseconds(0), true },
     CandidacyCase{ "WeakAtOnce", 0.12, milliseconds(0), false },
     CandidacyCase{ "WeakSoon", 0.12, milliseconds(499), false },
-    CandidacyCase{ "WeakWhenNobodyElse", 0.12, milliseconds(500), true }),
+    CandidacyCase{ "WeakAfterTheDelay", 0.12, milliseconds(500), true }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 TEST(CandidacyAgain, AnOwnerSeenInBetweenRestartsTheWait)
--- a/tests/cell/CellSchedulerTest.cpp
+++ b/tests/cell/CellSchedulerTest.cpp
@@ -376,7 +376,7 @@
   PlacementRules,
   testing::Values(PlacementCase{ "Free", 0, "", 4 },
                   PlacementCase{ "TwoPerWorker", 2, "", 2 },
-                  PlacementCase{ "LabelThere", 0, "kind", 4 },
+                  PlacementCase{ "LabelPresent", 0, "kind", 4 },
                   PlacementCase{ "LabelMissing", 0, "other", 0 }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
--- a/tests/cell/CopyTest.cpp
+++ b/tests/cell/CopyTest.cpp
@@ -72,10 +72,10 @@
   Table,
   CopyTest,
   testing::Values(
-    CopyCase{ "ProvenStandsStill", 1200, Reachability::Answers, true },
+    CopyCase{ "ProvenStalled", 1200, Reachability::Answers, true },
     CopyCase{ "ProvenOnASilentWorker", 1200, Reachability::Silent, true },
     CopyCase{ "ProvenOfASilentAgent", 1200, Reachability::AgentDetached, true },
-    CopyCase{ "FreshStandsStill", 400, Reachability::Answers, false },
+    CopyCase{ "FreshStalled", 400, Reachability::Answers, false },
     CopyCase{ "FreshOnASilentWorker", 400, Reachability::Silent, false },
     CopyCase{ "FreshOfASilentAgent", 400, Reachability::AgentDetached, false },
     CopyCase{ "Unanswered", -1, Reachability::Answers, false },
--- a/tests/cell/ForgottenStartTest.cpp
+++ b/tests/cell/ForgottenStartTest.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-/// What the first owner knew of a start, and what the agent reports to the next
-/// owner.
+/// Reports on a start to the first owner and to the next one.
 struct ForgottenStartCase
 {
   const char* mName;
@@ -23,7 +22,7 @@
 {};
 
 /// A start whose owner and agent are lost together with its worker must count
-/// as a crash, or it is forgotten however often that happens.
+/// as a crash; otherwise such starts are repeated without limit.
 TEST_P(ForgottenStartTest, CountsAsACrashUnlessItsOutcomeIsKnown)
 {
   const ForgottenStartCase& start = GetParam();
@@ -48,8 +47,8 @@
   Table,
   ForgottenStartTest,
   testing::Values(
-    ForgottenStartCase{ "LostWithAllThatKnewOfIt", 0, {}, false, 1 },
-    ForgottenStartCase{ "HadLived", 1400, {}, false, 0 },
+    ForgottenStartCase{ "UnknownOutcome", 0, {}, false, 1 },
+    ForgottenStartCase{ "ProvenByUptime", 1400, {}, false, 0 },
     ForgottenStartCase{ "StillRuns", 0, {}, true, 0 },
     ForgottenStartCase{ "EndedDone", 0, RunEnd::Done, false, 0 },
     ForgottenStartCase{ "EndedFailed", 0, RunEnd::Failed, false, 0 },
--- a/tests/cell/OutagePolicyTest.cpp
+++ b/tests/cell/OutagePolicyTest.cpp
@@ -30,7 +30,7 @@
   All,
   RetryDelayTest,
   testing::Values(
-    RetryDelayCase{ "Begins", milliseconds(0), 0.5, seconds(1) },
+    RetryDelayCase{ "AtTheStart", milliseconds(0), 0.5, seconds(1) },
     RetryDelayCase{ "NeverBelowASecond", seconds(2), 0.0, seconds(1) },
     RetryDelayCase{ "HalfOfTheAge", seconds(6), 0.5, seconds(3) },
     RetryDelayCase{ "SpreadDown", seconds(6), 0.01, seconds(2) },
--- a/tests/cell/StalledTaskTest.cpp
+++ b/tests/cell/StalledTaskTest.cpp
@@ -69,9 +69,9 @@
   testing::Values(
     StallCase{ "Stalled", 0, true, true, milliseconds(1200), true },
     StallCase{ "NotForLong", 0, true, true, milliseconds(300), false },
-    StallCase{ "AtWork", 3000, true, true, milliseconds(1200), false },
-    StallCase{ "NowhereElse", 0, true, false, milliseconds(1200), false },
-    StallCase{ "WouldStartAnew", 0, false, true, milliseconds(1200), false }),
+    StallCase{ "MakesProgress", 3000, true, true, milliseconds(1200), false },
+    StallCase{ "NoOtherWorker", 0, true, false, milliseconds(1200), false },
+    StallCase{ "NoCheckpoint", 0, false, true, milliseconds(1200), false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 class MovedTaskTest : public StalledTaskTest
--- a/tests/cell/SuspendedMachineTest.cpp
+++ b/tests/cell/SuspendedMachineTest.cpp
@@ -67,9 +67,9 @@
 INSTANTIATE_TEST_SUITE_P(
   Table,
   SuspendedMachineTest,
-  testing::Values(SuspensionCase{ "Shortly", milliseconds(1000), true },
+  testing::Values(SuspensionCase{ "Briefly", milliseconds(1000), true },
                   SuspensionCase{ "BeyondTheLease", milliseconds(4000), false },
-                  SuspensionCase{ "ForLong", seconds(60), false }),
+                  SuspensionCase{ "FarBeyondTheLease", seconds(60), false }),
   [](const auto& aInfo) { return std::string(aInfo.param.mName); });
 
 } // namespace
--- a/tests/cell/WorkerLivenessTest.cpp
+++ b/tests/cell/WorkerLivenessTest.cpp
@@ -21,7 +21,7 @@
 struct LivenessStep
 {
   int mAtMs;
-  Poll mLook;
+  Poll mPoll;
   LivenessChange mChange;
 };
 
@@ -45,10 +45,10 @@
   liveness.Begin(start);
   for (const LivenessStep& step : GetParam().mSteps) {
     const Instant now = start + milliseconds(step.mAtMs);
-    if (step.mLook == Poll::Answered) {
+    if (step.mPoll == Poll::Answered) {
       liveness.OnPoll(now);
     } else {
-      EXPECT_EQ(liveness.OnPollFailed(step.mLook == Poll::Refused, now),
+      EXPECT_EQ(liveness.OnPollFailed(step.mPoll == Poll::Refused, now),
                 step.mChange)
         << step.mAtMs;
     }
