--- a/src/core/admission/TokenBucket.h
+++ b/src/core/admission/TokenBucket.h
@@ -30,7 +30,7 @@
   std::atomic<std::int64_t> mFullAt{ 0 }; ///< Nanoseconds of Instant's clock.
 };
 
-/// Retry-After when a limit admits nothing, so that no token becomes available.
+/// Retry-After when a limit admits nothing: no token ever becomes available.
 inline constexpr Duration kRetryWithoutShare = std::chrono::seconds(1);
 
 } // namespace foxtailbarrow
--- a/src/core/base/Snapshot.h
+++ b/src/core/base/Snapshot.h
@@ -13,10 +13,10 @@
 /// Read-copy-update holder of an immutable value: a writer publishes whole new
 /// values, any number of threads read the newest.
 ///
-/// Load() costs one atomic read of a version and a reference count that only
-/// the calling thread's readers share: each thread keeps its own handle with
-/// its own reference count, and renews it under a short lock only after a
-/// Publish().
+/// Load() costs one atomic read of a version and one increment of a reference
+/// count that only the calling thread's readers share: each thread keeps its
+/// own handle with its own reference count, and renews it under a short lock
+/// only after a Publish().
 ///
 /// A loaded value stays valid as long as the returned pointer is held, also
 /// while a fiber is suspended, and never changes. It is freed once no returned
--- a/src/core/colocation/ColocationGuard.cpp
+++ b/src/core/colocation/ColocationGuard.cpp
@@ -115,8 +115,8 @@
   mGoodInRow = mExcess < recovered ? mGoodInRow + 1 : 0;
 }
 
-/// Factor of the excess and of its duration that are tolerated, by the weight
-/// of evictions relative to tail latency.
+/// Factor on the tolerated excess and on how long it is tolerated. Grows with
+/// the weight of evictions relative to the weight of tail latency.
 double ColocationGuard::ToleranceFactor(double aEvictionWeight) const
 {
   const double ratio = std::max(kMinWeight, aEvictionWeight) /
--- a/src/core/colocation/InterferenceModel.h
+++ b/src/core/colocation/InterferenceModel.h
@@ -21,12 +21,12 @@
 /// that of windows with tasks after discounting the expected interference. A
 /// level first measured with colocated tasks starts from the next lower level's
 /// baseline. The excess of a window at a level is its quantile relative to the
-/// baseline, minus 1. It is modelled as the sum over the tasks of the class
-/// coefficient times the processor share. The coefficients, never below 0, are
-/// estimated by a Kalman filter with a variance for each class, so that excess
-/// is attributed to new classes rather than to those that long ran without. A
-/// class keeps its coefficient after its tasks have ended. Classes that always
-/// run together cannot be distinguished.
+/// baseline, minus 1. It is modelled as a sum over the tasks: the coefficient
+/// of a task's class times its processor share. The coefficients, never below
+/// 0, are estimated by a Kalman filter with a variance for each class, so that
+/// excess is attributed to new classes rather than to those that have long run
+/// without interference. A class keeps its coefficient after its tasks have
+/// ended. Classes that always run together cannot be distinguished.
 class InterferenceModel
 {
 public:
--- a/src/core/contract/ConfigurationSource.h
+++ b/src/core/contract/ConfigurationSource.h
@@ -34,7 +34,7 @@
 /// for a customer or overall; a document that cannot be parsed is reported and
 /// the customer's previous contract stays in force; deltas are empty while some
 /// agent is known to have a newer change than this entry has read, so that an
-/// entry that lost the store cannot revert a restarted agent.
+/// entry without access to the store cannot revert a restarted agent.
 ///
 /// ApplyListing() and ApplyEvents() must be called from one fiber at a time,
 /// the rest from any thread.
--- a/src/core/job/JobScheduler.h
+++ b/src/core/job/JobScheduler.h
@@ -34,9 +34,8 @@
 ///
 /// Guarantees, even if events are lost, repeated or delayed:
 /// - A job is reassigned only after its record was written with a greater
-/// epoch,
-///   and only if the previous assignment certainly no longer runs: its agent
-///   reported the end or finally refused it, or its lease expired.
+///   epoch, and only if the previous assignment certainly no longer runs: its
+///   agent reported the end or finally refused it, or its lease expired.
 /// - An end is acknowledged to the agent only after it was saved.
 /// - A checkpoint and the epoch that resumes it are written together.
 ///
--- a/src/core/membership/HeartbeatSchedule.h
+++ b/src/core/membership/HeartbeatSchedule.h
@@ -19,8 +19,8 @@
 /// Every entry gets one heartbeat per interval (HeartbeatInterval()). The first
 /// is sent at a random time within the minimum interval, the second within the
 /// interval, so that agents that start together do not send together and one
-/// agent's heartbeats are spread over the interval. Changes that every entry
-/// must receive at once (a drain, the end of a task) are sent by MakeAllDue().
+/// agent's heartbeats are spread over the interval. MakeAllDue() is for changes
+/// that every entry must receive at once (a drain, the end of a task).
 class HeartbeatSchedule
 {
 public:
--- a/src/core/retry/RetryPolicy.cpp
+++ b/src/core/retry/RetryPolicy.cpp
@@ -21,8 +21,8 @@
          (verdict == Verdict::MayHaveRun && aAttempt.mIdempotent);
 }
 
-/// Refusals that any other agent would repeat. Not a duplicate with
-/// Verdict::NotRun: that agent promised not to run it, but another one may.
+/// Refusals that any other agent would repeat. A duplicate with
+/// Verdict::NotRun is none: that agent promised not to run it, but another may.
 bool IsFinalRefusal(const FailedAttempt& aAttempt)
 {
   switch (aAttempt.mReason) {
--- a/src/core/routing/AgentRoutingState.h
+++ b/src/core/routing/AgentRoutingState.h
@@ -6,7 +6,8 @@
 namespace foxtailbarrow {
 
 /// Mutable state that an entry keeps about one agent incarnation. Shared by all
-/// routing tables that list it, so that it survives a change of table.
+/// routing tables that list the incarnation, so that the state survives a
+/// change of table.
 struct AgentRoutingState
 {
   LoadEstimator mLoad;
