--- a/apps/ctl/Command.h
+++ b/apps/ctl/Command.h
@@ -20,7 +20,7 @@
 struct ContractsApply
 {
   std::string mFile;
-  std::optional<Revision> mExpected; ///< 0 = must not exist.
+  std::optional<Revision> mExpected; ///< 0 = must not exist; no value: any.
 };
 
 struct ContractsShow
@@ -36,7 +36,7 @@
 
 struct JobsSubmit
 {
-  std::string mFile; ///< Empty: mSpec.
+  std::string mFile; ///< Empty: mSpec is submitted.
   JobSpec mSpec;
   std::string mIdempotencyKey; ///< Empty: a random one.
 };
--- a/apps/replay/JobReplayer.h
+++ b/apps/replay/JobReplayer.h
@@ -29,7 +29,7 @@
   /// Polls each job that is not in its expected end state.
   void PollOpenJobs();
 
-  /// Polls until every job is in its expected end state or `aUntil`.
+  /// Polls until every job is in its expected end state, or until `aUntil`.
   void PollUntilEnded(Instant aUntil);
 
 private:
--- a/bench/routing/RunResult.h
+++ b/bench/routing/RunResult.h
@@ -11,8 +11,8 @@
 {
   std::vector<double> mLatencies; ///< Of successful requests, in milliseconds.
   std::size_t mRequests = 0;
-  std::size_t mRefused = 0; ///< Responses not-run, with Retry-After.
-  std::size_t mFailed = 0;  ///< Errors and may-have-run responses.
+  std::size_t mRefused = 0; ///< Responses with verdict not-run and Retry-After.
+  std::size_t mFailed = 0;  ///< Errors and responses with verdict may-have-run.
   std::size_t mRetried = 0; ///< Attempts beyond the first.
   std::size_t mRemote = 0;  ///< Attempts in another failure domain.
   std::size_t mAttempts = 0;
--- a/soak/LinkProxy.h
+++ b/soak/LinkProxy.h
@@ -17,7 +17,8 @@
   Silent,     ///< Nothing is forwarded; connections stay open.
   OneWay,     ///< Data from the server is not forwarded.
   Resets,     ///< Open and new connections are reset.
-  OpenSilent, ///< Connections open now stay silent for good.
+  OpenSilent, ///< Connections open at this moment stay silent for good; new
+              ///< ones pass.
 };
 
 /// Forwards TCP connections over loopback and injects network faults without
--- a/src/net/HttpStreamWriter.h
+++ b/src/net/HttpStreamWriter.h
@@ -16,18 +16,20 @@
 class HttpStreamWriter
 {
 public:
-  /// Only for HttpServer. `aEnding` returns whether the server drains or stops.
+  /// Only for HttpServer. `aTimeout` is the server's idle timeout; `aEnding`
+  /// returns whether the server drains or stops.
   HttpStreamWriter(detail::Connection& aConnection,
                    std::chrono::microseconds aTimeout,
                    std::function<bool()> aEnding);
 
-  /// Writes one line and its newline. Returns false, and does so from then on,
-  /// when the peer has closed, accepts no data for the idle timeout, or the
-  /// server drains. The handler must then return.
+  /// Writes one line and its newline. Returns false when the peer has closed,
+  /// does not accept the whole line within the idle timeout, or the server
+  /// drains or stops. All later calls return false too; the handler must then
+  /// return.
   bool WriteLine(std::string_view aLine);
 
-  /// True when the peer has closed or the server drains. Does not block; meant
-  /// for handlers with long pauses between lines.
+  /// True when the peer has closed, a write has failed, or the server drains or
+  /// stops. Does not block; meant for handlers with long pauses between lines.
   bool IsClosed();
 
 private:
--- a/standins/taskworker/ServingMeter.h
+++ b/standins/taskworker/ServingMeter.h
@@ -33,8 +33,8 @@
   /// Reported tail latency in ms: noisy, over the last half second; 0 before
   /// the first report.
   std::int64_t ReportedMs() const { return mReportedMs; }
-  /// Since when interference alone has kept it over its target; empty when it
-  /// is not.
+  /// Since when interference alone has kept the true latency, without noise,
+  /// over its target; nullopt when it does not.
   std::optional<Instant> OverSince() const { return mOverSince; }
 
 private:
--- a/tests/job/ModelFleet.cpp
+++ b/tests/job/ModelFleet.cpp
@@ -123,7 +123,8 @@
   Deliver(aIndex, entry.mRestarts, Tick{});
 }
 
-/// Lists the shard occasionally, since hints may be lost.
+/// Lists the shard occasionally, since the hints that a job has changed may be
+/// lost.
 void ModelFleet::RelistJobs(std::size_t aIndex)
 {
   if (Chance(mRandom, 10)) {
--- a/tests/load/LoadPattern.h
+++ b/tests/load/LoadPattern.h
@@ -23,10 +23,10 @@
   double mStandingLoad = 0.42; ///< Mean share of the reservation in use.
   double mTargetMs = 18;
   /// Latency without colocated tasks in the middle of a swing, as a share of
-  /// the target, and the amplitude of the swing in the logarithm. 28,800
-  /// measurements of one replayed day: 0.28 to 0.78 of the target.
+  /// the target. This and mSwing give the range of 28,800 measurements of one
+  /// replayed day: 0.28 to 0.78 of the target.
   double mBaselineShare = 0.47;
-  double mSwing = 0.5;
+  double mSwing = 0.5; ///< Amplitude of the swing in the latency's logarithm.
   double mSwingPeriodS = 10;
   double mNoise = 0.08; ///< Standard deviation of a measurement's logarithm.
 
@@ -50,7 +50,7 @@
   /// it starts. mCrashes turns the crashes off without changing the jobs.
   double mCrashingShare = 0;
   bool mCrashes = true;
-  double mDownS = 3; ///< Until a crashed worker is back.
+  double mDownS = 3; ///< Time until a crashed worker has restarted.
   /// When an eighth of the workers crash for another reason; 0 = never.
   double mRackCrashesAtS = 0;
 };
--- a/tests/store/BatchWriterTest.cpp
+++ b/tests/store/BatchWriterTest.cpp
@@ -158,7 +158,8 @@
   EXPECT_TRUE(absl::IsNotFound(store.Read("/a").status()));
 }
 
-/// The reported outcome of one write, which its unique value identifies.
+/// The reported outcome of one write. Each write has a unique value as its key
+/// in the map of outcomes.
 struct WriteOutcome
 {
   absl::StatusOr<Revision> mOutcome;
