--- a/include/foxtailbarrow/Contract.h
+++ b/include/foxtailbarrow/Contract.h
@@ -40,12 +40,12 @@
   std::int32_t mMaxCopies = 0;      ///< Licensed copies that may run.
   std::int32_t mMaxConcurrency = 0; ///< Concurrent requests.
   double mRequestsPerSecond = 0.0;  ///< Average admission rate.
-  std::int32_t mBurst =
-    0; ///< Token bucket size: admitted at once after a pause.
+  /// Token bucket size: admitted at once after a pause.
+  std::int32_t mBurst = 0;
   BatchLimits mBatch;
   PolicyWeights mWeights;
-  bool mUrgentAllowed =
-    false;                ///< Whether its urgent jobs may evict batch work.
+  /// Whether its urgent jobs may evict batch work.
+  bool mUrgentAllowed = false;
   Revision mRevision = 0; ///< Set from the store, not by the operator.
 
   bool operator==(const Contract&) const = default;
--- a/soak/FaultPlan.h
+++ b/soak/FaultPlan.h
@@ -45,8 +45,8 @@
   Duration mAt{};
   FaultKind mKind = FaultKind::KillScheduler;
   std::uint32_t mTarget = 0; ///< Modulo the number of targets of the kind.
-  std::uint32_t mVariant =
-    0; ///< Selects the state of a link or the size of a worker.
+  /// Selects the state of a link or the size of a worker.
+  std::uint32_t mVariant = 0;
   Duration mFor{};
 };
 
--- a/standins/taskworker/TaskWorkerService.h
+++ b/standins/taskworker/TaskWorkerService.h
@@ -105,8 +105,8 @@
   bool mDraining = false;
   bool mExecutesLate = false;
   net::HttpClient mClient;
-  std::unique_ptr<net::HttpServer>
-    mServer; ///< Null while connections are refused.
+  /// Null while connections are refused.
+  std::unique_ptr<net::HttpServer> mServer;
   /// Server of an earlier incarnation, until its last handlers have ended.
   std::unique_ptr<net::HttpServer> mClosedServer;
 };
